--- a/demand/demand.go
+++ b/demand/demand.go
@@ -1,9 +1,9 @@
-// Package demand knows what all nodes are asked of each service; replicas are
+// Package demand measures the load of each service over all nodes; replicas are
 // ordered by it.
 //
-// Each node tells the node that reads for its failure domain what it is asked
-// itself; that node tells the domain's sum to the others. Package reports
-// carries both.
+// Each node sends its own load to the reader of its failure domain, the node that
+// reads the replicas' load reports there. The reader sends the sum of its failure
+// domain to the others. Package reports carries both.
 package demand
 
 import (
@@ -13,38 +13,38 @@
 )
 
 const (
-	// expires is how long what another node or failure domain told counts: they
-	// tell several times a second, and some calls fail.
-	expires = 2 * time.Second
-	// memory is how long an arrival counts in a rate.
-	memory = 3 * time.Second
-	// runningMemory is over how long running requests are averaged.
+	// loadExpiry is how long a load received from another node or failure domain
+	// counts. Loads are sent several times a second, and some calls fail.
+	loadExpiry = 2 * time.Second
+	// rateWindow is the time constant of the rates.
+	rateWindow = 3 * time.Second
+	// runningWindow is the time constant of the average of in-flight requests.
 	//
-	// Load: an organisation sends six times its usual from one moment to the next.
-	// Averaged over three seconds the last of the replicas that this needs were
-	// ordered after 3 s, and served 4 s later still. Orders keep the most of the
-	// last eight seconds, so that a short average does not make them flap.
-	runningMemory = time.Second
+	// An organisation may send six times its usual load from one moment to the next.
+	// With an average over three seconds, the last of the replicas that this needs
+	// are ordered after 3 s and serve 4 s later still. Orders keep the maximum of the
+	// last eight seconds, so a short average does not make them flap.
+	runningWindow = time.Second
 )
 
-// Load is what is asked of a service.
+// Load is the load of a service.
 type Load struct {
-	// Running is how many requests run, on average lately.
+	// Running is the recent average of in-flight requests.
 	Running float64
-	// Arrivals are requests per second.
+	// Arrivals is the number of requests per second.
 	Arrivals float64
-	// Prompt is prompt tokens per second.
+	// Prompt is the number of prompt tokens per second.
 	Prompt float64
-	// Work is how many replicas of the usual speed would be busy all the time with
-	// the requests whose work is known, Sized of them per second.
+	// Work is how many replicas of the usual speed the requests of known work would
+	// keep busy all the time; Sized is how many such requests arrive per second.
 	Work  float64
 	Sized float64
 }
 
-// Loads holds a load for each service.
+// Loads holds the load of each service.
 type Loads map[string]Load
 
-// add adds others service by service.
+// add adds other loads service by service.
 func (l Loads) add(others Loads) {
 	for service, other := range others {
 		sum := l[service]
@@ -57,77 +57,80 @@
 	}
 }
 
-// Told is what is asked in one failure domain.
-type Told struct {
+// DomainLoad is the load of one failure domain.
+type DomainLoad struct {
 	Loads Loads
-	// Age is how old it is; nodes share no clock.
+	// Age is the time since the loads were measured; it is relative because nodes
+	// share no clock.
 	Age time.Duration
 }
 
-// Demand is what this node and the others are asked. The lock is held for
+// Demand holds the load of this node and of the others. The lock is held for
 // microseconds, never during a call to another package.
 type Demand struct {
 	failureDomain string
 
 	mu       sync.Mutex
 	services map[string]*counters
-	// nodes holds what nodes of this failure domain told, and domains what their
-	// readers told of whole failure domains.
-	nodes   map[string]kept
-	domains map[string]kept
+	// nodes holds the loads received from nodes of this failure domain, and domains
+	// those of whole failure domains, as their readers sent them.
+	nodes   map[string]receivedLoads
+	domains map[string]receivedLoads
 }
 
-// kept is what was told and when it was true, by this node's clock.
-type kept struct {
-	loads Loads
-	at    time.Time
+// receivedLoads are loads with the time at which they were measured, by this
+// node's clock.
+type receivedLoads struct {
+	loads      Loads
+	measuredAt time.Time
 }
 
-func (k kept) fresh(now time.Time) bool { return now.Sub(k.at) < expires }
+func (r receivedLoads) isFresh(now time.Time) bool { return now.Sub(r.measuredAt) < loadExpiry }
 
-// rate is an exponentially weighted sum per second.
+// rate is an exponentially weighted rate per second.
 type rate struct {
-	value float64
-	at    time.Time
+	value     float64
+	updatedAt time.Time
 }
 
 func (r *rate) add(amount float64, now time.Time) {
-	r.age(now)
-	r.value += amount / memory.Seconds()
+	r.decay(now)
+	r.value += amount / rateWindow.Seconds()
 }
 
-func (r *rate) age(now time.Time) float64 {
-	r.value *= math.Exp(-now.Sub(r.at).Seconds() / memory.Seconds())
-	r.at = now
+func (r *rate) decay(now time.Time) float64 {
+	r.value *= math.Exp(-now.Sub(r.updatedAt).Seconds() / rateWindow.Seconds())
+	r.updatedAt = now
 	return r.value
 }
 
-// counters are a service's rates at this node.
+// counters hold a service's load at this node.
 type counters struct {
-	running  int
-	average  float64
-	at       time.Time
-	arrivals rate
-	prompt   rate
-	work     rate
-	sized    rate
+	running        int
+	averageRunning float64
+	updatedAt      time.Time
+	arrivals       rate
+	prompt         rate
+	work           rate
+	sized          rate
 }
 
-// run ages the average of running requests and changes the count.
-func (c *counters) run(by int, now time.Time) {
-	keep := math.Exp(-now.Sub(c.at).Seconds() / runningMemory.Seconds())
-	c.average = keep*c.average + (1-keep)*float64(c.running)
-	c.at = now
-	c.running += by
+// changeRunning updates the average of in-flight requests and changes their
+// number by delta.
+func (c *counters) changeRunning(delta int, now time.Time) {
+	decay := math.Exp(-now.Sub(c.updatedAt).Seconds() / runningWindow.Seconds())
+	c.averageRunning = decay*c.averageRunning + (1-decay)*float64(c.running)
+	c.updatedAt = now
+	c.running += delta
 }
 
-// New returns a table for a node of a failure domain that has counted nothing.
+// New returns an empty Demand for a node of a failure domain.
 func New(failureDomain string) *Demand {
 	return &Demand{
 		failureDomain: failureDomain,
 		services:      map[string]*counters{},
-		nodes:         map[string]kept{},
-		domains:       map[string]kept{},
+		nodes:         map[string]receivedLoads{},
+		domains:       map[string]receivedLoads{},
 	}
 }
 
@@ -135,26 +138,26 @@
 	c, ok := d.services[name]
 	if !ok {
 		c = &counters{
-			at: now,
+			updatedAt: now,
 		}
 		d.services[name] = c
 	}
 	return c
 }
 
-// Entered counts a request that goes to a service.
+// Entered counts a request to a service and its prompt tokens.
 func (d *Demand) Entered(service string, prompt int) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.service(service, now)
-	c.run(1, now)
+	c.changeRunning(1, now)
 	c.arrivals.add(1, now)
 	c.prompt.add(float64(prompt), now)
 }
 
 // Sent counts the machine time that a request takes from a replica; zero means
-// that it is not known.
+// that it is unknown.
 func (d *Demand) Sent(service string, work time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
@@ -167,27 +170,27 @@
 	c.sized.add(1, now)
 }
 
-// Left counts a request that has ended.
+// Left counts the end of a request.
 func (d *Demand) Left(service string) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.service(service, now).run(-1, now)
+	d.service(service, now).changeRunning(-1, now)
 }
 
-// load is this node's own; the caller holds the lock.
+// load returns this node's own load; the caller holds the lock.
 func (c *counters) load(now time.Time) Load {
-	c.run(0, now)
+	c.changeRunning(0, now)
 	return Load{
-		Running:  c.average,
-		Arrivals: c.arrivals.age(now),
-		Prompt:   c.prompt.age(now),
-		Work:     c.work.age(now),
-		Sized:    c.sized.age(now),
+		Running:  c.averageRunning,
+		Arrivals: c.arrivals.decay(now),
+		Prompt:   c.prompt.decay(now),
+		Work:     c.work.decay(now),
+		Sized:    c.sized.decay(now),
 	}
 }
 
-// Own returns what this node is asked.
+// Own returns this node's own load.
 func (d *Demand) Own() Loads {
 	now := time.Now()
 	d.mu.Lock()
@@ -203,89 +206,90 @@
 	return loads
 }
 
-// HearNode takes in what a node of this failure domain is asked.
-func (d *Demand) HearNode(node string, loads Loads) {
+// ReceiveNode stores the load of a node of this failure domain.
+func (d *Demand) ReceiveNode(node string, loads Loads) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.nodes[node] = kept{
-		loads: loads,
-		at:    time.Now(),
+	d.nodes[node] = receivedLoads{
+		loads:      loads,
+		measuredAt: time.Now(),
 	}
 }
 
-// HearDomain takes in what a failure domain is asked; older news than what is
-// known is dropped.
-func (d *Demand) HearDomain(failureDomain string, told Told) {
-	at := time.Now().Add(-told.Age)
+// ReceiveDomain stores the load of a failure domain unless a newer one is known.
+func (d *Demand) ReceiveDomain(failureDomain string, load DomainLoad) {
+	at := time.Now().Add(-load.Age)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.domains[failureDomain].at) {
-		d.domains[failureDomain] = kept{
-			loads: told.Loads,
-			at:    at,
+	if at.After(d.domains[failureDomain].measuredAt) {
+		d.domains[failureDomain] = receivedLoads{
+			loads:      load.Loads,
+			measuredAt: at,
 		}
 	}
 }
 
-// Sum adds this node and those of its failure domain up, for a node that reads
-// for its failure domain, and keeps the sum as the domain's.
-func (d *Demand) Sum() {
+// SumDomain adds up the loads of this node and of the others in its failure
+// domain and stores the sum as the domain's. The reader of the failure domain
+// calls it.
+func (d *Demand) SumDomain() {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sum := d.own(now)
-	for node, k := range d.nodes {
-		if !k.fresh(now) {
+	for node, r := range d.nodes {
+		if !r.isFresh(now) {
 			delete(d.nodes, node)
 			continue
 		}
-		sum.add(k.loads)
+		sum.add(r.loads)
 	}
-	d.domains[d.failureDomain] = kept{
-		loads: sum,
-		at:    now,
+	d.domains[d.failureDomain] = receivedLoads{
+		loads:      sum,
+		measuredAt: now,
 	}
 }
 
-// Domains returns what is known of one failure domain, or of all where none is named.
-func (d *Demand) Domains(failureDomain string) map[string]Told {
+// Domains returns the known load of one failure domain, or of all if
+// failureDomain is empty.
+func (d *Demand) Domains(failureDomain string) map[string]DomainLoad {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := map[string]Told{}
-	for domain, k := range d.domains {
-		if k.fresh(now) && (failureDomain == "" || failureDomain == domain) {
-			known[domain] = Told{
-				Loads: k.loads,
-				Age:   now.Sub(k.at),
+	known := map[string]DomainLoad{}
+	for domain, r := range d.domains {
+		if r.isFresh(now) && (failureDomain == "" || failureDomain == domain) {
+			known[domain] = DomainLoad{
+				Loads: r.loads,
+				Age:   now.Sub(r.measuredAt),
 			}
 		}
 	}
 	return known
 }
 
-// Of returns what all nodes together are asked of a service. Where nothing is
-// known of this node's own failure domain, the node itself stands for it.
-func (d *Demand) Of(service string) Load {
+// Total returns the load of a service over all nodes. If the load of this node's
+// own failure domain is unknown, the node's own load is used instead.
+func (d *Demand) Total(service string) Load {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sum := Loads{}
-	for _, k := range d.domains {
-		if k.fresh(now) {
-			sum.add(k.loads)
+	for _, r := range d.domains {
+		if r.isFresh(now) {
+			sum.add(r.loads)
 		}
 	}
-	if !d.domains[d.failureDomain].fresh(now) {
+	if !d.domains[d.failureDomain].isFresh(now) {
 		sum.add(d.own(now))
 	}
 	return sum[service]
 }
 
 // MeanPrompt returns the mean length of a service's prompts in tokens; zero
-// while none came.
+// without recent arrivals.
 func (d *Demand) MeanPrompt(service string) float64 {
-	load := d.Of(service)
+	load := d.Total(service)
 	if load.Arrivals == 0 {
 		return 0
 	}
--- a/demand/demand_test.go
+++ b/demand/demand_test.go
@@ -10,9 +10,9 @@
 	"zinniamast/demand"
 )
 
-// A node that hears nobody stands for its own failure domain; what it hears
-// goes before that, and expires.
-func TestNodeAloneCountsItself(t *testing.T) {
+// A node that receives no loads uses its own for its failure domain. A received
+// load replaces it until it expires.
+func TestIsolatedNodeUsesItsOwnLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		d := demand.New("burnaby-a")
@@ -20,70 +20,71 @@
 			d.Entered("svc", 300)
 		}
 		time.Sleep(10 * time.Second)
-		check.True(d.Of("svc").Running > 11)
-		d.HearDomain("burnaby-a", demand.Told{
+		check.True(d.Total("svc").Running > 11)
+		d.ReceiveDomain("burnaby-a", demand.DomainLoad{
 			Loads: demand.Loads{
 				"svc": demand.Load{Running: 40},
 			},
 		})
-		d.HearDomain("surrey-b", demand.Told{
+		d.ReceiveDomain("surrey-b", demand.DomainLoad{
 			Loads: demand.Loads{
 				"svc": demand.Load{Running: 20},
 			},
 			Age: time.Second,
 		})
-		check.Equal(d.Of("svc").Running, 60.0)
+		check.Equal(d.Total("svc").Running, 60.0)
 		time.Sleep(1200 * time.Millisecond)
-		check.Equal(d.Of("svc").Running, 40.0)
+		check.Equal(d.Total("svc").Running, 40.0)
 		time.Sleep(time.Second)
-		check.True(d.Of("svc").Running < 13)
+		check.True(d.Total("svc").Running < 13)
 	})
 }
 
-// News that took a detour is older than what is known and counts for nothing.
-func TestOlderNewsIsDropped(t *testing.T) {
+// A load that arrives late by another path is older than the known one and must
+// not replace it.
+func TestOlderReportIsDropped(t *testing.T) {
 	check := is.New(t)
 	d := demand.New("burnaby-a")
-	hear := func(running float64, age time.Duration) {
-		d.HearDomain("surrey-b", demand.Told{
+	receive := func(running float64, age time.Duration) {
+		d.ReceiveDomain("surrey-b", demand.DomainLoad{
 			Loads: demand.Loads{
 				"svc": demand.Load{Running: running},
 			},
 			Age: age,
 		})
 	}
-	hear(20, 0)
-	hear(90, time.Second)
-	check.Equal(d.Of("svc").Running, 20.0)
+	receive(20, 0)
+	receive(90, time.Second)
+	check.Equal(d.Total("svc").Running, 20.0)
 }
 
-// A reader's sum holds each node of its failure domain once, and drops those
-// that have fallen silent.
+// The reader's sum counts each node of its failure domain once and drops nodes
+// that stopped reporting.
 func TestSumOfAFailureDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		d := demand.New("burnaby-a")
-		told := demand.Loads{
+		loads := demand.Loads{
 			"svc": demand.Load{Running: 5},
 		}
-		d.HearNode("one", told)
-		d.HearNode("one", told)
-		d.HearNode("two", told)
-		d.Sum()
-		check.Equal(d.Of("svc").Running, 10.0)
+		d.ReceiveNode("one", loads)
+		d.ReceiveNode("one", loads)
+		d.ReceiveNode("two", loads)
+		d.SumDomain()
+		check.Equal(d.Total("svc").Running, 10.0)
 		check.Equal(d.Domains("burnaby-a")["burnaby-a"].Loads["svc"].Running, 10.0)
 		time.Sleep(1500 * time.Millisecond)
-		d.HearNode("two", told)
+		d.ReceiveNode("two", loads)
 		time.Sleep(time.Second)
-		d.Sum()
-		check.Equal(d.Of("svc").Running, 5.0)
+		d.SumDomain()
+		check.Equal(d.Total("svc").Running, 5.0)
 	})
 }
 
-// What callers see: in a crowd their answers are late for some seconds more than
-// replicas take to start. Ten requests run, then sixty more come at once; the
-// order follows what is believed to run, which lagged by three seconds.
-func TestCrowdIsSeenWithinASecond(t *testing.T) {
+// Ten requests run, then sixty more arrive at once. Orders follow the average of
+// running requests; if it lags by three seconds, answers are late for that much
+// longer than replicas take to start.
+func TestLoadJumpIsMeasuredWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		d := demand.New("burnaby-a")
@@ -95,8 +96,8 @@
 			d.Entered("svc", 300)
 		}
 		time.Sleep(time.Second)
-		check.True(d.Of("svc").Running > 45) // 27 before
+		check.True(d.Total("svc").Running > 45) // 27 with a window of three seconds
 		time.Sleep(time.Second)
-		check.True(d.Of("svc").Running > 60) // 39 before
+		check.True(d.Total("svc").Running > 60) // 39 with a window of three seconds
 	})
 }
--- a/reports/board.go
+++ b/reports/board.go
@@ -8,114 +8,117 @@
 	"zinniamast/demand"
 )
 
-// Report is what a replica said of its load.
+// Report is the load that a replica reported.
 type Report struct {
 	Replica string
-	// FailureDomain is the replica's.
+	// FailureDomain is the replica's failure domain.
 	FailureDomain string
-	// Age is how old the reading is; nodes share no clock.
+	// Age is the time since the report was read; it is relative because nodes share
+	// no clock.
 	Age time.Duration
-	// Running is the number of requests in the batch and Waiting that of those queued.
+	// Running is the number of requests in the batch, Waiting the number of queued
+	// ones.
 	Running int
 	Waiting int
-	// QueuedTokens is the number of prompt tokens not yet computed, about.
+	// QueuedTokens is the approximate number of prompt tokens not yet computed.
 	QueuedTokens int
 }
 
-// Told is one node's answer to another.
+// Told is a node's answer to the query of another.
 type Told struct {
 	Reports []Report
-	// Position is where the next question goes on.
+	// Position is where the next query continues.
 	Position uint64
-	// Demand is what the failure domains asked for are asked.
-	Demand map[string]demand.Told
+	// Demand is the load of the failure domains asked for.
+	Demand map[string]demand.DomainLoad
 }
 
-// kept is a report with this node's time of the reading.
-type kept struct {
+// boardEntry is a report with the time of its reading by this node's clock.
+type boardEntry struct {
 	report Report
-	at     time.Time
-	// position is the board's when it came.
+	readAt time.Time
+	// position is the board's position at which the report was stored.
 	position uint64
 }
 
-// Board holds the newest report of each replica that this node knows.
+// Board holds the newest known report of each replica.
 type Board struct {
 	mu       sync.Mutex
-	reports  map[string]kept
+	reports  map[string]boardEntry
 	position uint64
-	// changed is closed and renewed with each change.
+	// changed is closed and replaced on each change.
 	changed chan struct{}
 }
 
-// forgetAfter is when a report says nothing any more; its replica is gone, or
-// nobody reaches it.
-const forgetAfter = 5 * time.Second
+// reportExpiry is the age from which a report is meaningless: its replica is
+// gone, or no node reaches it.
+const reportExpiry = 5 * time.Second
 
-// NewBoard returns an empty board. Its positions begin with the time, so that a
-// position of the node's last life is none of this one's.
+// NewBoard returns an empty board. Its positions start at the current time, so
+// that a position from before a restart of the node is never taken for one of
+// this board.
 func NewBoard() *Board {
 	return &Board{
-		reports:  map[string]kept{},
+		reports:  map[string]boardEntry{},
 		position: uint64(time.Now().UnixNano()),
 		changed:  make(chan struct{}),
 	}
 }
 
-// Put takes reports in and returns those that are newer than what was known.
+// Put stores reports and returns those that are newer than the known ones.
 func (b *Board) Put(reports []Report) []Report {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var fresh []Report
+	var newer []Report
 	for _, r := range reports {
 		at := now.Add(-r.Age)
-		if known, ok := b.reports[r.Replica]; ok && !at.After(known.at) {
+		if known, ok := b.reports[r.Replica]; ok && !at.After(known.readAt) {
 			continue
 		}
-		fresh = append(fresh, r)
-		b.reports[r.Replica] = kept{
+		newer = append(newer, r)
+		b.reports[r.Replica] = boardEntry{
 			report:   r,
-			at:       at,
+			readAt:   at,
 			position: b.position + 1,
 		}
 	}
-	if len(fresh) == 0 {
+	if len(newer) == 0 {
 		return nil
 	}
 	b.position++
-	b.forget(now)
+	b.removeExpired(now)
 	close(b.changed)
 	b.changed = make(chan struct{})
-	return fresh
+	return newer
 }
 
-// forget drops old reports; the caller holds the lock.
-func (b *Board) forget(now time.Time) {
-	for id, k := range b.reports {
-		if now.Sub(k.at) > forgetAfter {
+// removeExpired removes expired reports; the caller holds the lock.
+func (b *Board) removeExpired(now time.Time) {
+	for id, e := range b.reports {
+		if now.Sub(e.readAt) > reportExpiry {
 			delete(b.reports, id)
 		}
 	}
 }
 
-// Since returns the reports that came after a position, of one failure domain
-// or of all where none is named. It waits for one; a position that is not of
-// this board gets all at once.
+// Since returns the reports stored after a position, of one failure domain or of
+// all if failureDomain is empty. If there are none, it waits up to wait for the
+// first. A position outside the range of this board returns all reports at once.
 func (b *Board) Since(ctx context.Context, failureDomain string, position uint64, wait time.Duration) Told {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		told, changed := b.since(failureDomain, position)
-		if len(told.Reports) > 0 {
-			return told
+		answer, changed := b.since(failureDomain, position)
+		if len(answer.Reports) > 0 {
+			return answer
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return told
+			return answer
 		case <-ctx.Done():
-			return told
+			return answer
 		}
 	}
 }
@@ -127,16 +130,16 @@
 	if position > b.position {
 		position = 0
 	}
-	told := Told{
+	answer := Told{
 		Position: b.position,
 	}
-	for _, k := range b.reports {
-		if k.position <= position || failureDomain != "" && k.report.FailureDomain != failureDomain {
+	for _, e := range b.reports {
+		if e.position <= position || failureDomain != "" && e.report.FailureDomain != failureDomain {
 			continue
 		}
-		r := k.report
-		r.Age = now.Sub(k.at)
-		told.Reports = append(told.Reports, r)
+		r := e.report
+		r.Age = now.Sub(e.readAt)
+		answer.Reports = append(answer.Reports, r)
 	}
-	return told, b.changed
+	return answer, b.changed
 }
--- a/reports/doc.go
+++ b/reports/doc.go
@@ -1,4 +1,4 @@
-// Package reports tells every node what the model replicas say of their own
-// load, although only one node of each failure domain asks them, and what all
-// nodes are asked.
+// Package reports distributes the load reports of the model replicas to every
+// node, although only one node of each failure domain reads them. The load of the
+// services travels with them.
 package reports
--- a/reports/reader.go
+++ b/reports/reader.go
@@ -12,19 +12,21 @@
 )
 
 const (
-	// readInterval is how often a replica is asked. Reports are some hundred
-	// milliseconds old as they come, and requests run for a second or two: asking
-	// more often would tell little more. A question is priced as a health check.
+	// readInterval is how often each replica is read. A report is some hundred
+	// milliseconds old when it arrives, and requests run for a second or two, so more
+	// frequent readings would add little. Each reading costs as much as a health
+	// check.
 	readInterval = 300 * time.Millisecond
-	// readTimeout bounds one question; what comes later says nothing of now.
+	// readTimeout bounds one reading; a later answer would be outdated.
 	readTimeout = 250 * time.Millisecond
-	// concurrentReads bounds the connections that are open for it at once.
+	// concurrentReads bounds the connections open for readings at one time.
 	concurrentReads = 16
-	// lag is how old a reading is as it comes, as the platform states it.
-	lag = 100 * time.Millisecond
+	// reportLag is the age of a report when a replica sends it, as the platform
+	// states.
+	reportLag = 100 * time.Millisecond
 )
 
-// readAll asks the replicas of this failure domain.
+// readAll reads the replicas of this failure domain.
 func (s *Sharer) readAll(ctx context.Context) {
 	var mu sync.Mutex
 	var read []Report
@@ -45,10 +47,10 @@
 		})
 	}
 	_ = group.Wait() // No function returns an error.
-	s.take(read)
+	s.apply(read)
 }
 
-// read asks one replica. A question that fails says nothing: the requests
+// read reads one replica. A failed reading has no consequence: the requests
 // themselves show whether the replica works.
 func (s *Sharer) read(ctx context.Context, u *blackboard.Upstream) (Report, bool) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -56,22 +58,23 @@
 	began := time.Now()
 	load, err := s.config.Source.Load(ctx, u)
 	if err != nil {
-		s.config.Logger.Debug("no report", "replica", u.Instance.ID, "cause", err)
+		s.config.Logger.Debug("reading load report failed", "replica", u.Instance.ID, "cause", err)
 		return Report{}, false
 	}
 	return Report{
 		Replica:       u.Instance.ID,
 		FailureDomain: u.Instance.FailureDomain,
-		Age:           lag + time.Since(began),
+		Age:           reportLag + time.Since(began),
 		Running:       load.Running,
 		Waiting:       load.Waiting,
-		QueuedTokens:  s.queued(u.Instance.Service, load),
+		QueuedTokens:  s.queuedTokens(u.Instance.Service, load),
 	}, true
 }
 
-// queued estimates the prompt tokens that a replica has yet to compute: what
-// waits there whole, and half of what it is at, in prompts of the mean length.
-func (s *Sharer) queued(service string, load zinniamast.LoadReport) int {
+// queuedTokens estimates the prompt tokens that a replica has yet to compute, in
+// prompts of the mean length: the waiting prompts whole, and half of those in
+// prefill.
+func (s *Sharer) queuedTokens(service string, load zinniamast.LoadReport) int {
 	prompts := float64(load.Waiting) + float64(load.Prefilling)/2
 	return int(prompts * s.config.Demand.MeanPrompt(service))
 }
--- a/reports/reports_test.go
+++ b/reports/reports_test.go
@@ -18,21 +18,21 @@
 	"zinniamast/reports"
 )
 
-// replicas answers for all replicas and counts the questions.
+// replicas is a Source for all replicas that counts the readings of each.
 type replicas struct {
-	mu      sync.Mutex
-	running int
-	asked   map[string]int
-	silent  bool
+	mu           sync.Mutex
+	running      int
+	readings     map[string]int
+	unresponsive bool
 }
 
 func (r *replicas) Load(ctx context.Context, u *blackboard.Upstream) (zinniamast.LoadReport, error) {
 	r.mu.Lock()
-	silent := r.silent
-	r.asked[u.Instance.ID]++
+	unresponsive := r.unresponsive
+	r.readings[u.Instance.ID]++
 	running := r.running
 	r.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return zinniamast.LoadReport{}, ctx.Err()
 	}
@@ -43,36 +43,36 @@
 	}, nil
 }
 
-func (r *replicas) set(running int) {
+func (r *replicas) setRunning(running int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running = running
 }
 
-// node is one node of a small deployment.
+// node is a node of a small deployment.
 type node struct {
 	domain string
 	demand *demand.Demand
 	sharer *reports.Sharer
 	dead   atomic.Bool
 
-	mu    sync.Mutex
-	heard map[string]zinniamast.LoadReport
+	mu       sync.Mutex
+	received map[string]zinniamast.LoadReport
 }
 
-func (n *node) hear(replica string, report zinniamast.LoadReport) {
+func (n *node) receive(replica string, report zinniamast.LoadReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard[replica] = report
+	n.received[replica] = report
 }
 
-func (n *node) knows(replica string) zinniamast.LoadReport {
+func (n *node) latest(replica string) zinniamast.LoadReport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.heard[replica]
+	return n.received[replica]
 }
 
-// deployment is some nodes in two failure domains, with a replica in each.
+// deployment is a number of nodes in two failure domains, with a replica in each.
 type deployment struct {
 	nodes    []*node
 	replicas *replicas
@@ -89,8 +89,8 @@
 	return n.sharer.Tell(ctx, ask), nil
 }
 
-// first returns the first living node of a failure domain.
-func (d *deployment) first(domain string) *node {
+// firstAlive returns the first living node of a failure domain.
+func (d *deployment) firstAlive(domain string) *node {
 	for _, n := range d.nodes {
 		if n.domain == domain && !n.dead.Load() {
 			return n
@@ -99,21 +99,21 @@
 	return nil
 }
 
-// play runs a test on a deployment in virtual time.
-func play(t *testing.T, each int, test func(check *is.I, d *deployment)) {
+// runDeployment runs a test on a deployment in virtual time.
+func runDeployment(t *testing.T, perDomain int, test func(check *is.I, d *deployment)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		test(is.New(t), newDeployment(ctx, each))
+		test(is.New(t), newDeployment(ctx, perDomain))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func newDeployment(ctx context.Context, each int) *deployment {
+func newDeployment(ctx context.Context, perDomain int) *deployment {
 	d := &deployment{
 		replicas: &replicas{
-			asked: map[string]int{},
+			readings: map[string]int{},
 		},
 	}
 	board := blackboard.New()
@@ -127,11 +127,11 @@
 			},
 		})
 	}
-	for i := range 2 * each {
+	for i := range 2 * perDomain {
 		n := &node{
-			domain: domains[i%2],
-			demand: demand.New(domains[i%2]),
-			heard:  map[string]zinniamast.LoadReport{},
+			domain:   domains[i%2],
+			demand:   demand.New(domains[i%2]),
+			received: map[string]zinniamast.LoadReport{},
 		}
 		n.sharer = reports.New(reports.Config{
 			Node:           strconv.Itoa(i),
@@ -140,20 +140,20 @@
 			Upstreams:      board.Upstreams,
 			Source:         d.replicas,
 			Reader: func() reports.Peer {
-				if reader := d.first(n.domain); reader != nil && reader != n {
+				if reader := d.firstAlive(n.domain); reader != nil && reader != n {
 					return reader
 				}
 				return nil
 			},
 			Contact: func(domain string) reports.Peer {
-				if contact := d.first(domain); contact != nil {
+				if contact := d.firstAlive(domain); contact != nil {
 					return contact
 				}
 				return nil
 			},
 			Plain:  func(string) bool { return false },
 			Demand: n.demand,
-			Hear:   n.hear,
+			Hear:   n.receive,
 		})
 		d.nodes = append(d.nodes, n)
 	}
@@ -163,18 +163,18 @@
 	return d
 }
 
-// Callers wait at full replicas while others are idle, since no node knows what
-// the others have sent there. Each replica is asked by one node only, and
-// within half a second every node of both failure domains knows.
-func TestEveryNodeKnowsAndOneAsks(t *testing.T) {
-	play(t, 4, func(check *is.I, d *deployment) {
+// Requests wait at full replicas while others are idle if no node knows what the
+// others have sent there. Each replica is read by one node only, and every node
+// of both failure domains has the report within half a second.
+func TestEveryNodeReceivesReportsReadByOne(t *testing.T) {
+	runDeployment(t, 4, func(check *is.I, d *deployment) {
 		d.nodes[2].demand.Entered("models", 1000)
 		time.Sleep(3 * time.Second)
-		d.replicas.set(7)
+		d.replicas.setRunning(7)
 		time.Sleep(500 * time.Millisecond)
 		for _, n := range d.nodes {
 			for _, replica := range []string{"replica-burnaby-a", "replica-surrey-b"} {
-				report := n.knows(replica)
+				report := n.latest(replica)
 				check.Equal(report.Running, 7)
 				check.True(report.QueuedTokens > 2400 && report.QueuedTokens < 2600) // two and a half prompts
 				check.True(time.Since(report.At) < 600*time.Millisecond)
@@ -182,15 +182,15 @@
 		}
 		d.replicas.mu.Lock()
 		defer d.replicas.mu.Unlock()
-		check.True(d.replicas.asked["replica-burnaby-a"] <= 13) // 3.5 s at one each 0.3 s
+		check.True(d.replicas.readings["replica-burnaby-a"] <= 13) // 3.5 s at one each 0.3 s
 	})
 }
 
-// A burst comes to all nodes; the node that orders replicas, whichever it is,
-// hears of the whole of it within a second. While it heard of its own failure
-// domain alone, a quarter of the replicas needed were ordered.
-func TestEveryNodeKnowsTheWholeDemand(t *testing.T) {
-	play(t, 3, func(check *is.I, d *deployment) {
+// Any node may be the one that orders replicas, so each must know the load of all
+// nodes within a second of a burst. With the load of its own failure domain
+// alone, it orders a quarter of the replicas needed.
+func TestEveryNodeReceivesTheTotalDemand(t *testing.T) {
+	runDeployment(t, 3, func(check *is.I, d *deployment) {
 		for second := range 10 {
 			for _, n := range d.nodes {
 				for range 20 {
@@ -205,50 +205,50 @@
 			time.Sleep(time.Second)
 		}
 		for _, n := range d.nodes {
-			load := n.demand.Of("models")
+			load := n.demand.Total("models")
 			check.True(load.Running > 110 && load.Running < 125) // six nodes with 20 each
 			check.True(load.Arrivals > 90 && load.Arrivals < 150)
 		}
-		// One failure domain's readers and all its nodes fall silent.
+		// All nodes of one failure domain, its reader included, stop answering.
 		for _, n := range d.nodes {
 			n.dead.Store(n.domain == "surrey-b")
 		}
 		time.Sleep(4 * time.Second)
-		check.True(d.nodes[0].demand.Of("models").Running < 65)
+		check.True(d.nodes[0].demand.Total("models").Running < 65)
 	})
 }
 
-// The reader of a failure domain is killed: the others go on choosing replicas
-// by what it said last. The next node reads within two seconds, and nobody
-// takes an older report for a newer one.
-func TestReaderDies(t *testing.T) {
-	play(t, 3, func(check *is.I, d *deployment) {
+// When the reader of a failure domain dies, the other nodes go on choosing
+// replicas by its last reports. The next node must read within two seconds, and
+// no older report may replace a newer one.
+func TestDeadReaderIsReplaced(t *testing.T) {
+	runDeployment(t, 3, func(check *is.I, d *deployment) {
 		time.Sleep(2 * time.Second)
 		d.nodes[0].dead.Store(true)
-		d.replicas.set(9)
+		d.replicas.setRunning(9)
 		time.Sleep(2 * time.Second)
 		for _, n := range d.nodes[1:] {
-			check.Equal(n.knows("replica-burnaby-a").Running, 9)
+			check.Equal(n.latest("replica-burnaby-a").Running, 9)
 		}
 	})
 }
 
-// Replicas go silent: questions end by their timeout, and what was known is not
-// told as if it were new.
-func TestSilentReplicasTellNothingNew(t *testing.T) {
-	play(t, 2, func(check *is.I, d *deployment) {
+// When replicas stop answering, readings end by their timeout, and known reports
+// must not be sent on as if they were new.
+func TestUnresponsiveReplicasYieldNoNewReport(t *testing.T) {
+	runDeployment(t, 2, func(check *is.I, d *deployment) {
 		time.Sleep(2 * time.Second)
 		d.replicas.mu.Lock()
-		d.replicas.silent = true
+		d.replicas.unresponsive = true
 		d.replicas.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for _, n := range d.nodes {
-			check.True(time.Since(n.knows("replica-surrey-b").At) > 3*time.Second)
+			check.True(time.Since(n.latest("replica-surrey-b").At) > 3*time.Second)
 		}
 	})
 }
 
-// A report that comes late through another node undoes nothing newer.
+// A report that arrives late through another node must not replace a newer one.
 func TestOlderReportIsDropped(t *testing.T) {
 	check := is.New(t)
 	board := reports.NewBoard()
@@ -261,7 +261,7 @@
 		Running: 1,
 		Age:     time.Second,
 	}})), 0)
-	told := board.Since(t.Context(), "", 0, 0)
-	check.Equal(told.Reports[0].Running, 5)
-	check.Equal(len(board.Since(t.Context(), "", told.Position, 0).Reports), 0)
+	answer := board.Since(t.Context(), "", 0, 0)
+	check.Equal(answer.Reports[0].Running, 5)
+	check.Equal(len(board.Since(t.Context(), "", answer.Position, 0).Reports), 0)
 }
--- a/reports/share.go
+++ b/reports/share.go
@@ -11,66 +11,66 @@
 	"zinniamast/demand"
 )
 
-// Source reads one replica's report.
+// Source reads the load report of a replica.
 type Source interface {
 	Load(ctx context.Context, upstream *blackboard.Upstream) (zinniamast.LoadReport, error)
 }
 
-// Ask is a node's question to another.
+// Ask is a query for the reports of another node.
 type Ask struct {
 	// FailureDomain restricts the answer to its replicas; empty means all.
 	FailureDomain string
 	Position      uint64
 	Wait          time.Duration
-	// Node asks, and Loads are what it is asked itself; empty where it is of
-	// another failure domain.
+	// Node is the querying node, and Loads its own load; both are empty if it belongs
+	// to another failure domain.
 	Node  string
 	Loads demand.Loads
 }
 
-// Peer is another node's board.
+// Peer fetches reports from another node.
 type Peer interface {
 	TellReports(ctx context.Context, ask Ask) (Told, error)
 }
 
-// Config says who reads and who hears.
+// Config configures a Sharer.
 type Config struct {
 	// Node is this instance's name.
 	Node string
-	// FailureDomain is this node's, and FailureDomains are all.
+	// FailureDomain is this node's failure domain; FailureDomains lists all.
 	FailureDomain  string
 	FailureDomains []string
 	Upstreams      *blackboard.Upstreams
 	Source         Source
-	// Reader returns the node that reads this failure domain's replicas; nil
-	// means that this node does.
+	// Reader returns the node that reads this failure domain's replicas; nil means
+	// this node.
 	Reader func() Peer
 	// Contact returns a node of another failure domain, or nil if none is known.
 	Contact func(failureDomain string) Peer
-	// Plain says whether a service's replicas tell no load.
+	// Plain reports whether a service's replicas send no load reports.
 	Plain func(service string) bool
-	// Demand is what the nodes are asked, which travels with the reports.
+	// Demand is the load of the services, sent together with the reports.
 	Demand *demand.Demand
-	// Hear takes in each new report.
+	// Hear receives each new report.
 	Hear func(replica string, report zinniamast.LoadReport)
-	// Logger hears of readers that do not answer; nil means slog's default.
+	// Logger logs replicas and nodes that do not answer; nil means slog.Default.
 	Logger *slog.Logger
 }
 
-// Sharer reads reports or hears them from others.
+// Sharer reads reports from replicas or fetches them from other nodes.
 //
-// Load: 91 nodes send 570 prompts a second to 60 replicas. Each alone knows of
-// its own six a second, and what nodes told each other of theirs was four
-// seconds old at that size, longer than a request runs; prompts met full
-// replicas beside idle ones. A reading of each replica each 0.3 s, by one node
-// of its failure domain, costs 3 questions a second and replica whatever the
+// When 91 nodes send 570 prompts a second to 60 replicas, each node knows only
+// its own six a second. Load that nodes send each other is four seconds old at
+// that size, longer than a request runs, so prompts go to full replicas while
+// others are idle. Instead, one node of each failure domain reads each of its
+// replicas every 0.3 s, which costs 3 readings a second per replica whatever the
 // number of nodes.
 type Sharer struct {
 	config Config
 	board  *Board
 }
 
-// New returns a sharer that knows nothing; Run starts it.
+// New returns a sharer without any reports; Run starts it.
 func New(config Config) *Sharer {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
@@ -81,52 +81,54 @@
 	}
 }
 
-// Tell answers another node.
+// Tell answers the query of another node.
 func (s *Sharer) Tell(ctx context.Context, ask Ask) Told {
 	if ask.Node != "" {
-		s.config.Demand.HearNode(ask.Node, ask.Loads)
+		s.config.Demand.ReceiveNode(ask.Node, ask.Loads)
 	}
-	told := s.board.Since(ctx, ask.FailureDomain, ask.Position, min(ask.Wait, longestWait))
-	told.Demand = s.config.Demand.Domains(ask.FailureDomain)
-	return told
+	answer := s.board.Since(ctx, ask.FailureDomain, ask.Position, min(ask.Wait, maxQueryWait))
+	answer.Demand = s.config.Demand.Domains(ask.FailureDomain)
+	return answer
 }
 
 const (
-	// askWait is how long a node is asked to wait for a report; while replicas
-	// live there is one each readInterval.
-	askWait = time.Second
-	// longestWait bounds what others may ask for.
-	longestWait = 2 * time.Second
-	// askTimeout is when a node counts as silent.
-	askTimeout = 1300 * time.Millisecond
-	// againAfter is the pause after a question that failed.
-	againAfter = 500 * time.Millisecond
+	// queryWait is how long another node may wait for a report before it answers;
+	// while replicas live there is one every readInterval.
+	queryWait = time.Second
+	// maxQueryWait bounds the wait that other nodes may ask for.
+	maxQueryWait = 2 * time.Second
+	// queryTimeout is when an unanswered query has failed.
+	queryTimeout = 1300 * time.Millisecond
+	// retryDelay is the pause after a failed query, or while there is no node to
+	// query.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Run reads and asks until ctx ends.
+// Run reads replicas and queries other nodes until ctx ends.
 func (s *Sharer) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { s.own(ctx) })
+	loops.Go(func() { s.shareOwnDomain(ctx) })
 	for _, domain := range s.config.FailureDomains {
 		if domain != s.config.FailureDomain {
-			loops.Go(func() { s.other(ctx, domain) })
+			loops.Go(func() { s.shareOtherDomain(ctx, domain) })
 		}
 	}
 	loops.Wait()
 }
 
-// own reads this failure domain's replicas, or hears of all from the node that does.
-func (s *Sharer) own(ctx context.Context) {
+// shareOwnDomain reads this failure domain's replicas, or fetches all reports
+// from the node that does.
+func (s *Sharer) shareOwnDomain(ctx context.Context) {
 	position := uint64(0)
 	for ctx.Err() == nil {
 		peer := s.config.Reader()
 		if peer == nil {
-			s.config.Demand.Sum()
+			s.config.Demand.SumDomain()
 			s.readAll(ctx)
 			pause(ctx, readInterval)
 			continue
 		}
-		position = s.ask(ctx, peer, Ask{
+		position = s.query(ctx, peer, Ask{
 			Position: position,
 			Node:     s.config.Node,
 			Loads:    s.config.Demand.Own(),
@@ -134,8 +136,9 @@
 	}
 }
 
-// other hears another failure domain's reports for this one, if this node reads.
-func (s *Sharer) other(ctx context.Context, domain string) {
+// shareOtherDomain fetches another failure domain's reports if this node is the
+// reader of its own.
+func (s *Sharer) shareOtherDomain(ctx context.Context, domain string) {
 	position := uint64(0)
 	for ctx.Err() == nil {
 		var peer Peer
@@ -143,37 +146,38 @@
 			peer = s.config.Contact(domain)
 		}
 		if peer == nil {
-			pause(ctx, againAfter)
+			pause(ctx, retryDelay)
 			continue
 		}
-		position = s.ask(ctx, peer, Ask{
+		position = s.query(ctx, peer, Ask{
 			FailureDomain: domain,
 			Position:      position,
 		})
 	}
 }
 
-// ask takes in what a peer tells and returns where to go on. A position that
-// another peer gave is harmless: it gets too much or, once, nothing new.
-func (s *Sharer) ask(ctx context.Context, peer Peer, ask Ask) uint64 {
-	asked, cancel := context.WithTimeout(ctx, askTimeout)
+// query stores the answer of a peer and returns the position to continue from. A
+// position that another peer gave is harmless: the answer holds too much or,
+// once, nothing new.
+func (s *Sharer) query(ctx context.Context, peer Peer, ask Ask) uint64 {
+	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	ask.Wait = askWait
-	told, err := peer.TellReports(asked, ask)
+	ask.Wait = queryWait
+	answer, err := peer.TellReports(queryCtx, ask)
 	if err != nil {
-		s.config.Logger.Debug("no reports told", "failure_domain", ask.FailureDomain, "cause", err)
-		pause(ctx, againAfter)
+		s.config.Logger.Debug("fetching load reports from another node failed", "failure_domain", ask.FailureDomain, "cause", err)
+		pause(ctx, retryDelay)
 		return 0
 	}
-	s.take(told.Reports)
-	for domain, demand := range told.Demand {
-		s.config.Demand.HearDomain(domain, demand)
+	s.apply(answer.Reports)
+	for domain, load := range answer.Demand {
+		s.config.Demand.ReceiveDomain(domain, load)
 	}
-	return told.Position
+	return answer.Position
 }
 
-// take puts reports on the board and passes new ones on.
-func (s *Sharer) take(reports []Report) {
+// apply stores reports on the board and passes the new ones to Hear.
+func (s *Sharer) apply(reports []Report) {
 	now := time.Now()
 	for _, r := range s.board.Put(reports) {
 		s.config.Hear(r.Replica, zinniamast.LoadReport{
--- a/scaling/controller.go
+++ b/scaling/controller.go
@@ -16,47 +16,51 @@
 )
 
 const (
-	// interval is how often the holder looks.
-	interval = 500 * time.Millisecond
-	// sendTime is what the lease must still last for one order.
-	sendTime = time.Second
-	// refusedFor is how long a place where none was to be had is left alone.
-	refusedFor = 4 * time.Second
-	// plansAtOnce is how often a plan is made anew at once where some of it was
-	// refused: a failure domain's replicas leave within seconds of their notice,
-	// and the next place should not wait for the next look.
-	plansAtOnce = 3
-	// repeatAfter is when an order is sent again that is not fulfilled.
-	repeatAfter = 6 * time.Second
-	// settleFor is how long a process that has just started orders no replicas on
-	// demand, and none fewer.
-	//
-	// Failure: replicas enter themselves in the list within a second or two. The
-	// least number, ordered before they were seen, took the others away.
-	settleFor = 2 * time.Second
-	// growsFor is how long a list that has grown may still grow.
-	growsFor = time.Second
-	// unknownStart stands for a service that does not say how long its replicas
-	// take to start.
-	unknownStart = 4 * time.Second
+	// planInterval is the time between two rounds of planning.
+	planInterval = 500 * time.Millisecond
+	// orderTimeout bounds one order; the lease must remain valid for at least as
+	// long.
+	orderTimeout = time.Second
+	// refusalBackoff is how long no more replicas are ordered in a place that refused
+	// an order.
+	refusalBackoff = 4 * time.Second
+	// maxPlansPerRound bounds the plans made for a service in one round. If a part of
+	// a plan is refused, another plan follows at once: a failure domain's replicas
+	// leave within seconds of their notice, so ordering elsewhere must not wait for
+	// the next round.
+	maxPlansPerRound = 3
+	// repeatOrderAfter is the delay before an unfulfilled order is sent again.
+	repeatOrderAfter = 6 * time.Second
+	// startupDelay is the time after the start of the process in which it neither
+	// orders on-demand replicas nor reduces the number of any. Replicas register
+	// within a second or two; an order for the minimum number, sent before they are
+	// listed, would stop the others.
+	startupDelay = 2 * time.Second
+	// listQuietTime is how long the list of replicas must not have grown to count as
+	// complete.
+	listQuietTime = time.Second
+	// defaultBootTime applies to a service whose configuration does not state how
+	// long its replicas take to start.
+	defaultBootTime = 4 * time.Second
 )
 
-// Lease is the right to order.
+// Lease grants the right to order replicas.
 type Lease interface {
-	// Check returns the fencing number if this node may act for at least need.
+	// Check returns the fencing number if this node holds the lease for at least
+	// need.
 	Check(need time.Duration) (uint64, error)
 }
 
-// Config says what a controller works with.
+// Config configures a Controller.
 type Config struct {
 	Routes    *routes.Table
 	Upstreams *blackboard.Upstreams
 	Demand    *demand.Demand
 	Lease     Lease
 	Duties    zinniamast.Duties
-	// FailureDomains are all there are.
+	// FailureDomains lists all failure domains.
 	FailureDomains []string
-	// Logger hears of orders; nil means slog's default.
+	// Logger logs the orders; nil means slog.Default.
 	Logger *slog.Logger
 }
 
@@ -64,13 +68,14 @@
 type Controller struct {
 	config Config
 	fence  uint64
-	// began is when the process started.
-	began time.Time
-	// orders are what this holder ordered last.
+	// startedAt is when the process started.
+	startedAt time.Time
+	// orders holds the last order for each service and place since this node took the
+	// lease.
 	orders map[orderKey]order
-	// refused holds until when a place is left alone.
+	// refused holds the time until which no more replicas are ordered in a place.
 	refused  map[orderKey]time.Time
-	services map[string]*service
+	trackers map[string]*tracker
 }
 
 type orderKey struct {
@@ -81,8 +86,8 @@
 type order struct {
 	count int
 	at    time.Time
-	// seen is the most that were there since.
-	seen int
+	// maxPresent is the highest number of replicas present since the order.
+	maxPresent int
 }
 
 // New returns a controller; Run starts it.
@@ -91,31 +96,33 @@
 		config.Logger = slog.Default()
 	}
 	return &Controller{
-		config:   config,
-		began:    time.Now(),
-		orders:   map[orderKey]order{},
-		refused:  map[orderKey]time.Time{},
-		services: map[string]*service{},
+		config:    config,
+		startedAt: time.Now(),
+		orders:    map[orderKey]order{},
+		refused:   map[orderKey]time.Time{},
+		trackers:  map[string]*tracker{},
 	}
 }
 
-// Run orders until ctx ends.
+// Run plans and orders replicas until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			c.look(ctx)
+			c.reconcile(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look compares the plan with what was ordered.
-func (c *Controller) look(ctx context.Context) {
-	fence, err := c.config.Lease.Check(sendTime)
+// reconcile plans each scaled service and orders what differs from the last
+// orders. It does nothing without the lease; under a new lease it starts from an
+// empty state.
+func (c *Controller) reconcile(ctx context.Context) {
+	fence, err := c.config.Lease.Check(orderTimeout)
 	table := c.config.Routes.Current()
 	if err != nil || table == nil {
 		return
@@ -124,22 +131,22 @@
 		c.fence = fence
 		clear(c.orders)
 		clear(c.refused)
-		clear(c.services)
+		clear(c.trackers)
 	}
 	for name, service := range table.Services {
 		if service.Scaling == nil {
 			continue
 		}
-		for range plansAtOnce {
-			if !c.orderAll(ctx, name, c.state(service)) {
+		for range maxPlansPerRound {
+			if !c.applyPlan(ctx, name, c.state(service)) {
 				break
 			}
 		}
 	}
 }
 
-// orderAll orders what is planned and says whether some of it was refused.
-func (c *Controller) orderAll(ctx context.Context, service string, s State) bool {
+// applyPlan sends the orders of a plan and reports whether any was refused.
+func (c *Controller) applyPlan(ctx context.Context, service string, s State) bool {
 	refused := false
 	for place, count := range Plan(s) {
 		if c.order(ctx, service, place, count, s) {
@@ -149,151 +156,157 @@
 	return refused
 }
 
-// service is what this holder knows of a service since it holds the lease.
-type service struct {
-	needs Needs
-	// found is what was there at first; nil before the first look.
-	found *found
-	// bought are this holder's orders on demand.
-	bought []bought
-	// known says that the work of enough requests was known to size the demand.
-	known bool
-	// dry says that reclaimable replicas were refused when last asked for.
-	dry bool
+// tracker holds what this node has observed and ordered for a service since it
+// took the lease.
+type tracker struct {
+	needs NeedHistory
+	// initial describes the replicas present at first; nil before the first round.
+	initial *initialReplicas
+	// purchases are the on-demand orders of this node.
+	purchases []purchase
+	// isDemandKnown reports whether the work of enough requests has been known to
+	// size the demand.
+	isDemandKnown bool
+	// reclaimableUnavailable reports whether the last order for more reclaimable
+	// replicas was refused.
+	reclaimableUnavailable bool
 }
 
-// found are the replicas that a new holder found. The list of them comes in
-// parts; reclaimable ones that come later may be its own orders.
-type found struct {
+// initialReplicas counts the replicas that a new lease holder finds. The list of
+// replicas arrives in parts; reclaimable ones that are listed later may be the
+// result of its own orders, so they are counted once only.
+type initialReplicas struct {
 	reclaimable int
 	onDemand    int
-	// grew says that the last look showed more than the one before, and partial
-	// that two looks in a row did once orders had begun: the list was not whole.
-	grew    bool
-	partial bool
-	// grewAt is when a look last showed more.
-	grewAt time.Time
+	// hasGrown reports whether the last round listed more replicas than the one
+	// before. isPartial reports whether two rounds in a row did so once orders were
+	// possible, which shows that the list was incomplete.
+	hasGrown  bool
+	isPartial bool
+	// lastGrowth is when a round last listed more replicas.
+	lastGrowth time.Time
 }
 
-// see takes in the replicas on demand that a look shows and this holder did not
-// order; ordering says that orders for them may go out.
-func (f *found) see(onDemand int, ordering bool, now time.Time) {
-	grows := onDemand > f.onDemand
+// observe records the listed on-demand replicas that this node did not order.
+// canOrder reports whether orders for them are possible yet.
+func (r *initialReplicas) observe(onDemand int, canOrder bool, now time.Time) {
+	grows := onDemand > r.onDemand
 	if grows {
-		f.grewAt = now
+		r.lastGrowth = now
 	}
-	f.partial = f.partial || ordering && grows && f.grew
-	f.grew = grows
-	f.onDemand = max(f.onDemand, onDemand)
+	r.isPartial = r.isPartial || canOrder && grows && r.hasGrown
+	r.hasGrown = grows
+	r.onDemand = max(r.onDemand, onDemand)
 }
 
-// bought is a number of replicas on demand that this holder ordered at a time.
-type bought struct {
+// purchase is a number of on-demand replicas ordered at one time.
+type purchase struct {
 	count int
 	at    time.Time
 }
 
-// buy notes an order on demand for so many more replicas.
-func (s *service) buy(count int, now time.Time) {
+// recordPurchase records an order for count more on-demand replicas.
+func (t *tracker) recordPurchase(count int, now time.Time) {
 	if count > 0 {
-		s.bought = append(s.bought, bought{
+		t.purchases = append(t.purchases, purchase{
 			count: count,
 			at:    now,
 		})
 	}
 }
 
-// own is how many of the replicas on demand may be this holder's own orders: one
-// that is there within half of the usual time to start was on its way before.
+// ownReplicas returns how many of the on-demand replicas may come from this
+// node's own orders. A replica that is present within half of the usual boot time
+// was started before.
 //
-// Failure: the market is dry and nobody knows the demand. Replicas ordered on
-// demand in place of reclaimed ones were taken for found ones, and as many again
-// were ordered, up to the most.
-func (s *service) own(now time.Time) int {
+// If the demand is unknown and no reclaimable replicas are available, on-demand
+// replicas ordered in place of reclaimed ones must not count as initial ones:
+// otherwise as many again would be ordered, up to the maximum.
+func (t *tracker) ownReplicas(now time.Time) int {
 	sum := 0
-	for _, b := range s.bought {
-		if now.Sub(b.at) >= s.needs.Start/2 {
-			sum += b.count
+	for _, p := range t.purchases {
+		if now.Sub(p.at) >= t.needs.BootTime/2 {
+			sum += p.count
 		}
 	}
 	return sum
 }
 
-// listed says whether the list of replicas seems whole, or callers have told what
-// they need.
+// isListComplete reports whether the list of replicas seems complete or the
+// demand is known.
 //
-// Failure: the list begins a moment after orders may go out. An order for the
-// replicas on demand that are seen takes the others away.
-func (s *service) listed(now time.Time) bool {
-	return s.known || s.found == nil || now.Sub(s.found.grewAt) >= growsFor
+// The list may begin to arrive just after orders become possible. An order for
+// only the on-demand replicas listed so far would stop the others.
+func (t *tracker) isListComplete(now time.Time) bool {
+	return t.isDemandKnown || t.initial == nil || now.Sub(t.initial.lastGrowth) >= listQuietTime
 }
 
-// serviceOf returns what is known of a service.
-func (c *Controller) serviceOf(of routes.Service) *service {
-	known, ok := c.services[of.Name]
+// trackerOf returns the tracker of a service and creates it if there is none.
+func (c *Controller) trackerOf(service routes.Service) *tracker {
+	t, ok := c.trackers[service.Name]
 	if !ok {
-		known = &service{
-			needs: Needs{
-				Start: cmp.Or(of.Scaling.BootTime, unknownStart),
+		t = &tracker{
+			needs: NeedHistory{
+				BootTime: cmp.Or(service.Scaling.BootTime, defaultBootTime),
 			},
 		}
-		c.services[of.Name] = known
+		c.trackers[service.Name] = t
 	}
-	return known
+	return t
 }
 
-// add takes in what a service needs now. Until the demand is known, as many
-// replicas as were found are wanted: it is what the operator, or the holder
-// before, thought right. Beyond those, dear ones are not bought before callers
-// come. Ordering says that orders on demand may go out.
-func (s *service) add(state State, ordering bool, now time.Time) {
-	s.known = s.known || sizedPart(state.Load) >= knownPart
-	if !s.known {
-		s.see(state, ordering, now)
-		needed := 0
+// recordNeed records how many replicas a service needs now. Until the demand is
+// known, the initial number is desired, since the operator or the previous lease
+// holder chose it. Beyond those, no on-demand replicas are bought before requests
+// arrive. canOrder reports whether on-demand orders are possible yet.
+func (t *tracker) recordNeed(state State, canOrder bool, now time.Time) {
+	t.isDemandKnown = t.isDemandKnown || sizedFraction(state.Load) >= minSizedFraction
+	if !t.isDemandKnown {
+		t.observe(state, canOrder, now)
+		required := 0
 		if state.Load.Arrivals > 0 {
-			needed = withoutSpareDomain(s.before(state), len(state.Domains))
+			required = withoutSpareDomain(t.initialCount(state), len(state.Domains))
 		}
-		s.needs.Add(needed, withSpareDomain(s.before(state), len(state.Domains)), now)
+		t.needs.Add(required, withSpareDomain(t.initialCount(state), len(state.Domains)), now)
 	}
-	s.needs.Add(least(state), wanted(state), now)
+	t.needs.Add(requiredReplicas(state), desiredReplicas(state), now)
 }
 
-// see takes in what a look shows while the demand is not known.
-func (s *service) see(state State, ordering bool, now time.Time) {
-	if s.found == nil {
-		s.found = &found{
-			reclaimable: presentIn(state, zinniamast.Reclaimable),
+// observe records the listed replicas while the demand is unknown.
+func (t *tracker) observe(state State, canOrder bool, now time.Time) {
+	if t.initial == nil {
+		t.initial = &initialReplicas{
+			reclaimable: presentCount(state, zinniamast.Reclaimable),
 		}
 	}
-	s.found.see(presentIn(state, zinniamast.OnDemand)-s.own(now), ordering, now)
+	t.initial.observe(presentCount(state, zinniamast.OnDemand)-t.ownReplicas(now), canOrder, now)
 }
 
-// before is how many replicas there were before this holder ordered any.
+// initialCount returns the number of replicas before this node ordered any.
 //
-// Failure: the list of a large fleet comes in parts, for seconds, and an order
-// for those that are seen takes the others away. Sized by the part that was seen,
-// a fifth of the fleet met the first callers. A list that is not whole says
-// little, and the middle of what may be ordered stands for it.
-func (s *service) before(state State) int {
-	seen := s.found.reclaimable + s.found.onDemand
-	if !s.found.partial {
-		return seen
+// The list of a large fleet arrives in parts over some seconds, and an order for
+// only those listed so far stops the others: a fleet sized by the first part
+// serves the first requests with a fifth of its replicas. If the list was
+// incomplete, the count is at least the midpoint of the configured limits.
+func (t *tracker) initialCount(state State) int {
+	listed := t.initial.reclaimable + t.initial.onDemand
+	if !t.initial.isPartial {
+		return listed
 	}
-	return max(seen, middle(state))
+	return max(listed, midpointOfLimits(state))
 }
 
-// kept is how many replicas stay until cheaper ones are there: before anybody
-// has asked, as many as there were.
-func (s *service) kept(state State) int {
-	if s.known {
+// retainedCount returns how many replicas stay until cheaper ones are present:
+// the initial number while the demand is unknown, and none afterwards.
+func (t *tracker) retainedCount(state State) int {
+	if t.isDemandKnown {
 		return 0
 	}
-	return s.before(state)
+	return t.initialCount(state)
 }
 
-// presentIn is how many replicas of a market are there.
-func presentIn(s State, market zinniamast.Market) int {
+// presentCount returns the number of present replicas of a market.
+func presentCount(s State, market zinniamast.Market) int {
 	sum := 0
 	for place, count := range s.Present {
 		if place.Market == market {
@@ -303,7 +316,7 @@
 	return sum
 }
 
-// domains are the failure domains in which a service runs or may run.
+// domains returns the failure domains in which a service runs or may run.
 func (c *Controller) domains(service routes.Service) []string {
 	if len(service.Scaling.Prices) == 0 {
 		return slices.Clone(c.config.FailureDomains)
@@ -311,11 +324,11 @@
 	return slices.Collect(maps.Keys(service.Scaling.Prices))
 }
 
-// state gathers what a plan is made from.
+// state collects the input of a plan.
 func (c *Controller) state(service routes.Service) State {
 	s := State{
 		Service: service,
-		Load:    c.config.Demand.Of(service.Name),
+		Load:    c.config.Demand.Total(service.Name),
 		Domains: c.domains(service),
 		Refused: map[Place]bool{},
 		Present: map[Place]int{},
@@ -336,12 +349,12 @@
 		}
 	}
 	now := time.Now()
-	known := c.serviceOf(service)
-	known.add(s, c.settled(now), now)
-	s.Least = known.needs.Least(now)
-	s.Needed = known.needs.Wanted(now)
-	s.Kept = known.kept(s)
-	s.Dry = known.dry
+	t := c.trackerOf(service)
+	t.recordNeed(s, c.isSettled(now), now)
+	s.Required = t.needs.Required(now)
+	s.Desired = t.needs.Desired(now)
+	s.Retained = t.retainedCount(s)
+	s.ReclaimableUnavailable = t.reclaimableUnavailable
 	for key, until := range c.refused {
 		if key.service == service.Name && now.Before(until) {
 			s.Refused[key.place] = true
@@ -350,36 +363,37 @@
 	return s
 }
 
-// settled says whether the process has been there long enough to order on demand,
-// and fewer of any.
-func (c *Controller) settled(now time.Time) bool { return now.Sub(c.began) >= settleFor }
+// isSettled reports whether startupDelay is over, so that on-demand replicas may
+// be ordered and the number of any replicas reduced.
+func (c *Controller) isSettled(now time.Time) bool { return now.Sub(c.startedAt) >= startupDelay }
 
-// order sends an order that differs from the last one, that was not fulfilled, or
-// of which some have gone again, and says whether it was refused.
+// order sends an order if it differs from the last one, if the last one was not
+// fulfilled, or if some of its replicas have left since. It reports whether the
+// order was refused.
 //
-// Failure: a failure domain is reclaimed seconds after replicas were ordered
-// there. Those that went were taken for some that still start, and nothing was
-// ordered in their place until the time for that was over.
+// A failure domain may be reclaimed seconds after replicas were ordered there.
+// The replicas that left must not count as still starting, or no replacement
+// would be ordered until repeatOrderAfter.
 func (c *Controller) order(ctx context.Context, service string, place Place, count int, s State) (refused bool) {
 	key := orderKey{
 		service: service,
 		place:   place,
 	}
 	now := time.Now()
-	settled := c.settled(now) && c.services[service].listed(now)
+	settled := c.isSettled(now) && c.trackers[service].isListComplete(now)
 	if !settled && (place.Market == zinniamast.OnDemand || count < s.Present[place]) {
 		return false
 	}
-	last, known := c.orders[key]
+	last, ok := c.orders[key]
 	present := s.Present[place]
-	if !known {
+	if !ok {
 		last = order{
 			count: present,
 		}
 	}
-	last.seen = max(last.seen, present)
-	waiting := present == last.seen && now.Sub(last.at) < repeatAfter
-	if count == last.count && (present >= count || waiting) {
+	last.maxPresent = max(last.maxPresent, present)
+	isPending := present == last.maxPresent && now.Sub(last.at) < repeatOrderAfter
+	if count == last.count && (present >= count || isPending) {
 		c.orders[key] = last
 		return false
 	}
@@ -390,12 +404,13 @@
 }
 
 func (c *Controller) send(ctx context.Context, key orderKey, count int, s State) (refused bool) {
-	fence, err := c.config.Lease.Check(sendTime)
+	fence, err := c.config.Lease.Check(orderTimeout)
 	if err != nil || fence != c.fence {
 		return false
 	}
-	// Once sent it is waited for, also by a node that stops: the lease is released after it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTime)
+	// An order that was sent is awaited even while the node stops, since the lease is
+	// released afterwards.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
 	err = c.config.Duties.Scale(ctx, fence, zinniamast.ScaleOrder{
 		Service:       key.service,
@@ -405,21 +420,21 @@
 	})
 	c.config.Logger.Info("replicas ordered", "service", key.service, "failure_domain", key.place.FailureDomain,
 		"market", key.place.Market, "count", count, "present", s.Present[key.place], "running", s.Load.Running,
-		"prompt_tokens_a_second", s.Load.Prompt, "work", s.Load.Work, "least", s.Least, "wanted", s.Needed, "fence", fence, "cause", err)
+		"prompt_tokens_a_second", s.Load.Prompt, "work", s.Load.Work, "least", s.Required, "wanted", s.Desired, "fence", fence, "cause", err)
 	if count > s.Present[key.place] && key.place.Market == zinniamast.Reclaimable {
-		c.services[key.service].dry = errors.Is(err, zinniamast.ErrRefused)
+		c.trackers[key.service].reclaimableUnavailable = errors.Is(err, zinniamast.ErrRefused)
 	}
 	switch {
 	case err == nil:
 		if key.place.Market == zinniamast.OnDemand {
-			c.services[key.service].buy(count-max(s.Present[key.place], c.orders[key].count), time.Now())
+			c.trackers[key.service].recordPurchase(count-max(s.Present[key.place], c.orders[key].count), time.Now())
 		}
 		c.orders[key] = order{
 			count: count,
 			at:    time.Now(),
 		}
 	case errors.Is(err, zinniamast.ErrRefused):
-		c.refused[key] = time.Now().Add(refusedFor)
+		c.refused[key] = time.Now().Add(refusalBackoff)
 	}
 	return errors.Is(err, zinniamast.ErrRefused)
 }
--- a/scaling/demand_test.go
+++ b/scaling/demand_test.go
@@ -19,15 +19,16 @@
 	"zinniamast/scaling"
 )
 
-// market stands for the platform's: it hears orders and starts or stops replicas.
+// market simulates the platform's market: it receives orders and starts or stops
+// replicas.
 type market struct {
 	board *blackboard.Board
 
 	mu sync.Mutex
-	// dry refuses reclaimable replicas.
-	dry     bool
-	orders  []zinniamast.ScaleOrder
-	started int
+	// reclaimableUnavailable makes it refuse orders for reclaimable replicas.
+	reclaimableUnavailable bool
+	orders                 []zinniamast.ScaleOrder
+	started                int
 }
 
 func (m *market) Report(context.Context, uint64, zinniamast.UsageReport) error { return nil }
@@ -35,7 +36,7 @@
 func (m *market) Scale(_ context.Context, _ uint64, order zinniamast.ScaleOrder) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dry && order.Market == zinniamast.Reclaimable {
+	if m.reclaimableUnavailable && order.Market == zinniamast.Reclaimable {
 		return zinniamast.ErrRefused
 	}
 	m.orders = append(m.orders, order)
@@ -45,16 +46,16 @@
 
 // fulfil starts or stops replicas at once.
 func (m *market) fulfil(order zinniamast.ScaleOrder) {
-	var there []string
+	var present []string
 	for _, u := range m.board.Upstreams.Of(order.Service) {
 		if u.Instance.FailureDomain == order.FailureDomain && u.Instance.Market == order.Market {
-			there = append(there, u.Instance.ID)
+			present = append(present, u.Instance.ID)
 		}
 	}
-	for ; len(there) > order.Count; there = there[1:] {
-		m.board.Upstreams.Remove(there[0])
+	for ; len(present) > order.Count; present = present[1:] {
+		m.board.Upstreams.Remove(present[0])
 	}
-	for more := len(there); more < order.Count; more++ {
+	for more := len(present); more < order.Count; more++ {
 		m.started++
 		m.board.Upstreams.Add(&blackboard.Upstream{
 			Instance: zinniamast.Instance{
@@ -67,8 +68,8 @@
 	}
 }
 
-// ordered is how many orders there were of a market.
-func (m *market) ordered(of zinniamast.Market) int {
+// orderCount returns the number of orders for a market.
+func (m *market) orderCount(of zinniamast.Market) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := 0
@@ -80,11 +81,12 @@
 	return count
 }
 
-// reclaim takes failure domains' reclaimable replicas and gives no others.
+// reclaim stops the reclaimable replicas of failure domains and makes the market
+// refuse others.
 func (m *market) reclaim(failureDomains ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dry = true
+	m.reclaimableUnavailable = true
 	for _, u := range m.board.Upstreams.Of("svc") {
 		if slices.Contains(failureDomains, u.Instance.FailureDomain) && u.Instance.Market == zinniamast.Reclaimable {
 			m.board.Upstreams.Remove(u.Instance.ID)
@@ -92,8 +94,9 @@
 	}
 }
 
-// wanted is what was ordered last of a market, all failure domains together.
-func (m *market) wanted(of zinniamast.Market) int {
+// lastOrdered returns how many replicas of a market were ordered last, over all
+// failure domains.
+func (m *market) lastOrdered(of zinniamast.Market) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := map[string]int{}
@@ -109,13 +112,13 @@
 	return sum
 }
 
-// holder always holds the lease.
-type holder struct{}
+// leaseHolder is a Lease that is always held.
+type leaseHolder struct{}
 
-func (holder) Check(time.Duration) (uint64, error) { return 1, nil }
+func (leaseHolder) Check(time.Duration) (uint64, error) { return 1, nil }
 
-// found enters on-demand replicas as the operator had put them there.
-func found(board *blackboard.Board, count int) {
+// addOnDemand lists on-demand replicas that the controller did not order.
+func addOnDemand(board *blackboard.Board, count int) {
 	for i := range count {
 		board.Upstreams.Add(&blackboard.Upstream{
 			Instance: zinniamast.Instance{
@@ -128,18 +131,20 @@
 	}
 }
 
-// bed is a controller before a market, in virtual time.
-type bed struct {
+// fixture is what a controller under test orders from and measures, in virtual
+// time.
+type fixture struct {
 	market *market
 	demand *demand.Demand
 }
 
-// run runs a controller that has just started and knows no replica yet.
-func run(t *testing.T, slots int, f func(b *bed)) {
+// runController runs a test beside a controller that has just started and knows
+// no replica yet.
+func runController(t *testing.T, slots int, test func(fx *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		board := blackboard.New()
-		b := &bed{
+		fx := &fixture{
 			market: &market{
 				board: board,
 			},
@@ -160,9 +165,9 @@
 		controller := scaling.New(scaling.Config{
 			Routes:         table,
 			Upstreams:      board.Upstreams,
-			Demand:         b.demand,
-			Lease:          holder{},
-			Duties:         b.market,
+			Demand:         fx.demand,
+			Lease:          leaseHolder{},
+			Duties:         fx.market,
 			FailureDomains: domains,
 			Logger:         slog.New(slog.DiscardHandler),
 		})
@@ -171,75 +176,76 @@
 		running.Go(func() { controller.Run(ctx) })
 		defer running.Wait()
 		defer cancel()
-		f(b)
+		test(fx)
 	})
 }
 
-// play lets replicas enter themselves a second after the start, and callers come
-// nine seconds later for ten; each request takes work from a replica, zero where
-// it is not known.
-func play(t *testing.T, slots int, perSecond float64, work func(request int) time.Duration, look func(m *market)) {
+// runWithRequests lists nine replicas a second after the start and sends requests
+// for ten seconds, beginning nine seconds later. Each request takes work from a
+// replica; zero means that the work is unknown.
+func runWithRequests(t *testing.T, slots int, perSecond float64, work func(request int) time.Duration, verify func(m *market)) {
 	t.Helper()
-	run(t, slots, func(b *bed) {
+	runController(t, slots, func(fx *fixture) {
 		time.Sleep(time.Second)
-		found(b.market.board, 9)
+		addOnDemand(fx.market.board, 9)
 		time.Sleep(9 * time.Second)
 		for request := range int(10 * perSecond) {
-			b.demand.Entered("svc", 1000)
-			b.demand.Sent("svc", work(request))
-			b.demand.Left("svc")
+			fx.demand.Entered("svc", 1000)
+			fx.demand.Sent("svc", work(request))
+			fx.demand.Left("svc")
 			time.Sleep(time.Duration(float64(time.Second) / perSecond))
 		}
-		look(b.market)
+		verify(fx.market)
 	})
 }
 
-// always is the same work for each request.
-func always(work time.Duration) func(int) time.Duration {
+// constantWork returns the same work for each request.
+func constantWork(work time.Duration) func(int) time.Duration {
 	return func(int) time.Duration { return work }
 }
 
-// Callers send long prompts, few at a time, to engines with many slots that read
-// slowly: 40 a second of 150 ms keep six replicas busy, though they fill a
-// twentieth of their slots. Ordered by slots, four replicas were there and each
-// prompt waited behind seconds of others.
+// Long prompts, few at a time, go to engines with many slots and slow prefill: 40
+// a second of 150 ms keep six replicas busy, though they fill a twentieth of
+// their slots. Sized by slots, four replicas would be ordered, and each prompt
+// would wait for seconds of others.
 func TestLongPromptsAreSizedByTheirWork(t *testing.T) {
 	check := is.New(t)
-	play(t, 128, 40, always(150*time.Millisecond), func(m *market) {
-		check.True(m.wanted(zinniamast.Reclaimable) >= 12)
+	runWithRequests(t, 128, 40, constantWork(150*time.Millisecond), func(m *market) {
+		check.True(m.lastOrdered(zinniamast.Reclaimable) >= 12)
 	})
 }
 
-// A calm day: one replica would do for the work. The third of the most that may
-// be ordered is not kept for it, and nothing dear.
+// At low load one replica would suffice for the work. Neither a third of the
+// maximum nor any on-demand replica may be kept for it.
 func TestLittleWorkKeepsFewReplicas(t *testing.T) {
 	check := is.New(t)
-	play(t, 128, 10, always(50*time.Millisecond), func(m *market) {
+	runWithRequests(t, 128, 10, constantWork(50*time.Millisecond), func(m *market) {
 		time.Sleep(10 * time.Second)
-		check.True(m.wanted(zinniamast.Reclaimable) <= len(domains))
-		check.Equal(m.wanted(zinniamast.OnDemand), 0)
+		check.True(m.lastOrdered(zinniamast.Reclaimable) <= len(domains))
+		check.Equal(m.lastOrdered(zinniamast.OnDemand), 0)
 	})
 }
 
-// The process has just started and the list of replicas comes a second later.
-// The least number, ordered before they were seen, would take five of nine away
-// from callers who come next. Before anybody asks, as many as were found and a
-// spare failure domain are ordered where they are cheap.
-func TestFoundReplicasAreNotGivenBackUnseen(t *testing.T) {
+// The list of replicas arrives a second after the process started. The minimum
+// number, ordered before they are listed, would stop five of nine replicas before
+// the first requests. Before any requests arrive, the initial number and a spare
+// failure domain are ordered where they are cheap.
+func TestInitialReplicasAreKeptUntilListed(t *testing.T) {
 	check := is.New(t)
-	run(t, 128, func(b *bed) {
+	runController(t, 128, func(fx *fixture) {
 		time.Sleep(1200 * time.Millisecond)
-		check.Equal(b.market.ordered(zinniamast.OnDemand), 0)
-		found(b.market.board, 9)
+		check.Equal(fx.market.orderCount(zinniamast.OnDemand), 0)
+		addOnDemand(fx.market.board, 9)
 		time.Sleep(2 * time.Second)
-		check.Equal(b.market.wanted(zinniamast.Reclaimable), 12)
+		check.Equal(fx.market.lastOrdered(zinniamast.Reclaimable), 12)
 	})
 }
 
-// One node has learned how fast replicas read, and sized one long prompt of the
-// hundred that came. Were it to stand for all of them, 50 replicas would be
-// ordered for eight seconds. As many as were found are wanted until more is known.
-func TestOneSizedPromptDoesNotStandForAll(t *testing.T) {
+// One node has measured the prefill speed of the replicas and knows the work of
+// one long prompt out of a hundred. If that prompt represented all of them, 50
+// replicas would be ordered for eight seconds. The initial number stays desired
+// until more is known.
+func TestOneSizedPromptIsNotExtrapolated(t *testing.T) {
 	check := is.New(t)
 	oneOfHundred := func(request int) time.Duration {
 		if request == 99 {
@@ -247,23 +253,23 @@
 		}
 		return 0
 	}
-	play(t, 128, 10, oneOfHundred, func(m *market) {
+	runWithRequests(t, 128, 10, oneOfHundred, func(m *market) {
 		time.Sleep(time.Second)
-		check.Equal(m.wanted(zinniamast.Reclaimable), 12)
+		check.Equal(m.lastOrdered(zinniamast.Reclaimable), 12)
 	})
 }
 
-// A failure domain's reclaimable replicas are reclaimed and no others are to be
-// had. Callers wait for replicas on demand to start; these are ordered in the
-// same look in which the market refused, and not half a second later for each
-// failure domain that is asked in turn.
-func TestRefusalsAreAnsweredInTheSameLook(t *testing.T) {
+// A failure domain's reclaimable replicas are reclaimed and no others are
+// available, so requests wait for on-demand replicas to start. These must be
+// ordered in the round in which the market refused, not half a second later for
+// each failure domain that is tried in turn.
+func TestRefusalsAreReplannedInTheSameRound(t *testing.T) {
 	check := is.New(t)
-	play(t, 128, 40, always(150*time.Millisecond), func(m *market) {
-		before := m.wanted(zinniamast.OnDemand)
+	runWithRequests(t, 128, 40, constantWork(150*time.Millisecond), func(m *market) {
+		before := m.lastOrdered(zinniamast.OnDemand)
 		check.Equal(before, 0)
 		m.reclaim(domains[0], domains[1])
 		time.Sleep(600 * time.Millisecond)
-		check.True(m.wanted(zinniamast.OnDemand) >= 4)
+		check.True(m.lastOrdered(zinniamast.OnDemand) >= 4)
 	})
 }
--- a/scaling/needs.go
+++ b/scaling/needs.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// shrinkStarts is for how many start times fewer replicas must do before some
-// are given back: waves last longer than a start. A cheaper replica that is there
-// replaces a dearer one at once.
-const shrinkStarts = 2
+// desiredWindowStarts is the number of boot times over which the desired number
+// keeps its maximum, because waves of load last longer than a boot. A cheaper
+// replica that is present replaces a more expensive one at once.
+const desiredWindowStarts = 2
 
-// need is how many replicas a service needs at a time.
+// need is how many replicas a service needs at one time.
 type need struct {
-	// least must be there at any price.
-	least int
-	// wanted shall be there where it is cheap.
-	wanted int
-	at     time.Time
+	// required replicas must be present at any price.
+	required int
+	// desired replicas are to be present where they are cheap.
+	desired int
+	at      time.Time
 }
 
-// Needs remembers how many replicas a service needed lately.
-type Needs struct {
-	// Start is how long a replica takes to start.
-	Start time.Duration
+// NeedHistory records how many replicas a service needed recently.
+type NeedHistory struct {
+	// BootTime is how long a replica takes to start.
+	BootTime time.Duration
 
-	seen []need
+	recent []need
 }
 
-// Add takes in a need and forgets those that are too old to count.
-func (n *Needs) Add(least, wanted int, now time.Time) {
-	kept := n.seen[:0]
-	for _, known := range n.seen {
-		if now.Sub(known.at) < shrinkStarts*n.Start {
-			kept = append(kept, known)
+// Add records a need and removes those that have expired.
+func (n *NeedHistory) Add(required, desired int, now time.Time) {
+	retained := n.recent[:0]
+	for _, past := range n.recent {
+		if now.Sub(past.at) < desiredWindowStarts*n.BootTime {
+			retained = append(retained, past)
 		}
 	}
-	n.seen = append(kept, need{
-		least:  least,
-		wanted: wanted,
-		at:     now,
+	n.recent = append(retained, need{
+		required: required,
+		desired:  desired,
+		at:       now,
 	})
 }
 
-// Least is what must be there at any price: the most of the time that a replica
-// takes to start.
+// Required returns how many replicas must be present at any price: the maximum
+// over one boot time.
 //
-// Load: a crowd has passed, and eight seconds after its peak a failure domain
-// goes. 46 replicas were bought on demand for the peak while 138 others stood
-// before a need of 96.
-func (n *Needs) Least(now time.Time) int {
+// Over a longer time, on-demand replicas are bought for a peak that has passed:
+// if a failure domain is reclaimed eight seconds after the peak, 46 of them are
+// bought although 138 others cover a need of 96.
+func (n *NeedHistory) Required(now time.Time) int {
 	most := 0
-	for _, known := range n.seen {
-		if now.Sub(known.at) < n.Start {
-			most = max(most, known.least)
+	for _, past := range n.recent {
+		if now.Sub(past.at) < n.BootTime {
+			most = max(most, past.required)
 		}
 	}
 	return most
 }
 
-// Wanted is what shall be there where it is cheap: the most of a longer time.
-func (n *Needs) Wanted(now time.Time) int {
+// Desired returns how many replicas are to be present where they are cheap: the
+// maximum over desiredWindowStarts boot times.
+func (n *NeedHistory) Desired(now time.Time) int {
 	most := 0
-	for _, known := range n.seen {
-		if now.Sub(known.at) < shrinkStarts*n.Start {
-			most = max(most, known.wanted)
+	for _, past := range n.recent {
+		if now.Sub(past.at) < desiredWindowStarts*n.BootTime {
+			most = max(most, past.desired)
 		}
 	}
 	return most
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -1,6 +1,6 @@
-// Package scaling orders replicas: as many as the demand needs, at the least
-// cost, spread so that the loss of a failure domain's reclaimable replicas
-// leaves enough.
+// Package scaling orders replicas: as many as the demand needs at the lowest
+// cost, spread so that enough remain when a failure domain's reclaimable replicas
+// are lost.
 package scaling
 
 import (
@@ -14,61 +14,65 @@
 )
 
 const (
-	// busyPart of its time and fullPart of its slots is what a replica is ordered
-	// for: requests come unevenly in time and to replicas.
-	busyPart = 0.6
-	fullPart = 0.5
-	// evenFrom is up to how many busy replicas cheap ones are kept by their price alone.
-	evenFrom = 4
-	// unknownSlots stands for a service that does not say how many requests its
-	// replicas run at once.
-	unknownSlots = 20
-	// knownPart of the requests must have been sized before their work counts: a
-	// single long prompt would stand for all that came in a second.
-	knownPart = 0.25
+	// targetBusyFraction and targetSlotFraction are the fractions of its time and of
+	// its slots for which a replica is ordered to be in use. The rest is headroom,
+	// since requests arrive unevenly over time and over replicas.
+	targetBusyFraction = 0.6
+	targetSlotFraction = 0.5
+	// linearSurplusReplicas is the number of busy replicas up to which the surplus of
+	// reclaimable ones grows linearly, by their price alone.
+	linearSurplusReplicas = 4
+	// defaultSlots applies to a service whose configuration does not state how many
+	// requests a replica runs at once.
+	defaultSlots = 20
+	// minSizedFraction is the fraction of requests whose work must be known before
+	// that work counts. Below it, a single long prompt would represent all requests
+	// of a second.
+	minSizedFraction = 0.25
 )
 
-// Place is a failure domain and market.
+// Place is a failure domain and a market.
 type Place struct {
 	FailureDomain string
 	Market        zinniamast.Market
 }
 
-// State is what a plan is made from.
+// State is the input of a plan.
 type State struct {
 	Service routes.Service
 	Load    demand.Load
-	// Needed is how many replicas there shall be in all.
-	Needed int
-	// Least is how many there must be if need be at the dearer price; what Needed
-	// has beyond it is bought where it is cheap, or not at all.
-	Least int
-	// Kept is how many there were before the demand was known; they stay until
-	// cheaper ones are there.
-	Kept int
+	// Desired is how many replicas there should be in all.
+	Desired int
+	// Required is how many replicas there must be even at the on-demand price. The
+	// part of Desired beyond it is bought where it is cheap, or not at all.
+	Required int
+	// Retained is how many replicas there were before the demand was known; they stay
+	// until cheaper ones are present.
+	Retained int
 	// Domains are the failure domains in which the service runs or may run.
 	Domains []string
-	// Refused are places where none is to be had now.
+	// Refused marks the places where no more replicas are available now.
 	Refused map[Place]bool
-	// Dry says that reclaimable replicas were refused when last asked for.
-	Dry bool
-	// Present are the replicas that take work, or are starting.
+	// ReclaimableUnavailable reports whether the last order for more reclaimable
+	// replicas was refused.
+	ReclaimableUnavailable bool
+	// Present counts the replicas that serve or are starting.
 	Present map[Place]int
-	// Ordered is what was ordered last; some of it may still be starting.
+	// Ordered is what was ordered last; some of these replicas may still be starting.
 	Ordered map[Place]int
 }
 
-// Plan returns how many replicas each place shall have.
+// Plan returns how many replicas each place should have.
 func Plan(s State) map[Place]int {
 	scaling := s.Service.Scaling
 	plan := map[Place]int{}
 	domains := byPrice(s)
-	held := heldOver(domains, s)
-	want := s.Needed
+	retained := retainedOnDemand(domains, s)
+	want := s.Desired
 	if scaling.SpotPrice > 0 {
-		want = max(s.Least, s.Kept) - spread(plan, domains, zinniamast.Reclaimable, s.Needed, s, held) + atRisk(plan, domains, s)
+		want = max(s.Required, s.Retained) - spread(plan, domains, zinniamast.Reclaimable, s.Desired, s, retained) + atRisk(plan, domains, s)
 	}
-	for domain, count := range held {
+	for domain, count := range retained {
 		plan[onDemand(domain)] = count
 		want -= count
 	}
@@ -76,7 +80,7 @@
 		spread(plan, domains, zinniamast.OnDemand, want, s, nil)
 	}
 	for _, domain := range domains {
-		// The least number holds for both markets together.
+		// The minimum applies to both markets together.
 		short := scaling.Min - plan[reclaimable(domain)] - plan[onDemand(domain)]
 		if short > 0 {
 			plan[onDemand(domain)] += short
@@ -87,15 +91,16 @@
 	return plan
 }
 
-// atRisk is how many of the planned reclaimable replicas are not counted on: the
-// largest failure domain's, while none are to be had.
+// atRisk returns how many of the planned reclaimable replicas are not relied on:
+// those of the largest failure domain while no reclaimable replicas are
+// available, and none otherwise.
 //
-// Load: reclaims come in waves. One failure domain's replicas go, none are to be
-// had in their place, and the next domain follows within the time that a replica
-// on demand takes to start: at the third one half of what the demand needed was
-// there for four seconds.
+// Reclaims come in waves. One failure domain's replicas are reclaimed, no
+// replacements are available, and the next domain follows within the boot time of
+// an on-demand replica. When the third domain is reclaimed, only half of the
+// replicas that the demand needs are present for four seconds.
 func atRisk(plan map[Place]int, domains []string, s State) int {
-	if !s.Dry {
+	if !s.ReclaimableUnavailable {
 		return 0
 	}
 	most := 0
@@ -120,115 +125,123 @@
 	}
 }
 
-// heldOver returns how many replicas of the dearer market each failure domain
-// keeps, those that are starting included, until cheaper ones in their place
-// are there.
+// retainedOnDemand returns how many on-demand replicas each failure domain keeps,
+// including those that are starting, until cheaper ones are present in their
+// place.
 //
-// Load: reclaimable ones are refused for some seconds, and asked for again. The
-// plan counts on them each time. Where they fill a failure domain's limit, or
-// the dearer ones were given back at that moment, replicas that had been started
-// four seconds ago were stopped before they served: in a crowd that wanted 24
-// replicas eight were there for ten seconds.
-func heldOver(domains []string, s State) map[string]int {
-	missing := max(s.Least, s.Kept)
+// Reclaimable replicas that were refused are ordered again some seconds later,
+// and each such plan counts on them. If they took up a failure domain's limit, or
+// if on-demand ones were given back at that moment, replicas ordered four seconds
+// before would be stopped before they serve: at a peak that needs 24 replicas,
+// only eight are then present for ten seconds.
+func retainedOnDemand(domains []string, s State) map[string]int {
+	missing := max(s.Required, s.Retained)
 	if s.Service.Scaling.SpotPrice <= 0 {
-		missing = s.Needed
+		missing = s.Desired
 	}
-	if s.Dry {
+	if s.ReclaimableUnavailable {
 		missing += atRisk(s.Present, domains, s)
 	}
 	for _, domain := range domains {
 		missing -= s.Present[reclaimable(domain)]
 	}
-	held := map[string]int{}
+	retained := map[string]int{}
 	for _, domain := range domains {
-		known := max(s.Present[onDemand(domain)], s.Ordered[onDemand(domain)])
+		current := max(s.Present[onDemand(domain)], s.Ordered[onDemand(domain)])
 		room := s.Service.Scaling.Max - s.Present[reclaimable(domain)]
-		least := s.Service.Scaling.Min - s.Present[reclaimable(domain)]
-		if kept := min(max(missing, least), known, room); kept > 0 {
-			held[domain] = kept
-			missing -= kept
+		minimum := s.Service.Scaling.Min - s.Present[reclaimable(domain)]
+		if count := min(max(missing, minimum), current, room); count > 0 {
+			retained[domain] = count
+			missing -= count
 		}
 	}
-	return held
+	return retained
 }
 
-// busy is how many replicas of the usual speed the load's prompts would keep
-// busy all the time; zero while that is not known.
-func busy(s State) float64 {
-	if part := sizedPart(s.Load); part >= knownPart {
-		return s.Load.Work / part
+// busyReplicas returns how many replicas of the usual speed the load's prompts
+// would keep busy all the time; zero while that is unknown.
+func busyReplicas(s State) float64 {
+	if fraction := sizedFraction(s.Load); fraction >= minSizedFraction {
+		return s.Load.Work / fraction
 	}
 	return 0
 }
 
-// full is how many replicas' slots the load fills.
-func full(s State) float64 {
-	slots := unknownSlots
+// filledReplicas returns how many replicas have all their slots filled by the
+// load.
+func filledReplicas(s State) float64 {
+	slots := defaultSlots
 	if s.Service.Engine != nil && s.Service.Engine.Slots > 0 {
 		slots = s.Service.Engine.Slots
 	}
 	return s.Load.Running / float64(slots)
 }
 
-// sizedPart is the part of the requests whose work is known.
-func sizedPart(l demand.Load) float64 {
+// sizedFraction returns the fraction of the requests whose work is known.
+func sizedFraction(l demand.Load) float64 {
 	if l.Arrivals <= 0 {
 		return 0
 	}
 	return min(1, l.Sized/l.Arrivals)
 }
 
-// least is how many replicas the demand needs at any price, all failure domains
-// together: by the machine time that its requests take, or by the slots they fill.
-func least(s State) int { return int(math.Ceil(max(busy(s)/busyPart, full(s)/fullPart))) }
+// requiredReplicas returns how many replicas the demand needs at any price, over
+// all failure domains: by the machine time that its requests take, or by the
+// slots that they fill, whichever is more.
+func requiredReplicas(s State) int {
+	return int(math.Ceil(max(busyReplicas(s)/targetBusyFraction, filledReplicas(s)/targetSlotFraction)))
+}
 
-// wanted is how many replicas the demand needs where they are cheap: as many as
-// leave the least ones when a failure domain goes, and more where the price is low.
+// desiredReplicas returns how many replicas the demand needs where they are
+// cheap: as many as leave the required ones when a failure domain is lost, and
+// more where the price is low.
 //
-// Load: one organisation sends several times its usual from one moment to the
-// next, or replicas crash, and new ones take seconds to start. What is lost by
-// lateness grows faster than linearly with how busy replicas are, so that at a
-// quarter of the price half as busy ones are worth their cost.
-func wanted(s State) int {
-	spare := max(withSpareDomain(least(s), len(s.Domains)), s.Service.Scaling.Min*len(s.Domains))
+// An organisation's load may rise to several times its usual within a moment, or
+// replicas may crash, and new replicas take seconds to start. The cost of late
+// answers grows faster than linearly with the utilisation of the replicas, so at
+// a quarter of the price replicas that are half as busy are worth their cost.
+func desiredReplicas(s State) int {
+	spare := max(withSpareDomain(requiredReplicas(s), len(s.Domains)), s.Service.Scaling.Min*len(s.Domains))
 	if s.Service.Scaling.SpotPrice <= 0 {
 		return spare
 	}
-	return max(spare, int(math.Ceil(cheaply(busy(s), busyPart*math.Sqrt(s.Service.Scaling.SpotPrice)))))
+	return max(spare, int(math.Ceil(reclaimableReplicas(busyReplicas(s), targetBusyFraction*math.Sqrt(s.Service.Scaling.SpotPrice)))))
 }
 
-// cheaply is how many cheap replicas serve what keeps some busy all the time,
-// where few of them are to be busy for a part of their time. What comes unevenly
-// to many replicas evens out: from evenFrom on the surplus grows by the square root.
-func cheaply(busy, part float64) float64 {
-	if busy <= evenFrom {
-		return busy / part
+// reclaimableReplicas returns how many reclaimable replicas serve a load that
+// keeps busy replicas busy all the time, if each is to be busy for a fraction of
+// its time. Uneven arrivals average out over many replicas, so beyond
+// linearSurplusReplicas the surplus grows by the square root only.
+func reclaimableReplicas(busy, fraction float64) float64 {
+	if busy <= linearSurplusReplicas {
+		return busy / fraction
 	}
-	return busy + (evenFrom/part-evenFrom)*math.Sqrt(busy/evenFrom)
+	return busy + (linearSurplusReplicas/fraction-linearSurplusReplicas)*math.Sqrt(busy/linearSurplusReplicas)
 }
 
-// middle is the middle of how many replicas may be ordered.
-func middle(s State) int {
+// midpointOfLimits returns the midpoint between the minimum and the maximum
+// number of replicas that may be ordered.
+func midpointOfLimits(s State) int {
 	return (s.Service.Scaling.Min + s.Service.Scaling.Max) * len(s.Domains) / 2
 }
 
-// withSpareDomain is how many replicas leave least ones when a failure domain's
-// part of them goes, and no others are to be had for some ten seconds.
-func withSpareDomain(least, domains int) int {
+// withSpareDomain returns how many replicas leave the required ones when one
+// failure domain's part of them is lost and no others are available for some ten
+// seconds.
+func withSpareDomain(required, domains int) int {
 	if domains < 2 {
-		return least
+		return required
 	}
-	return (least*domains + domains - 2) / (domains - 1)
+	return (required*domains + domains - 2) / (domains - 1)
 }
 
-// withoutSpareDomain is the part of found replicas that stays when a failure
-// domain's part of them goes.
-func withoutSpareDomain(found, domains int) int {
+// withoutSpareDomain returns how many of the initial replicas remain when one
+// failure domain's part of them is lost.
+func withoutSpareDomain(initial, domains int) int {
 	if domains < 2 {
-		return found
+		return initial
 	}
-	return found * (domains - 1) / domains
+	return initial * (domains - 1) / domains
 }
 
 // byPrice returns the failure domains, cheapest first.
@@ -243,10 +256,10 @@
 	return domains
 }
 
-// spread places replicas of one market evenly, in turns that begin with the
-// cheapest, and returns how many it placed. What a failure domain holds of the
-// other market takes its part of the limit.
-func spread(plan map[Place]int, domains []string, market zinniamast.Market, want int, s State, held map[string]int) int {
+// spread places replicas of one market evenly, round by round from the cheapest
+// failure domain on, and returns how many it placed. Replicas of the other market
+// in a failure domain count towards the same limit.
+func spread(plan map[Place]int, domains []string, market zinniamast.Market, want int, s State, retained map[string]int) int {
 	placed := 0
 	for round := 1; placed < want && round <= s.Service.Scaling.Max; round++ {
 		for _, domain := range domains {
@@ -258,7 +271,7 @@
 				FailureDomain: domain,
 				Market:        otherMarket(market),
 			}
-			if placed == want || plan[place]+max(plan[other], held[domain]) >= s.Service.Scaling.Max {
+			if placed == want || plan[place]+max(plan[other], retained[domain]) >= s.Service.Scaling.Max {
 				continue
 			}
 			if s.Refused[place] && plan[place] >= s.Present[place] {
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -45,24 +45,24 @@
 	return sum
 }
 
-// On a calm day all replicas are reclaimable ones, spread evenly, and the
-// dearer ones go once these are there, not before.
-func TestCheapAndSpread(t *testing.T) {
+// Without refusals all replicas are reclaimable ones, spread evenly. On-demand
+// replicas are given back once the reclaimable ones are present, not before.
+func TestReclaimableReplicasAreSpreadEvenly(t *testing.T) {
 	check := is.New(t)
 	present := map[scaling.Place]int{}
 	for _, domain := range domains {
 		present[place(domain, zinniamast.OnDemand)] = 3
 	}
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  10,
-		Least:   10,
-		Present: present,
+		Service:  service(),
+		Domains:  domains,
+		Desired:  10,
+		Required: 10,
+		Present:  present,
 	}
 	plan := scaling.Plan(state)
 	check.Equal(total(plan, zinniamast.Reclaimable), 10)
-	check.Equal(total(plan, zinniamast.OnDemand), 10) // held until the others are there
+	check.Equal(total(plan, zinniamast.OnDemand), 10) // retained until the others are present
 	for _, domain := range domains {
 		check.True(plan[place(domain, zinniamast.Reclaimable)] >= 2)
 		present[place(domain, zinniamast.Reclaimable)] = plan[place(domain, zinniamast.Reclaimable)]
@@ -71,21 +71,20 @@
 	check.Equal(total(plan, zinniamast.OnDemand), 0)
 }
 
-// What is seen: a calm day pays for four replicas on demand, at 4.5 times the
-// price of reclaimable ones, for as long as none of these is to be had.
-// A failure domain's reclaimable replicas are taken and refused there, while the
-// market has given some elsewhere since. The demand needs 12 replicas and 12 are
-// left: the spare failure domain was there for this. Only when a second one goes
-// are replicas bought on demand.
+// A failure domain's reclaimable replicas are reclaimed and refused there. The
+// demand needs 12 replicas and 12 remain, since the spare failure domain covers
+// the loss. On-demand replicas at 4.5 times the price are bought only when a
+// second domain is lost; otherwise four of them are paid for as long as no
+// reclaimable ones are available.
 func TestSpareDomainIsNotBoughtOnDemand(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  16,
-		Least:   12,
-		Refused: map[scaling.Place]bool{},
-		Present: map[scaling.Place]int{},
+		Service:  service(),
+		Domains:  domains,
+		Desired:  16,
+		Required: 12,
+		Refused:  map[scaling.Place]bool{},
+		Present:  map[scaling.Place]int{},
 	}
 	for _, domain := range domains {
 		state.Refused[place(domain, zinniamast.Reclaimable)] = true
@@ -95,7 +94,7 @@
 	}
 	plan := scaling.Plan(state)
 	check.Equal(total(plan, zinniamast.Reclaimable), 12)
-	check.Equal(plan[place("a", zinniamast.OnDemand)], 1) // the least number of the failure domain
+	check.Equal(plan[place("a", zinniamast.OnDemand)], 1) // the minimum of the failure domain
 	check.Equal(total(plan, zinniamast.OnDemand), 1)
 	state.Present[place("b", zinniamast.Reclaimable)] = 0
 	plan = scaling.Plan(state)
@@ -103,20 +102,21 @@
 	check.Equal(total(plan, zinniamast.OnDemand), 4)
 }
 
-// What is seen: reclaims come in waves, and each takes a failure domain before a
-// replica on demand that is ordered then has started. Callers wait for four
-// seconds at a third of the replicas. Once the market refused, the domain that
-// would cost most is not counted on, and its part is bought before it goes.
-func TestReclaimsThatGoOnAreMetAhead(t *testing.T) {
+// Reclaims come in waves, and each takes a failure domain before an on-demand
+// replica ordered at that moment has started; for four seconds a third of the
+// replicas then serves all requests. Once reclaimable replicas are refused, the
+// plan does not rely on the largest failure domain and buys its part on demand
+// before it is reclaimed.
+func TestLargestDomainIsReplacedBeforeItIsReclaimed(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  16,
-		Least:   12,
-		Dry:     true,
-		Refused: map[scaling.Place]bool{},
-		Present: map[scaling.Place]int{},
+		Service:                service(),
+		Domains:                domains,
+		Desired:                16,
+		Required:               12,
+		ReclaimableUnavailable: true,
+		Refused:                map[scaling.Place]bool{},
+		Present:                map[scaling.Place]int{},
 	}
 	for _, domain := range domains {
 		state.Refused[place(domain, zinniamast.Reclaimable)] = true
@@ -125,22 +125,22 @@
 		state.Present[place(domain, zinniamast.Reclaimable)] = 4
 	}
 	check.Equal(total(scaling.Plan(state), zinniamast.OnDemand), 4)
-	state.Dry = false
+	state.ReclaimableUnavailable = false
 	check.Equal(total(scaling.Plan(state), zinniamast.OnDemand), 1)
 }
 
-// What is seen: the only replica of a failure domain stops each four seconds and
-// another starts for four, with an empty cache. Reclaimable replicas were refused
-// and are asked for again; the plan counts on them, and gives the dear one back
-// before it hears that there are none.
-func TestDearReplicaStaysUntilTheCheapOneIsThere(t *testing.T) {
+// Reclaimable replicas that were refused are ordered again, and the plan counts
+// on them. If it gave the on-demand replica back before the refusal arrives, the
+// only replica of a failure domain would stop every four seconds and another
+// would take four to start, with an empty cache.
+func TestOnDemandReplicaStaysUntilTheReclaimableOneIsPresent(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  8,
-		Least:   4,
-		Present: map[scaling.Place]int{},
+		Service:  service(),
+		Domains:  domains,
+		Desired:  8,
+		Required: 4,
+		Present:  map[scaling.Place]int{},
 	}
 	for _, domain := range domains {
 		state.Present[place(domain, zinniamast.OnDemand)] = 1
@@ -152,17 +152,17 @@
 	}
 }
 
-// A failure domain's reclaimable replicas are taken and none are to be had:
-// on-demand ones are ordered in their place at once.
+// A failure domain's reclaimable replicas are reclaimed and no others are
+// available: on-demand ones are ordered in their place at once.
 func TestOnDemandWhereRefused(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  10,
-		Least:   10,
-		Refused: map[scaling.Place]bool{},
-		Present: map[scaling.Place]int{},
+		Service:  service(),
+		Domains:  domains,
+		Desired:  10,
+		Required: 10,
+		Refused:  map[scaling.Place]bool{},
+		Present:  map[scaling.Place]int{},
 	}
 	for _, domain := range domains[1:] {
 		state.Present[place(domain, zinniamast.Reclaimable)] = 2
@@ -175,16 +175,16 @@
 	check.Equal(total(plan, zinniamast.OnDemand), 4)
 }
 
-// Reclaimable replicas are asked for again after a refusal. The on-demand ones
-// that were ordered meanwhile, and have not started yet, stay ordered until the
-// reclaimable ones are there.
+// Reclaimable replicas are ordered again after a refusal. On-demand replicas that
+// were ordered meanwhile and have not started yet stay ordered until the
+// reclaimable ones are present.
 func TestNoFlapping(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  10,
-		Least:   10,
+		Service:  service(),
+		Domains:  domains,
+		Desired:  10,
+		Required: 10,
 		Present: map[scaling.Place]int{
 			place("a", zinniamast.Reclaimable): 3,
 		},
@@ -202,17 +202,17 @@
 	check.Equal(total(plan, zinniamast.OnDemand), 0)
 }
 
-// Callers wait through a crowd at a third of the replicas that it needs. All
-// failure domains are at their limit, with on-demand replicas that start in
-// place of reclaimed ones; reclaimable ones are asked for again and would fill
-// the limit alone. Those that start are not given back for a hope.
+// All failure domains are at their limit with on-demand replicas that start in
+// place of reclaimed ones. Reclaimable replicas are ordered again and would fill
+// the limit alone. If the starting replicas were given back for them, a third of
+// the needed replicas would serve the peak.
 func TestStartingReplicasStayAtTheLimit(t *testing.T) {
 	check := is.New(t)
 	state := scaling.State{
-		Service: service(),
-		Domains: domains,
-		Needed:  24,
-		Least:   24,
+		Service:  service(),
+		Domains:  domains,
+		Desired:  24,
+		Required: 24,
 		Present: map[scaling.Place]int{
 			place("a", zinniamast.Reclaimable): 3,
 			place("c", zinniamast.Reclaimable): 2,
@@ -231,17 +231,17 @@
 	}
 }
 
-// Whatever is needed, present or refused, each failure domain has its least
-// number and no more than its most, of both markets together.
+// Whatever is needed, present or refused, each failure domain gets at least its
+// minimum and at most its maximum number of replicas, over both markets together.
 func TestPlanKeepsToTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := scaling.State{
-			Service: service(),
-			Domains: domains,
-			Needed:  rapid.IntRange(0, 60).Draw(t, "needed"),
-			Least:   rapid.IntRange(0, 60).Draw(t, "least"),
-			Refused: map[scaling.Place]bool{},
-			Present: map[scaling.Place]int{},
+			Service:  service(),
+			Domains:  domains,
+			Desired:  rapid.IntRange(0, 60).Draw(t, "desired"),
+			Required: rapid.IntRange(0, 60).Draw(t, "required"),
+			Refused:  map[scaling.Place]bool{},
+			Present:  map[scaling.Place]int{},
 		}
 		for _, domain := range domains {
 			for _, market := range []zinniamast.Market{zinniamast.Reclaimable, zinniamast.OnDemand} {
--- a/scaling/start_test.go
+++ b/scaling/start_test.go
@@ -18,50 +18,50 @@
 	"zinniamast/scaling"
 )
 
-// The larger deployment: what is there at the start, how fast the list of it
-// comes, and what callers send from the first moment on.
+// A large deployment: the replicas at the start, how fast they are listed, and
+// the requests that arrive at full rate from the first moment on.
 const (
-	foundReplicas  = 90
-	mostInDomain   = 46
-	listedInSecond = 18
-	bootTime       = 4 * time.Second
-	lead           = 14 * time.Second
-	perSecond      = 900
-	requestWork    = 40 * time.Millisecond
-	aim            = 800 * time.Millisecond
-	// unsizedFor is how long nobody knows the work of requests.
-	unsizedFor = 2 * time.Second
-	played     = 8 * time.Second
+	initialReplicas   = 90
+	maxPerDomain      = 46
+	listedPerSecond   = 18
+	bootTime          = 4 * time.Second
+	quietTime         = 14 * time.Second
+	requestsPerSecond = 900
+	requestWork       = 40 * time.Millisecond
+	latencyTarget     = 800 * time.Millisecond
+	// unsizedTime is how long the work of requests is unknown.
+	unsizedTime = 2 * time.Second
+	loadTime    = 8 * time.Second
 )
 
-// machine is a replica of the fleet, listed or not.
-type machine struct {
+// replica is a replica of the fleet, listed or not.
+type replica struct {
 	upstream *blackboard.Upstream
 	listedAt time.Time
 	listed   bool
-	// free is when what it was given is done.
-	free time.Time
+	// freeAt is when its assigned requests are done.
+	freeAt time.Time
 }
 
-// fleet starts and stops replicas as ordered, and lists them late.
+// fleet starts and stops replicas as ordered, and lists them with a delay.
 type fleet struct {
 	board *blackboard.Board
 
 	mu       sync.Mutex
-	machines []*machine
+	replicas []*replica
 	started  int
-	// dry refuses reclaimable replicas.
-	dry bool
-	// fewest is the least number of replicas there has been.
-	fewest int
+	// reclaimableUnavailable makes the fleet refuse orders for reclaimable replicas.
+	reclaimableUnavailable bool
+	// lowestServing is the lowest number of serving replicas so far.
+	lowestServing int
 }
 
 func (f *fleet) Report(context.Context, uint64, zinniamast.UsageReport) error { return nil }
 
-// enter adds a replica that is listed at a time; the caller holds the lock.
-func (f *fleet) enter(domain string, market zinniamast.Market, listedAt time.Time) {
+// add adds a replica that is listed at listedAt; the caller holds the lock.
+func (f *fleet) add(domain string, market zinniamast.Market, listedAt time.Time) {
 	f.started++
-	f.machines = append(f.machines, &machine{
+	f.replicas = append(f.replicas, &replica{
 		upstream: &blackboard.Upstream{
 			Instance: zinniamast.Instance{
 				ID:            fmt.Sprintf("i-%d", f.started),
@@ -74,197 +74,201 @@
 	})
 }
 
-// Scale implements zinniamast.Duties: what is too many goes at once, listed or not.
+// Scale implements zinniamast.Duties. Surplus replicas stop at once, listed or
+// not.
 func (f *fleet) Scale(_ context.Context, _ uint64, order zinniamast.ScaleOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	there := 0
-	kept := f.machines[:0]
-	for _, m := range f.machines {
-		of := m.upstream.Instance
-		if of.FailureDomain == order.FailureDomain && of.Market == order.Market {
-			there++
-			if there > order.Count {
-				f.board.Upstreams.Remove(of.ID)
+	present := 0
+	remaining := f.replicas[:0]
+	for _, r := range f.replicas {
+		instance := r.upstream.Instance
+		if instance.FailureDomain == order.FailureDomain && instance.Market == order.Market {
+			present++
+			if present > order.Count {
+				f.board.Upstreams.Remove(instance.ID)
 				continue
 			}
 		}
-		kept = append(kept, m)
+		remaining = append(remaining, r)
 	}
-	f.machines = kept
-	if there < order.Count && f.dry && order.Market == zinniamast.Reclaimable {
+	f.replicas = remaining
+	if present < order.Count && f.reclaimableUnavailable && order.Market == zinniamast.Reclaimable {
 		return zinniamast.ErrRefused
 	}
-	for ; there < order.Count; there++ {
-		f.enter(order.FailureDomain, order.Market, time.Now().Add(bootTime))
+	for ; present < order.Count; present++ {
+		f.add(order.FailureDomain, order.Market, time.Now().Add(bootTime))
 	}
-	f.count()
+	f.updateLowest()
 	return nil
 }
 
-// count notes how many replicas serve; the caller holds the lock.
-func (f *fleet) count() {
+// updateLowest updates the lowest number of serving replicas; the caller holds
+// the lock.
+func (f *fleet) updateLowest() {
 	serving := 0
-	for _, m := range f.machines {
-		if m.upstream.Instance.Market == zinniamast.OnDemand || m.listed {
+	for _, r := range f.replicas {
+		if r.upstream.Instance.Market == zinniamast.OnDemand || r.listed {
 			serving++
 		}
 	}
-	f.fewest = min(f.fewest, serving)
+	f.lowestServing = min(f.lowestServing, serving)
 }
 
-// least is the least number of replicas that served so far.
-func (f *fleet) least() int {
+// lowest returns the lowest number of serving replicas so far.
+func (f *fleet) lowest() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fewest
+	return f.lowestServing
 }
 
-// list enters replicas into the node's table when it is their time.
-func (f *fleet) list() {
+// listDue adds the replicas that are due to the node's table.
+func (f *fleet) listDue() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.machines {
-		if !m.listed && !time.Now().Before(m.listedAt) {
-			m.listed = true
-			f.board.Upstreams.Add(m.upstream)
+	for _, r := range f.replicas {
+		if !r.listed && !time.Now().Before(r.listedAt) {
+			r.listed = true
+			f.board.Upstreams.Add(r.upstream)
 		}
 	}
 }
 
-// reclaim takes all reclaimable replicas and gives no others.
+// reclaim stops all reclaimable replicas and makes the fleet refuse others.
 func (f *fleet) reclaim() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dry = true
-	kept := f.machines[:0]
-	for _, m := range f.machines {
-		if m.upstream.Instance.Market == zinniamast.Reclaimable {
-			f.board.Upstreams.Remove(m.upstream.Instance.ID)
+	f.reclaimableUnavailable = true
+	remaining := f.replicas[:0]
+	for _, r := range f.replicas {
+		if r.upstream.Instance.Market == zinniamast.Reclaimable {
+			f.board.Upstreams.Remove(r.upstream.Instance.ID)
 			continue
 		}
-		kept = append(kept, m)
+		remaining = append(remaining, r)
 	}
-	f.machines = kept
+	f.replicas = remaining
 }
 
-// size is how many replicas there are, starting ones included.
+// size returns the number of replicas, including those that are starting.
 func (f *fleet) size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.machines)
+	return len(f.replicas)
 }
 
-// give places a request at the replica that is free first, and returns how long
+// serve assigns a request to the replica that is free first and returns how long
 // it takes there; false means that it is refused.
-func (f *fleet) give(work time.Duration) (time.Duration, bool) {
+func (f *fleet) serve(work time.Duration) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var best *machine
-	for _, m := range f.machines {
-		if m.listed && (best == nil || m.free.Before(best.free)) {
-			best = m
+	var best *replica
+	for _, r := range f.replicas {
+		if r.listed && (best == nil || r.freeAt.Before(best.freeAt)) {
+			best = r
 		}
 	}
 	now := time.Now()
-	if best == nil || best.free.Sub(now) > aim {
+	if best == nil || best.freeAt.Sub(now) > latencyTarget {
 		return 0, false
 	}
-	if best.free.Before(now) {
-		best.free = now
+	if best.freeAt.Before(now) {
+		best.freeAt = now
 	}
-	best.free = best.free.Add(work)
-	return best.free.Sub(now), true
+	best.freeAt = best.freeAt.Add(work)
+	return best.freeAt.Sub(now), true
 }
 
-// outcome is what callers got, and what the fleet did.
+// outcome counts the results of the requests and the replicas of the fleet.
 type outcome struct {
-	asked, inAim, refused int
-	// fewest is the least number of replicas before the callers came.
-	fewest int
+	sent, withinTarget, refused int
+	// lowestServing is the lowest number of serving replicas before the first
+	// requests.
+	lowestServing int
 }
 
-// opening says how a fleet starts.
-type opening struct {
+// scenario describes how a fleet starts.
+type scenario struct {
 	// listedFrom is when the first replica is listed.
 	listedFrom time.Duration
-	// dry refuses reclaimable replicas.
-	dry bool
-	// restarted starts all instances again once callers have come; they know nothing
-	// then, and read the list whole.
-	restarted bool
+	// reclaimableUnavailable makes the fleet refuse orders for reclaimable replicas.
+	reclaimableUnavailable bool
+	// restart starts all instances again once requests have arrived; they know no
+	// load then, and read the complete list.
+	restart bool
 }
 
-// start plays a controller that starts with the fleet, and callers that come
-// after the lead.
-func start(t *testing.T, p opening) outcome {
+// runScenario runs a controller that starts with the fleet, and requests that
+// arrive after quietTime.
+func runScenario(t *testing.T, s scenario) outcome {
 	t.Helper()
 	var o outcome
 	synctest.Test(t, func(*testing.T) {
 		f := &fleet{
-			board:  blackboard.New(),
-			dry:    p.dry,
-			fewest: foundReplicas,
+			board:                  blackboard.New(),
+			reclaimableUnavailable: s.reclaimableUnavailable,
+			lowestServing:          initialReplicas,
 		}
-		for i := range foundReplicas {
-			listedAt := time.Now().Add(p.listedFrom + time.Duration(i)*time.Second/listedInSecond)
-			f.enter(domains[i%len(domains)], zinniamast.OnDemand, listedAt)
+		for i := range initialReplicas {
+			listedAt := time.Now().Add(s.listedFrom + time.Duration(i)*time.Second/listedPerSecond)
+			f.add(domains[i%len(domains)], zinniamast.OnDemand, listedAt)
 		}
-		asked, stop := f.run()
-		time.Sleep(lead)
-		fewest := f.least()
-		o = ask(f, asked)
-		o.fewest = fewest
+		load, stop := f.startController()
+		time.Sleep(quietTime)
+		lowest := f.lowest()
+		o = sendRequests(f, load)
+		o.lowestServing = lowest
 		stop()
-		if !p.restarted {
+		if !s.restart {
 			return
 		}
-		f.forget()
-		asked, stop = f.run()
-		o = ask(f, asked)
-		o.fewest = fewest
+		f.clearList()
+		load, stop = f.startController()
+		o = sendRequests(f, load)
+		o.lowestServing = lowest
 		stop()
 	})
 	return o
 }
 
-// run runs a controller that has just started until the returned function is called.
-func (f *fleet) run() (asked *demand.Demand, stop func()) {
-	asked = demand.New("a")
-	f.list()
+// startController runs a new controller until the returned function is called.
+func (f *fleet) startController() (load *demand.Demand, stop func()) {
+	load = demand.New("a")
+	f.listDue()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	controller := fleetController(f, asked)
+	controller := newFleetController(f, load)
 	running.Go(func() { controller.Run(ctx) })
 	running.Go(func() {
 		for ctx.Err() == nil {
-			f.list()
+			f.listDue()
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
-	return asked, func() {
+	return load, func() {
 		cancel()
 		running.Wait()
 	}
 }
 
-// forget empties the list, which is read whole by instances that start.
-func (f *fleet) forget() {
+// clearList empties the list, which starting instances read completely.
+func (f *fleet) clearList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.board = blackboard.New()
-	for _, m := range f.machines {
-		if m.listed {
-			m.listed = false
-			m.listedAt = time.Now()
+	for _, r := range f.replicas {
+		if r.listed {
+			r.listed = false
+			r.listedAt = time.Now()
 		}
 	}
 }
 
-// fleetController orders for the fleet and hears of the demand at once.
-func fleetController(f *fleet, asked *demand.Demand) *scaling.Controller {
+// newFleetController returns a controller that orders from the fleet and knows
+// the load without delay.
+func newFleetController(f *fleet, load *demand.Demand) *scaling.Controller {
 	s := service()
-	s.Scaling.Max = mostInDomain
+	s.Scaling.Max = maxPerDomain
 	s.Scaling.BootTime = bootTime
 	s.Engine = &routes.Engine{
 		Slots: 16,
@@ -279,107 +283,112 @@
 	return scaling.New(scaling.Config{
 		Routes:         table,
 		Upstreams:      f.board.Upstreams,
-		Demand:         asked,
-		Lease:          holder{},
+		Demand:         load,
+		Lease:          leaseHolder{},
 		Duties:         f,
 		FailureDomains: domains,
 		Logger:         slog.New(slog.DiscardHandler),
 	})
 }
 
-// ask sends requests at full size from the first moment on.
-func ask(f *fleet, asked *demand.Demand) outcome {
+// sendRequests sends requests at the full rate from the first moment on.
+func sendRequests(f *fleet, load *demand.Demand) outcome {
 	var o outcome
-	began := time.Now()
-	for time.Since(began) < played {
+	startedAt := time.Now()
+	for time.Since(startedAt) < loadTime {
 		work := requestWork
-		if time.Since(began) < unsizedFor {
+		if time.Since(startedAt) < unsizedTime {
 			work = 0
 		}
-		o.asked++
-		asked.Entered("svc", 2000)
-		asked.Sent("svc", work)
-		took, ok := f.give(requestWork)
+		o.sent++
+		load.Entered("svc", 2000)
+		load.Sent("svc", work)
+		took, ok := f.serve(requestWork)
 		if !ok {
 			o.refused++
-			asked.Left("svc")
+			load.Left("svc")
 		} else {
-			time.AfterFunc(took, func() { asked.Left("svc") })
+			time.AfterFunc(took, func() { load.Left("svc") })
 		}
-		if ok && took <= aim {
-			o.inAim++
+		if ok && took <= latencyTarget {
+			o.withinTarget++
 		}
-		time.Sleep(time.Second / perSecond)
+		time.Sleep(time.Second / requestsPerSecond)
 	}
 	return o
 }
 
-// Guards against a fleet sized by the part of the list that is seen at first: callers then meet a quarter of it.
-func TestListThatComesInPartsServesTheFirstCallers(t *testing.T) {
+// Guards against a fleet sized by the first part of the list, which serves the
+// first requests with a quarter of its replicas.
+func TestPartialListServesTheFirstCallers(t *testing.T) {
 	check := is.New(t)
-	o := start(t, opening{
+	o := runScenario(t, scenario{
 		listedFrom: time.Second,
 	})
 	t.Logf("%+v", o)
-	check.True(float64(o.inAim) >= 0.98*float64(o.asked))
+	check.True(float64(o.withinTarget) >= 0.98*float64(o.sent))
 	check.Equal(o.refused, 0)
 }
 
-// Guards against a fleet given back since the list of it begins a moment after orders may go out.
-func TestListThatComesLateServesTheFirstCallers(t *testing.T) {
+// Guards against stopping the fleet because its list begins to arrive just after
+// orders become possible.
+func TestLateListServesTheFirstCallers(t *testing.T) {
 	check := is.New(t)
-	o := start(t, opening{
+	o := runScenario(t, scenario{
 		listedFrom: 2200 * time.Millisecond,
 	})
 	t.Logf("%+v", o)
-	check.True(float64(o.inAim) >= 0.98*float64(o.asked))
+	check.True(float64(o.withinTarget) >= 0.98*float64(o.sent))
 	check.Equal(o.refused, 0)
 }
 
-// Guards against giving back dear replicas before anybody asks, while no cheap ones are to be had.
-func TestFoundReplicasStayWhileTheMarketIsDry(t *testing.T) {
+// Guards against stopping on-demand replicas before the first requests while no
+// reclaimable ones are available.
+func TestInitialReplicasStayWhileReclaimableAreUnavailable(t *testing.T) {
 	check := is.New(t)
-	o := start(t, opening{
-		listedFrom: time.Second,
-		dry:        true,
+	o := runScenario(t, scenario{
+		listedFrom:             time.Second,
+		reclaimableUnavailable: true,
 	})
 	t.Logf("%+v", o)
-	check.True(float64(o.inAim) >= 0.98*float64(o.asked))
+	check.True(float64(o.withinTarget) >= 0.98*float64(o.sent))
 	check.Equal(o.refused, 0)
-	check.True(o.fewest >= foundReplicas)
+	check.True(o.lowestServing >= initialReplicas)
 }
 
-// Guards against taking one's own orders on demand for replicas that were found, while nobody knows the demand.
-func TestOwnOrdersAreNotFound(t *testing.T) {
+// Guards against counting the node's own on-demand orders as initial replicas
+// while the demand is unknown.
+func TestOwnOrdersAreNotCountedAsInitial(t *testing.T) {
 	check := is.New(t)
 	synctest.Test(t, func(*testing.T) {
 		f := &fleet{
 			board: blackboard.New(),
 		}
-		for i := range foundReplicas {
-			f.enter(domains[i%len(domains)], zinniamast.Reclaimable, time.Now())
+		for i := range initialReplicas {
+			f.add(domains[i%len(domains)], zinniamast.Reclaimable, time.Now())
 		}
-		asked, stop := f.run()
+		load, stop := f.startController()
 		defer stop()
 		time.Sleep(3 * time.Second)
 		f.reclaim()
-		for range 20 * perSecond {
-			asked.Entered("svc", 2000)
-			asked.Left("svc")
-			time.Sleep(time.Second / perSecond)
+		for range 20 * requestsPerSecond {
+			load.Entered("svc", 2000)
+			load.Left("svc")
+			time.Sleep(time.Second / requestsPerSecond)
 		}
-		check.True(f.size() <= foundReplicas)
+		check.True(f.size() <= initialReplicas)
 	})
 }
 
-// Guards against giving replicas back when all instances start again and do not know yet what is asked.
+// Guards against stopping replicas when all instances restart and do not know the
+// load yet.
 func TestRestartOfAllInstancesKeepsTheFleet(t *testing.T) {
 	check := is.New(t)
-	o := start(t, opening{
+	o := runScenario(t, scenario{
 		listedFrom: time.Second,
-		restarted:  true,
+		restart:    true,
 	})
 	t.Logf("%+v", o)
-	check.True(float64(o.inAim) >= 0.98*float64(o.asked))
+	check.True(float64(o.withinTarget) >= 0.98*float64(o.sent))
 	check.Equal(o.refused, 0)
 }
