--- a/forward/answer.go
+++ b/forward/answer.go
@@ -16,117 +16,124 @@
 )
 
 const (
-	// heldBytes is how much of a plain answer is read before it is passed on:
-	// until then a broken one can still be told with a status. Answers of plain
-	// services are a few kilobytes.
-	heldBytes = 64 << 10
-	// streamBuffer holds the events of one read; an event is some 100 bytes.
-	streamBuffer = 16 << 10
-	// maxEvent bounds one event: a replica that never ends one would otherwise
-	// fill this node's memory.
-	maxEvent = 1 << 20
+	// maxBufferedBytes bounds how much of a plain answer is read before it is
+	// forwarded. Until then a broken answer can still be reported with a status.
+	// Answers of plain services are a few kilobytes.
+	maxBufferedBytes = 64 << 10
+	// streamBufferBytes is the size of the buffer for the events of one read. An
+	// event is about 100 bytes.
+	streamBufferBytes = 16 << 10
+	// maxEventBytes bounds one event. A replica that never ends an event would
+	// otherwise fill this node's memory.
+	maxEventBytes = 1 << 20
 )
 
-// answer is what goes to the caller.
+// answer is the response to the caller.
 type answer struct {
 	writer http.ResponseWriter
-	// began says that a part of a stream was passed on.
-	began bool
-	// last is the ID of the last event passed on, in a buffer that is used again,
-	// and events counts all of them.
-	last   []byte
+	// begun reports whether the header and a part of the body were forwarded.
+	begun bool
+	// lastID is the ID of the last forwarded event, in a buffer that is reused, and
+	// events counts the forwarded events.
+	lastID []byte
 	events int
-	// longest is the longest pause between two writes of events, and wrote when the
-	// last one was.
-	longest time.Duration
-	wrote   time.Time
-	// flush sends what was written; it is made once, so that an event allocates nothing.
+	// longestPause is the longest pause between two writes of events, and lastWrite
+	// is the time of the last write.
+	longestPause time.Duration
+	lastWrite    time.Time
+	// flush flushes the writer. It is created once per answer so that forwarding an
+	// event does not allocate.
 	flush func() error
 
-	// status, header and body hold a plain answer.
+	// status is the status sent to the caller; header and body belong to a buffered
+	// plain answer.
 	status int
 	header http.Header
 	body   []byte
 }
 
-// take judges an answer's head and passes the answer on.
-func (h *Handler) take(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+// forwardAnswer checks the status and the headers of a replica's answer and
+// forwards the answer to the caller.
+func (h *Handler) forwardAnswer(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
 	reply := h.config.Protocol.Reply(response)
-	if reply.ID != "" && reply.ID != c.ask.ID {
-		return fail(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer to request %q", reply.ID))
+	if reply.ID != "" && reply.ID != c.metadata.ID {
+		return upstreamError(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer belongs to request %q", reply.ID))
 	}
 	if reply.NotRun {
 		if reply.Elsewhere && h.config.Upstreams.MarkLeaving(upstream.Instance.ID, time.Time{}) {
-			h.config.Logger.Info("replica gone", "replica", upstream.Instance.ID, "sign", "another instance answers")
+			h.config.Logger.Info("replica marked as leaving", "replica", upstream.Instance.ID, "sign", "another instance answers")
 		}
-		return fail(upstream, zinniamast.FailureRefused, fmt.Errorf("forward: status %d", response.StatusCode))
+		return upstreamError(upstream, zinniamast.FailureRefused, fmt.Errorf("forward: replica refused the request with status %d", response.StatusCode))
 	}
 	if !reply.Signed || response.Header.Get("Content-Encoding") != "" {
-		return fail(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: an answer with status %d that is not the replica's", response.StatusCode))
+		return upstreamError(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer with status %d lacks the replica's signature or has a content encoding", response.StatusCode))
 	}
 	if c.route.Kind == routes.Stream && response.StatusCode == http.StatusOK {
-		return h.stream(a, c, upstream, response, w, started)
+		return h.forwardStream(a, c, upstream, response, w, started)
 	}
-	if a.began {
-		// The replica that was to go on with a stream answered otherwise.
-		return fail(upstream, zinniamast.FailureError, fmt.Errorf("forward: status %d instead of the rest of a stream", response.StatusCode))
+	if a.begun {
+		// The replica that was to resume the stream sent another kind of answer.
+		return upstreamError(upstream, zinniamast.FailureError, fmt.Errorf("forward: replica answered with status %d instead of resuming the stream", response.StatusCode))
 	}
-	return h.plain(a, c, upstream, response, w, started)
+	return h.forwardPlain(a, c, upstream, response, w, started)
 }
 
-// plain takes a whole answer.
-func (h *Handler) plain(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
-	h.began(c, upstream, started)
+// forwardPlain forwards an answer that is not a stream. An answer of less than
+// maxBufferedBytes is read whole before the first byte goes to the caller. A
+// server error on a safe route is kept and the request may be retried.
+func (h *Handler) forwardPlain(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+	h.recordStart(c, upstream, started)
 	w.Heard()
-	body, err := io.ReadAll(io.LimitReader(response.Body, heldBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
-		return fail(upstream, zinniamast.FailureCutShort, err)
+		return upstreamError(upstream, zinniamast.FailureCutShort, err)
 	}
-	held := &answer{
+	buffered := &answer{
 		status: response.StatusCode,
 		header: response.Header,
 		body:   body,
 	}
-	dropHopByHop(held.header)
+	dropHopByHop(buffered.header)
 	if response.StatusCode >= http.StatusInternalServerError && c.route.Kind == routes.Safe {
-		c.held = held
-		return fail(upstream, zinniamast.FailureError, fmt.Errorf("forward: status %d", response.StatusCode))
+		c.failedAnswer = buffered
+		return upstreamError(upstream, zinniamast.FailureError, fmt.Errorf("forward: replica failed with status %d", response.StatusCode))
 	}
-	a.status = held.status
-	if len(body) < heldBytes {
-		held.deliver(a.writer)
+	a.status = buffered.status
+	if len(body) < maxBufferedBytes {
+		buffered.writeTo(a.writer)
 		return nil
 	}
-	return h.passOn(a, held, upstream, response)
+	return h.forwardLarge(a, buffered, upstream, response)
 }
 
-// deliver writes a whole answer.
-func (a *answer) deliver(w http.ResponseWriter) {
+// writeTo writes a buffered answer.
+func (a *answer) writeTo(w http.ResponseWriter) {
 	copyHeader(w.Header(), a.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	w.WriteHeader(a.status)
 	_, _ = w.Write(a.body)
 }
 
-// passOn writes a large answer as it comes.
-func (h *Handler) passOn(a, held *answer, upstream *blackboard.Upstream, response *http.Response) *zinniamast.UpstreamError {
-	copyHeader(a.writer.Header(), held.header)
+// forwardLarge writes the buffered start of a large answer and copies the rest as
+// it arrives.
+func (h *Handler) forwardLarge(a, buffered *answer, upstream *blackboard.Upstream, response *http.Response) *zinniamast.UpstreamError {
+	copyHeader(a.writer.Header(), buffered.header)
 	if response.ContentLength >= 0 {
 		a.writer.Header().Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
 	}
-	a.began = true
-	a.writer.WriteHeader(held.status)
-	if _, err := a.writer.Write(held.body); err != nil {
-		return fail(upstream, zinniamast.FailureStopped, err)
+	a.begun = true
+	a.writer.WriteHeader(buffered.status)
+	if _, err := a.writer.Write(buffered.body); err != nil {
+		return upstreamError(upstream, zinniamast.FailureStopped, err)
 	}
 	if _, err := io.Copy(a.writer, response.Body); err != nil {
-		return fail(upstream, zinniamast.FailureCutShort, err)
+		return upstreamError(upstream, zinniamast.FailureCutShort, err)
 	}
 	return nil
 }
 
-// copyHeader copies a replica's headers. Without a Content-Type of the
-// replica's, net/http must not guess one.
+// copyHeader copies a replica's headers except Content-Length. If the replica
+// sent no Content-Type, the nil value keeps net/http from detecting one.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if name != "Content-Length" {
@@ -138,58 +145,62 @@
 	}
 }
 
-// buffers are shared by streams, so that an event allocates nothing.
-var buffers = sync.Pool{
+// streamBuffers pools read buffers so that forwarding a stream does not allocate
+// a new one.
+var streamBuffers = sync.Pool{
 	New: func() any {
-		buffer := make([]byte, streamBuffer)
+		buffer := make([]byte, streamBufferBytes)
 		return &buffer
 	},
 }
 
-// stream passes events on as they come, whole ones only: a replica may stop in
-// the middle of one, and the next replica begins with the whole event.
-func (h *Handler) stream(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
-	pooled, _ := buffers.Get().(*[]byte)
-	defer buffers.Put(pooled)
+// forwardStream forwards events as they arrive. It forwards whole events only,
+// because a replica may stop in the middle of an event and the replica that
+// resumes the stream sends that event again from its start.
+func (h *Handler) forwardStream(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+	pooled, _ := streamBuffers.Get().(*[]byte)
+	defer streamBuffers.Put(pooled)
 	buffer := *pooled
 	filled := 0
 	for {
-		if filled >= maxEvent {
-			return fail(upstream, zinniamast.FailureCutShort, fmt.Errorf("forward: an event above %d bytes", maxEvent))
+		if filled >= maxEventBytes {
+			return upstreamError(upstream, zinniamast.FailureCutShort, fmt.Errorf("forward: event is larger than %d bytes", maxEventBytes))
 		}
 		if filled == len(buffer) {
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
 		n, err := response.Body.Read(buffer[filled:])
 		filled += n
-		whole := wholeEvents(buffer[:filled])
+		whole := wholeEventsLength(buffer[:filled])
 		if whole > 0 {
-			if !c.began {
-				h.began(c, upstream, started)
+			if !c.startRecorded {
+				h.recordStart(c, upstream, started)
 			}
-			c.moving, c.holds = false, 0
-			// A caller that reads slowly holds the write up, and the replica with it.
+			c.leftSilentReplica, c.resumeWaits = false, 0
+			// A caller that reads slowly blocks the write. Nothing is read from the
+			// replica meanwhile, so the silence watch is suspended.
 			w.Rest()
-			if failed := a.pass(buffer[:whole], response); failed != nil {
-				return fail(upstream, zinniamast.FailureStopped, failed)
+			if writeErr := a.writeEvents(buffer[:whole], response); writeErr != nil {
+				return upstreamError(upstream, zinniamast.FailureStopped, writeErr)
 			}
 			w.Heard()
 			filled = copy(buffer, buffer[whole:filled])
 		}
-		if err == io.EOF && filled == 0 && a.began {
+		if err == io.EOF && filled == 0 && a.begun {
 			return nil
 		}
 		if err != nil {
-			return fail(upstream, zinniamast.FailureCutShort, fmt.Errorf("forward: stream ended with %d bytes of an event: %w", filled, err))
+			return upstreamError(upstream, zinniamast.FailureCutShort, fmt.Errorf("forward: stream ended after %d bytes of an incomplete event: %w", filled, err))
 		}
 	}
 }
 
-// eventEnd ends an event of a stream.
+// eventEnd terminates each event of a stream.
 var eventEnd = []byte("\n\n")
 
-// wholeEvents returns the length of the leading whole events.
-func wholeEvents(data []byte) int {
+// wholeEventsLength returns the length in bytes of the whole events at the start
+// of the data.
+func wholeEventsLength(data []byte) int {
 	at := bytes.LastIndex(data, eventEnd)
 	if at < 0 {
 		return 0
@@ -197,32 +208,33 @@
 	return at + len(eventEnd)
 }
 
-// pass writes whole events and remembers the last one's ID.
-func (a *answer) pass(data []byte, response *http.Response) error {
-	if !a.began {
+// writeEvents writes whole events to the caller, preceded by the header if nothing
+// was written yet, and records the ID of the last event.
+func (a *answer) writeEvents(data []byte, response *http.Response) error {
+	if !a.begun {
 		dropHopByHop(response.Header)
 		copyHeader(a.writer.Header(), response.Header)
 		a.writer.WriteHeader(response.StatusCode)
 		a.status = response.StatusCode
 		a.flush = http.NewResponseController(a.writer).Flush
-		a.began = true
+		a.begun = true
 	}
 	now := time.Now()
-	if !a.wrote.IsZero() {
-		a.longest = max(a.longest, now.Sub(a.wrote))
+	if !a.lastWrite.IsZero() {
+		a.longestPause = max(a.longestPause, now.Sub(a.lastWrite))
 	}
-	a.wrote = now
+	a.lastWrite = now
 	if _, err := a.writer.Write(data); err != nil {
 		return err
 	}
 	a.events += bytes.Count(data, eventEnd)
 	if id := lastID(data); len(id) > 0 {
-		a.last = append(a.last[:0], id...)
+		a.lastID = append(a.lastID[:0], id...)
 	}
 	return a.flush()
 }
 
-// idField begins the line of an event that holds its ID.
+// idField starts the line of an event that contains its ID.
 var idField = []byte("id:")
 
 // lastID returns the ID of the last event that has one.
@@ -241,43 +253,48 @@
 	return bytes.TrimSpace(line)
 }
 
-// began notes that a replica has begun to answer.
-func (h *Handler) began(c *call, upstream *blackboard.Upstream, started time.Time) {
+// recordStart reports the first byte of a replica's answer to the router. On the
+// first call for a request it also records the time to the first byte and counts
+// the request for the usage report of its organisation.
+func (h *Handler) recordStart(c *call, upstream *blackboard.Upstream, started time.Time) {
 	h.observe(c, upstream.Instance.ID, zinniamast.ObservedFirstToken, time.Since(started), "", 0)
-	if c.began {
+	if c.startRecorded {
 		return
 	}
-	c.began = true
-	c.first = time.Since(c.arrived)
-	h.metrics.first.Observe(c.first.Seconds())
+	c.startRecorded = true
+	c.timeToFirst = time.Since(c.arrived)
+	h.metrics.timeToFirst.Observe(c.timeToFirst.Seconds())
 	if c.organisation != nil {
 		h.config.Meter.Began(c.organisation.Name)
 	}
 }
 
-// finished notes a request that a replica has answered.
-func (h *Handler) finished(a *answer, c *call, upstream *blackboard.Upstream) {
+// recordAnswer counts and logs a request that a replica has answered.
+func (h *Handler) recordAnswer(a *answer, c *call, upstream *blackboard.Upstream) {
 	h.metrics.answered.WithLabelValues(statusClass(a.status)).Inc()
 	if a.events > 0 {
-		h.metrics.pause.Observe(a.longest.Seconds())
+		h.metrics.longestPause.Observe(a.longestPause.Seconds())
 	}
-	h.config.Logger.Info("answered", "request", c.ask.ID, "service", c.service, "replica", upstream.Instance.ID,
-		"status", a.status, "sends", c.sends, "arrivals", c.arrivals, "last_event", string(a.last),
-		"first", c.first.Round(time.Millisecond), "pause", a.longest.Round(time.Millisecond),
+	h.config.Logger.Info("request answered", "request", c.metadata.ID, "service", c.service, "replica", upstream.Instance.ID,
+		"status", a.status, "sends", c.sends, "arrivals", c.arrivals, "last_event", string(a.lastID),
+		"first", c.timeToFirst.Round(time.Millisecond), "pause", a.longestPause.Round(time.Millisecond),
 		"elapsed", time.Since(c.arrived).Round(time.Millisecond))
 }
 
-// finishedHeld notes a request that is answered by a replica's own failure.
-func (h *Handler) finishedHeld(c *call) {
-	h.metrics.answered.WithLabelValues(statusClass(c.held.status)).Inc()
-	h.config.Logger.Info("answered", "request", c.ask.ID, "service", c.service,
-		"status", c.held.status, "sends", c.sends, "arrivals", c.arrivals,
+// recordFailedAnswer counts and logs a request whose caller received the kept
+// failure of a replica.
+func (h *Handler) recordFailedAnswer(c *call) {
+	h.metrics.answered.WithLabelValues(statusClass(c.failedAnswer.status)).Inc()
+	h.config.Logger.Info("request answered", "request", c.metadata.ID, "service", c.service,
+		"status", c.failedAnswer.status, "sends", c.sends, "arrivals", c.arrivals,
 		"elapsed", time.Since(c.arrived).Round(time.Millisecond))
 }
 
+// statusClass returns the class of an HTTP status as a metric label, for example 2xx.
 func statusClass(status int) string { return strconv.Itoa(status/100) + "xx" }
 
-// setBody gives a request its body whole, with its length.
+// setBody sets the body of a request and its length, and lets net/http read the
+// body again for a repeated send.
 func setBody(request *http.Request, body []byte) {
 	if len(body) == 0 {
 		request.Body = http.NoBody
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -19,43 +19,43 @@
 	"zinniamast/standin/replica"
 )
 
-// A caller gets its replica's answer as it is, and the replica gets the
-// caller's request as it is, but for what the system sets: a caller must not
-// choose its organisation, its replica or its place in memory.
-func TestPassesOnUnchanged(t *testing.T) {
-	b := newBed(t, 1)
-	request := b.request(http.MethodPost, pathPay+"%2Fy?q=%20z", "the body")
+// Guards against a change of a forwarded request or answer, except for the headers
+// that the system sets. A caller must not choose its organisation, its replica or
+// how its KV cache is kept.
+func TestForwardsUnchanged(t *testing.T) {
+	f := newFixture(t, 1)
+	request := f.request(http.MethodPost, pathUnsafe+"%2Fy?q=%20z", "the body")
 	for _, name := range []string{"Zinniamast-Tenant", "Zinniamast-Kv-Hold", "Kv-From", "Zinniamast-Pin-Ms", "Zinniamast-Kv-Backup", "Zinniamast-Request-Priority"} {
 		request.Header.Set(name, "forged")
 	}
 	request.Header.Set("X-Own", "kept")
 	request.Header.Set("Connection", "X-Dropped")
 	request.Header.Set("X-Dropped", "1")
-	answer := b.do(request)
-	b.is.Equal(answer.status, http.StatusOK)
-	b.is.Equal(answer.body, "i-a ran r-1")
-	b.is.Equal(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-i-a")
-	run := b.replicas[0].Runs()[0]
-	b.is.Equal(run.Method, http.MethodPost)
-	b.is.Equal(run.Target, pathPay+"%2Fy?q=%20z")
-	b.is.Equal(run.Body, "the body")
-	b.is.Equal(run.Header.Get("Zinniamast-Tenant"), "acme")
-	b.is.Equal(run.Header.Get("Zinniamast-Expect-Instance"), "i-a")
-	b.is.Equal(run.Header.Get("Zinniamast-Request-Priority"), "0")
-	b.is.Equal(run.Header.Get("X-Own"), "kept")
+	answer := f.do(request)
+	f.is.Equal(answer.status, http.StatusOK)
+	f.is.Equal(answer.body, "i-a ran r-1")
+	f.is.Equal(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-i-a")
+	run := f.replicas[0].Runs()[0]
+	f.is.Equal(run.Method, http.MethodPost)
+	f.is.Equal(run.Target, pathUnsafe+"%2Fy?q=%20z")
+	f.is.Equal(run.Body, "the body")
+	f.is.Equal(run.Header.Get("Zinniamast-Tenant"), "acme")
+	f.is.Equal(run.Header.Get("Zinniamast-Expect-Instance"), "i-a")
+	f.is.Equal(run.Header.Get("Zinniamast-Request-Priority"), "0")
+	f.is.Equal(run.Header.Get("X-Own"), "kept")
 	for _, name := range []string{"Api-Key", "Zinniamast-Kv-Hold", "Kv-From", "Zinniamast-Pin-Ms", "Zinniamast-Kv-Backup", "X-Dropped"} {
-		b.is.Equal(run.Header.Get(name), "")
+		f.is.Equal(run.Header.Get(name), "")
 	}
 	left, err := strconv.Atoi(run.Header.Get("Zinniamast-Deadline-Ms"))
-	b.is.NoErr(err)
-	b.is.True(left > 1000 && left <= 1500)
-	b.is.Equal(b.began.Load(), int64(1))
+	f.is.NoErr(err)
+	f.is.True(left > 1000 && left <= 1500)
+	f.is.Equal(f.started.Load(), int64(1))
 }
 
-// A caller that asks for what no configuration allows gets a clear answer, and
-// no replica hears of it.
-func TestRefusesWhatIsNotAllowed(t *testing.T) {
-	b := newBed(t, 1)
+// Guards against forwarding a request that the configuration does not allow. The
+// caller gets the right status and the request reaches no replica.
+func TestRejectsDisallowedRequests(t *testing.T) {
+	f := newFixture(t, 1)
 	cases := []struct {
 		name   string
 		change func(*http.Request)
@@ -68,17 +68,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			request := b.request(http.MethodPost, pathPay, "x")
+			request := f.request(http.MethodPost, pathUnsafe, "x")
 			c.change(request)
-			is.New(t).Equal(b.do(request).status, c.status)
+			is.New(t).Equal(f.do(request).status, c.status)
 		})
 	}
-	b.is.Equal(b.do(b.request(http.MethodPost, pathPay, strings.Repeat("x", 2<<10))).status, http.StatusRequestEntityTooLarge)
-	b.is.Equal(b.runs(), 0)
+	f.is.Equal(f.do(f.request(http.MethodPost, pathUnsafe, strings.Repeat("x", 2<<10))).status, http.StatusRequestEntityTooLarge)
+	f.is.Equal(f.runCount(), 0)
 }
 
-// The replica resets the connection after it has read a booking. The caller
-// must not be told that it has not run, and no second replica may run it.
+// Guards against running an unsafe request twice. After the replica has read the
+// request it resets the connection, cuts its answer or sends an answer that is not
+// its own. The caller must not be told that the request has not run, and no second
+// replica may run it.
 func TestUnsafeRunsOnce(t *testing.T) {
 	for name, behaviour := range map[string]replica.Behaviour{
 		"reset":    {Reset: true},
@@ -87,95 +89,98 @@
 		"unsigned": {Unsigned: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, 3)
-			b.all(behaviour)
-			answer := b.do(b.request(http.MethodPost, pathPay, "x"))
-			b.is.Equal(answer.status, http.StatusBadGateway)
-			b.is.Equal(b.runs(), 1)
+			f := newFixture(t, 3)
+			f.setBehaviour(behaviour)
+			answer := f.do(f.request(http.MethodPost, pathUnsafe, "x"))
+			f.is.Equal(answer.status, http.StatusBadGateway)
+			f.is.Equal(f.runCount(), 1)
 		})
 	}
 }
 
-// A replica says that it has not run a booking: another may. Where all say so
-// the caller hears "not run" and when to come back.
-func TestNotRunIsTrue(t *testing.T) {
-	b := newBed(t, 2)
-	b.replicas[0].Behave(replica.Behaviour{
+// Guards against not retrying an unsafe request that its replica reports as not run.
+// If all replicas report that, the caller gets 503 and a Retry-After header.
+func TestRetriesRequestNotRun(t *testing.T) {
+	f := newFixture(t, 2)
+	f.replicas[0].Behave(replica.Behaviour{
 		NotRun: true,
 	})
 	for range 4 {
-		b.is.Equal(b.do(b.request(http.MethodPost, pathPay, "x")).status, http.StatusOK)
+		f.is.Equal(f.do(f.request(http.MethodPost, pathUnsafe, "x")).status, http.StatusOK)
 	}
-	b.all(replica.Behaviour{
+	f.setBehaviour(replica.Behaviour{
 		NotRun: true,
 	})
-	answer := b.do(b.request(http.MethodPost, pathPay, "x"))
-	b.is.Equal(answer.status, http.StatusServiceUnavailable)
+	answer := f.do(f.request(http.MethodPost, pathUnsafe, "x"))
+	f.is.Equal(answer.status, http.StatusServiceUnavailable)
 	wait, err := strconv.ParseFloat(answer.header.Get("Retry-After"), 64)
-	b.is.NoErr(err)
-	b.is.True(wait > 0 && wait < 5)
+	f.is.NoErr(err)
+	f.is.True(wait > 0 && wait < 5)
 }
 
-// A booking hangs at its replica until the route's time is up. The caller gets
-// its answer then and not later, one that promises nothing, and the replica
-// hears that nobody waits.
+// Guards against an answer after the deadline. An unsafe request hangs at its
+// replica. At the deadline the caller gets a status that does not promise that the
+// request has not run, and the replica's request is cancelled.
 func TestAnswersAtTheTimeout(t *testing.T) {
-	b := newBed(t, 1)
-	b.all(replica.Behaviour{
+	f := newFixture(t, 1)
+	f.setBehaviour(replica.Behaviour{
 		Hang: true,
 	})
-	request := b.request(http.MethodPost, pathPay, "x")
+	request := f.request(http.MethodPost, pathUnsafe, "x")
 	request.Header.Set("Zinniamast-Deadline-Ms", "400")
-	began := time.Now()
-	b.is.Equal(b.do(request).status, http.StatusGatewayTimeout)
-	took := time.Since(began)
-	b.is.True(took >= 400*time.Millisecond && took < 900*time.Millisecond)
-	waitClosed(t, b.replicas[0].Runs()[0].Left)
+	started := time.Now()
+	f.is.Equal(f.do(request).status, http.StatusGatewayTimeout)
+	took := time.Since(started)
+	f.is.True(took >= 400*time.Millisecond && took < 900*time.Millisecond)
+	waitClosed(t, f.replicas[0].Runs()[0].Left)
 }
 
-// The caller of a stream leaves. Its replica is freed within half a second.
-func TestCallerLeaves(t *testing.T) {
-	b := newBed(t, 1)
-	b.all(replica.Behaviour{
+// Guards against a replica that continues to work for a disconnected caller. Its
+// request must be cancelled within half a second.
+func TestCallerDisconnects(t *testing.T) {
+	f := newFixture(t, 1)
+	f.setBehaviour(replica.Behaviour{
 		Hang: true,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(100*time.Millisecond, cancel)
-	b.is.True(b.do(b.request(http.MethodPost, pathSay, "x").WithContext(ctx)).broken)
-	waitClosed(t, b.replicas[0].Runs()[0].Left)
-	b.is.Equal(b.runs(), 1)
+	f.is.True(f.do(f.request(http.MethodPost, pathResumable, "x").WithContext(ctx)).broken)
+	waitClosed(t, f.replicas[0].Runs()[0].Left)
+	f.is.Equal(f.runCount(), 1)
 }
 
+// waitClosed fails the test if the channel is not closed within half a second.
 func waitClosed(t *testing.T, left chan struct{}) {
 	t.Helper()
 	select {
 	case <-left:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the replica still works half a second later")
+		t.Fatal("replica still runs the request after 500ms")
 	}
 }
 
-// A lookup fails at one replica with its own error; another answers it. Where
-// every replica fails, the caller gets a replica's own failure unchanged.
-func TestSafeGoesOn(t *testing.T) {
-	b := newBed(t, 2)
-	b.replicas[0].Behave(replica.Behaviour{
+// Guards against returning a replica's server error for a safe request that another
+// replica can answer. If every replica fails, the caller gets one of their failed
+// answers unchanged.
+func TestSafeRequestIsRetried(t *testing.T) {
+	f := newFixture(t, 2)
+	f.replicas[0].Behave(replica.Behaviour{
 		Status: http.StatusInternalServerError,
 	})
 	for range 4 {
-		b.is.Equal(b.do(b.request(http.MethodGet, pathGet, "")).status, http.StatusOK)
+		f.is.Equal(f.do(f.request(http.MethodGet, pathSafe, "")).status, http.StatusOK)
 	}
-	b.all(replica.Behaviour{
+	f.setBehaviour(replica.Behaviour{
 		Status: http.StatusInternalServerError,
 	})
-	before := b.runs()
-	answer := b.do(b.request(http.MethodGet, pathGet, ""))
-	b.is.Equal(answer.status, http.StatusInternalServerError)
-	b.is.True(strings.HasPrefix(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-"))
-	b.is.Equal(b.runs()-before, 2) // the route's attempts
+	before := f.runCount()
+	answer := f.do(f.request(http.MethodGet, pathSafe, ""))
+	f.is.Equal(answer.status, http.StatusInternalServerError)
+	f.is.True(strings.HasPrefix(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-"))
+	f.is.Equal(f.runCount()-before, 2) // the route's attempts
 }
 
-// events is what a whole stream of n events looks like.
+// events returns the body of a whole stream of n events.
 func events(n int) string {
 	var text strings.Builder
 	for i := 1; i <= n; i++ {
@@ -184,95 +189,99 @@
 	return text.String()
 }
 
-// A replica breaks off in the middle of an event. The caller of a resumable
-// stream gets every event once, in order and whole, within one answer that
-// keeps the first replica's mark.
+// Guards against lost, repeated or partial events when a replica fails in the middle
+// of an event. The caller of a resumable stream gets every event once, in order and
+// whole, in a single answer that keeps the first replica's headers.
 func TestStreamResumes(t *testing.T) {
-	b := newBed(t, 2)
-	b.all(replica.Behaviour{
+	f := newFixture(t, 2)
+	f.setBehaviour(replica.Behaviour{
 		Events:     9,
 		BreakAfter: 5,
 		Gap:        5 * time.Millisecond,
 	})
 	go func() {
-		for b.runs() == 0 {
+		for f.runCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		b.all(replica.Behaviour{
+		f.setBehaviour(replica.Behaviour{
 			Events: 9,
 		})
 	}()
-	answer := b.do(b.request(http.MethodPost, pathSay, "x"))
-	b.is.Equal(answer.body, events(9))
-	b.is.True(!answer.broken)
-	b.is.Equal(b.runs(), 2)
-	for _, r := range b.replicas {
+	answer := f.do(f.request(http.MethodPost, pathResumable, "x"))
+	f.is.Equal(answer.body, events(9))
+	f.is.True(!answer.broken)
+	f.is.Equal(f.runCount(), 2)
+	for _, r := range f.replicas {
 		for _, run := range r.Runs() {
 			if after := run.Header.Get("Last-Event-Id"); after != "" {
-				b.is.Equal(after, "5")
+				f.is.Equal(after, "5")
 			}
 		}
 	}
 }
 
-// A replica breaks off a stream that may not be resumed. The caller sees a
-// broken answer and never one that looks complete, and nothing runs again.
-func TestStreamBreaksOff(t *testing.T) {
-	b := newBed(t, 2)
-	b.all(replica.Behaviour{
+// Guards against an incomplete answer that looks complete. A replica breaks off a
+// stream that must not be resumed: the caller's connection breaks too, and the
+// request is not sent again.
+func TestUnresumableStreamIsBrokenOff(t *testing.T) {
+	f := newFixture(t, 2)
+	f.setBehaviour(replica.Behaviour{
 		Events:     9,
 		BreakAfter: 5,
 	})
-	answer := b.do(b.request(http.MethodPost, pathOne, "x"))
-	b.is.True(answer.broken)
-	b.is.Equal(answer.body, events(5))
-	b.is.Equal(b.runs(), 1)
+	answer := f.do(f.request(http.MethodPost, pathStream, "x"))
+	f.is.True(answer.broken)
+	f.is.Equal(answer.body, events(5))
+	f.is.Equal(f.runCount(), 1)
 }
 
-// Another instance has taken over a replica's address. It says so and runs
-// nothing, the request goes elsewhere, and the address gets no more work.
+// Guards against sending more requests to an address that another instance has taken
+// over. That instance refuses the request and runs nothing, the request goes to
+// another replica, and the former replica is marked as leaving.
 func TestAddressTakenOver(t *testing.T) {
-	b := newBed(t, 2)
-	b.replicas[0].Behave(replica.Behaviour{
+	f := newFixture(t, 2)
+	f.replicas[0].Behave(replica.Behaviour{
 		Elsewhere: true,
 	})
-	// The router draws between equal replicas: 64 draws meet both.
+	// The router chooses randomly between equal replicas; 64 requests reach both.
 	for range 64 {
-		b.is.Equal(b.do(b.request(http.MethodPost, pathPay, "x")).status, http.StatusOK)
+		f.is.Equal(f.do(f.request(http.MethodPost, pathUnsafe, "x")).status, http.StatusOK)
 	}
-	b.is.True(len(b.replicas[0].Runs()) <= 1)
-	b.is.True(b.upstream.Get("i-a").Leaving())
+	f.is.True(len(f.replicas[0].Runs()) <= 1)
+	f.is.True(f.upstreams.Get("i-a").Leaving())
 }
 
-// An organisation is beyond its allowance, or the node stops: the caller is
-// told at once that nothing has run, and when to come back.
+// Guards against running a request of an organisation that has used up its allowance,
+// or a request to a stopping node. The caller gets at once a status which promises
+// that the request has not run; the first kind also states a retry time.
 func TestRefusalsBeforeRunning(t *testing.T) {
-	b := newBed(t, 1)
-	b.refuse.Store(int64(700 * time.Millisecond))
-	answer := b.do(b.request(http.MethodPost, pathPay, "x"))
-	b.is.Equal(answer.status, http.StatusTooManyRequests)
-	b.is.Equal(answer.header.Get("Retry-After"), "0.700")
-	b.refuse.Store(0)
-	b.closing.Store(true)
-	answer = b.do(b.request(http.MethodPost, pathPay, "x"))
-	b.is.Equal(answer.status, http.StatusServiceUnavailable)
-	b.is.True(answer.closes)
-	b.is.Equal(b.runs(), 0)
+	f := newFixture(t, 1)
+	f.refusalWait.Store(int64(700 * time.Millisecond))
+	answer := f.do(f.request(http.MethodPost, pathUnsafe, "x"))
+	f.is.Equal(answer.status, http.StatusTooManyRequests)
+	f.is.Equal(answer.header.Get("Retry-After"), "0.700")
+	f.refusalWait.Store(0)
+	f.closing.Store(true)
+	answer = f.do(f.request(http.MethodPost, pathUnsafe, "x"))
+	f.is.Equal(answer.status, http.StatusServiceUnavailable)
+	f.is.True(answer.closes)
+	f.is.Equal(f.runCount(), 0)
 }
 
-// The failure domain is cut off: no replica outside takes a connection, and
-// each try costs the whole time of a connect. After the first the request goes
-// to a replica beside the node, and is not refused after four.
-func TestCutOffDomainServesItself(t *testing.T) {
-	b := newBed(t, 1)
+// Guards against refusing a request after four connect timeouts to replicas in other
+// failure domains while this node's domain is cut off. After the first timeout the
+// request goes to a replica in the node's own domain.
+func TestIsolatedDomainUsesItsOwnReplicas(t *testing.T) {
+	f := newFixture(t, 1)
 	for i := range 6 {
 		id := "i-far-" + strconv.Itoa(i)
-		b.upstream.Add(&blackboard.Upstream{
+		f.upstreams.Add(&blackboard.Upstream{
 			Instance: zinniamast.Instance{
 				ID:            id,
 				Service:       "svc",
 				FailureDomain: "far",
-				// A documentation address: nothing answers there, or it is refused at once.
+				// The address is reserved for documentation: the connect times out or
+				// is refused at once.
 				Address: "192.0.2.1:9",
 				Started: time.UnixMilli(1),
 			},
@@ -281,33 +290,34 @@
 				Address:     "http://192.0.2.1:9",
 				DialTimeout: 100 * time.Millisecond,
 			}),
-			// Nothing runs there, while the near one seems busy.
+			// The idle replicas in the other domain rank before the busy near one.
 			Slots: 1000,
 		})
 	}
 	for range 8 {
-		b.upstream.Get("i-a").Enter() // crowded: the far ones come first
+		f.upstreams.Get("i-a").Enter() // makes the router prefer the other replicas
 	}
-	answer := b.do(b.request(http.MethodPost, pathPay, "x"))
-	b.is.Equal(answer.status, http.StatusOK)
-	b.is.Equal(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-i-a")
+	answer := f.do(f.request(http.MethodPost, pathUnsafe, "x"))
+	f.is.Equal(answer.status, http.StatusOK)
+	f.is.Equal(answer.header.Get("Zinniamast-Server-Stamp"), "stamp-i-a")
 }
 
-// raw sends bytes as they are and returns what comes back within a moment.
-func (b *bed) raw(text string) string {
-	conn, err := net.Dial("tcp", strings.TrimPrefix(b.server.URL, "http://"))
-	b.is.NoErr(err)
+// sendRaw sends text on a new connection and returns what arrives within 300 ms.
+func (f *fixture) sendRaw(text string) string {
+	conn, err := net.Dial("tcp", strings.TrimPrefix(f.server.URL, "http://"))
+	f.is.NoErr(err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, text)
-	b.is.NoErr(err)
-	b.is.NoErr(conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond)))
-	answer, _ := io.ReadAll(conn) // ends with the deadline where the connection stays
+	f.is.NoErr(err)
+	f.is.NoErr(conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond)))
+	answer, _ := io.ReadAll(conn) // ends at the read deadline if the connection stays open
 	return string(answer)
 }
 
-// A caller sends what could be read in two ways: two lengths, a length beside
-// chunks, a header in the body of another request, no path. Nothing that was
-// smuggled in reaches a replica, and the caller hears a clear error.
+// Guards against request smuggling. A caller sends requests that can be parsed in two
+// ways: with two lengths, with both a length and chunks, with a request in the body
+// of another one, or without a path. No smuggled request may reach a replica, and
+// malformed requests are answered with 400.
 func TestMalformedRequests(t *testing.T) {
 	const head = "Host: models.example\r\nZinniamast-Request-Id: r-1\r\nApi-Key: " + key + "\r\n"
 	const hidden = "POST /pay/hidden HTTP/1.1\r\n" + head + "\r\n"
@@ -324,158 +334,160 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, 1)
-			answer := b.raw(c.text)
-			b.is.True(strings.HasPrefix(answer, c.status))
-			b.is.Equal(b.runs(), c.runs)
-			for _, run := range b.replicas[0].Runs() {
-				b.is.Equal(run.Target, "/pay/x")
+			f := newFixture(t, 1)
+			answer := f.sendRaw(c.text)
+			f.is.True(strings.HasPrefix(answer, c.status))
+			f.is.Equal(f.runCount(), c.runs)
+			for _, run := range f.replicas[0].Runs() {
+				f.is.Equal(run.Target, "/pay/x")
 			}
 		})
 	}
 }
 
-// A caller sends half of a body and stops. Its time runs out, nothing has run,
-// and the connection is not used again.
+// Guards against waiting for a caller that stops in the middle of its body. At the
+// deadline the request is refused without having run, and the connection is closed.
 func TestSlowBody(t *testing.T) {
-	b := newBed(t, 1)
-	conn, err := net.Dial("tcp", strings.TrimPrefix(b.server.URL, "http://"))
-	b.is.NoErr(err)
+	f := newFixture(t, 1)
+	conn, err := net.Dial("tcp", strings.TrimPrefix(f.server.URL, "http://"))
+	f.is.NoErr(err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "POST /pay/x HTTP/1.1\r\nHost: models.example\r\nZinniamast-Request-Id: r-1\r\nApi-Key: "+key+
 		"\r\nZinniamast-Deadline-Ms: 300\r\nContent-Length: 9\r\n\r\nhalf")
-	b.is.NoErr(err)
-	began := time.Now()
-	answer, err := io.ReadAll(conn) // to the connection's end
-	b.is.NoErr(err)
-	b.is.True(strings.HasPrefix(string(answer), "HTTP/1.1 400"))
-	b.is.True(time.Since(began) < time.Second)
-	b.is.Equal(b.runs(), 0)
+	f.is.NoErr(err)
+	started := time.Now()
+	answer, err := io.ReadAll(conn) // until the connection is closed
+	f.is.NoErr(err)
+	f.is.True(strings.HasPrefix(string(answer), "HTTP/1.1 400"))
+	f.is.True(time.Since(started) < time.Second)
+	f.is.Equal(f.runCount(), 0)
 }
 
-// One request crashes each replica that runs it, and its caller sends it again
-// and again. After two crashes it reaches no replica, while others are served.
-func TestPoisonIsHeldBack(t *testing.T) {
-	b := newBed(t, 4)
-	b.all(replica.Behaviour{
+// Guards against a request that crashes each replica that runs it and that its
+// caller keeps sending. After two crashes it is quarantined, while other requests are
+// served.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
+	f := newFixture(t, 4)
+	f.setBehaviour(replica.Behaviour{
 		Reset: true,
 	})
 	for range 8 {
-		b.do(b.request(http.MethodPost, pathPay, "poison"))
+		f.do(f.request(http.MethodPost, pathUnsafe, "poison"))
 	}
-	b.is.True(b.runs() <= 3)
-	b.all(replica.Behaviour{})
-	b.is.Equal(b.do(b.request(http.MethodPost, pathPay, "another")).status, http.StatusOK)
+	f.is.True(f.runCount() <= 3)
+	f.setBehaviour(replica.Behaviour{})
+	f.is.Equal(f.do(f.request(http.MethodPost, pathUnsafe, "another")).status, http.StatusOK)
 }
 
-// script is a replica that streams events, one a read, without allocating.
-type script struct {
-	left int
-	head http.Header
+// scriptedReplica is a replica that streams one event per read without allocating.
+type scriptedReplica struct {
+	remaining int
+	header    http.Header
 }
 
 var oneEvent = []byte("id: 7\ndata: some sixty bytes of text that stand for six tokens of an answer\n\n")
 
-func (s *script) Send(context.Context, *http.Request) (*http.Response, error) {
-	s.left = 1000
+// Send starts a stream of 1000 events.
+func (s *scriptedReplica) Send(context.Context, *http.Request) (*http.Response, error) {
+	s.remaining = 1000
 	return &http.Response{
 		StatusCode: http.StatusOK,
-		Header:     s.head.Clone(),
+		Header:     s.header.Clone(),
 		Body:       io.NopCloser(s),
 	}, nil
 }
 
-func (s *script) Read(p []byte) (int, error) {
-	if s.left == 0 {
+func (s *scriptedReplica) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	s.left--
+	s.remaining--
 	return copy(p, oneEvent), nil
 }
 
-func (s *script) Close() {}
+func (s *scriptedReplica) Close() {}
 
-// sink is a caller that takes everything.
-type sink struct {
+// discardWriter is a caller that discards its answer.
+type discardWriter struct {
 	header http.Header
 }
 
-func (s *sink) Header() http.Header         { return s.header }
-func (s *sink) Write(p []byte) (int, error) { return len(p), nil }
-func (s *sink) WriteHeader(int)             {}
-func (s *sink) FlushError() error           { return nil }
+func (s *discardWriter) Header() http.Header         { return s.header }
+func (s *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (s *discardWriter) WriteHeader(int)             {}
+func (s *discardWriter) FlushError() error           { return nil }
 
-// BenchmarkStream passes a stream of 1,000 events on. Measured: 0.42 us and no
-// allocation an event; the 60 allocations are the request's own. Before, each
-// batch of events allocated its last ID and a response controller.
+// BenchmarkStream forwards a stream of 1,000 events. An event takes 0.42 us and no
+// allocation; the 60 allocations per stream belong to the request. The buffer of the
+// last event ID and the response controller are reused so that a batch of events
+// does not allocate them.
 func BenchmarkStream(b *testing.B) {
-	bed := newBed(b, 0)
-	bed.upstream.Add(&blackboard.Upstream{
+	f := newFixture(b, 0)
+	f.upstreams.Add(&blackboard.Upstream{
 		Instance: zinniamast.Instance{
 			ID:      "i-1",
 			Service: "svc",
 			Started: time.UnixMilli(1),
 		},
-		Replica: &script{
-			head: http.Header{
+		Replica: &scriptedReplica{
+			header: http.Header{
 				"Zinniamast-Server-Stamp": {"s"},
 			},
 		},
 		Slots: 8,
 	})
-	request := bed.request(http.MethodPost, pathSay, "x")
-	request.RequestURI = pathSay
+	request := f.request(http.MethodPost, pathResumable, "x")
+	request.RequestURI = pathResumable
 	b.ReportAllocs()
 	for b.Loop() {
 		request.Body = io.NopCloser(strings.NewReader("x"))
-		bed.handler.ServeHTTP(&sink{
+		f.handler.ServeHTTP(&discardWriter{
 			header: http.Header{},
 		}, request)
 	}
 }
 
-// The router names a replica to fetch a prompt's prefix from. The chosen one is
-// told its address; what the caller says of that, and the name of one that is
-// gone, reach nobody.
-func TestNamesWhereToFetchFrom(t *testing.T) {
-	for name, want := range map[string]func(b *bed) string{
-		"i-b":  func(b *bed) string { return b.replicas[1].Address() },
-		"gone": func(*bed) string { return "" },
-		"":     func(*bed) string { return "" },
+// Guards against a wrong address for fetching a prompt's prefix. The chosen replica
+// gets the address of the replica that the router names to fetch from. A header set
+// by the caller is dropped, and a replica that is not known gives an empty address.
+func TestSendsFetchAddress(t *testing.T) {
+	for name, want := range map[string]func(f *fixture) string{
+		"i-b":  func(f *fixture) string { return f.replicas[1].Address() },
+		"gone": func(*fixture) string { return "" },
+		"":     func(*fixture) string { return "" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, 2)
-			b.fetchFrom = name
-			request := b.request(http.MethodGet, pathGet, "")
+			f := newFixture(t, 2)
+			f.fetchFrom = name
+			request := f.request(http.MethodGet, pathSafe, "")
 			request.Header.Set("Kv-Fetch", "10.0.0.1:1")
-			b.is.Equal(b.do(request).status, http.StatusOK)
-			for _, r := range b.replicas {
+			f.is.Equal(f.do(request).status, http.StatusOK)
+			for _, r := range f.replicas {
 				for _, run := range r.Runs() {
-					b.is.Equal(run.Header.Get("Kv-Fetch"), want(b))
+					f.is.Equal(run.Header.Get("Kv-Fetch"), want(f))
 				}
 			}
 		})
 	}
 }
 
-// An engineer on call looks for why a booking was answered 502, and a stream
-// broken off: the line said that nothing more was tried, and not that the replica
-// had reset the connection. It names how the last send ended now.
-func TestRefusalsTellTheLastFailure(t *testing.T) {
-	b := newBed(t, 1)
-	b.all(replica.Behaviour{
+// Guards against log lines of a refused request or a cut stream that do not contain
+// how the last send failed, for example that the replica reset the connection.
+func TestRefusalLogsLastFailure(t *testing.T) {
+	f := newFixture(t, 1)
+	f.setBehaviour(replica.Behaviour{
 		Reset: true,
 	})
-	b.is.Equal(b.do(b.request(http.MethodPost, pathPay, "x")).status, http.StatusBadGateway)
-	refused := b.log.of("msg=refused")
-	b.is.Equal(len(refused), 1)
-	b.is.True(strings.Contains(refused[0], "upstream i-a: reset"))
-	b.all(replica.Behaviour{
+	f.is.Equal(f.do(f.request(http.MethodPost, pathUnsafe, "x")).status, http.StatusBadGateway)
+	refused := f.log.linesWith("msg=\"request refused\"")
+	f.is.Equal(len(refused), 1)
+	f.is.True(strings.Contains(refused[0], "upstream i-a: reset"))
+	f.setBehaviour(replica.Behaviour{
 		Events:     4,
 		BreakAfter: 2,
 	})
-	b.is.True(b.do(b.request(http.MethodPost, pathOne, "x")).broken)
-	broken := b.log.of("broken off")
-	b.is.Equal(len(broken), 1)
-	b.is.True(strings.Contains(broken[0], "upstream i-a: cut_short"))
+	f.is.True(f.do(f.request(http.MethodPost, pathStream, "x")).broken)
+	broken := f.log.linesWith("answer cut short, closing connection")
+	f.is.Equal(len(broken), 1)
+	f.is.True(strings.Contains(broken[0], "upstream i-a: cut_short"))
 }
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -20,41 +20,43 @@
 	"zinniamast/routes"
 )
 
-// Budget bounds repeated sends to a service over all nodes.
+// Budget bounds the retries sent to a service by all nodes together.
 type Budget interface {
-	// Started counts a request's first send.
+	// Started counts the first send of a request.
 	Started(service string)
-	// Again says whether one more send may go out, and counts it.
+	// Again reports whether one more retry may be sent, and counts it if so.
 	Again(service string) bool
 }
 
-// Allowance bounds what organisations may ask over all nodes.
+// Allowance limits the requests or tokens of each organisation over all nodes.
 type Allowance interface {
-	// Take takes a request's amount; where the organisation has no more for a
-	// request of its rank, it returns when it will. The most urgent rank is 0.
+	// Take takes the amount of a request from the organisation's allowance. If too
+	// little is left for a request of this rank, it returns false and the time until
+	// enough is available. The most urgent rank is 0.
 	Take(ctx context.Context, organisation *routes.Organisation, amount float64, rank int) (wait time.Duration, ok bool)
 }
 
 // Meter counts requests that began to run, for the usage reports.
 type Meter interface {
+	// Began counts one request of the organisation.
 	Began(organisation string)
 }
 
-// Demand hears what this node is asked.
+// Demand records the load of requests that this node receives.
 type Demand interface {
-	// Entered counts a request that goes to a service, and Left one that ended.
+	// Entered counts a request for a service that starts, and Left one that ends.
 	Entered(service string, promptTokens int)
 	Left(service string)
-	// Sent counts the machine time that a request takes from a replica; zero where
-	// it is not known.
+	// Sent adds the predicted compute time of a request on its replica; zero if it
+	// is unknown.
 	Sent(service string, work time.Duration)
 }
 
-// Config says what a handler works with.
+// Config configures a Handler.
 type Config struct {
 	Routes    *routes.Table
 	Upstreams *blackboard.Upstreams
-	// FailureDomain is where the node runs.
+	// FailureDomain is the failure domain of this node.
 	FailureDomain string
 	Router        zinniamast.Router
 	Protocol      Protocol
@@ -63,16 +65,17 @@
 	Quarantine    zinniamast.Quarantine
 	Meter         Meter
 	Demand        Demand
-	// Closing says that the node stops and accepts nothing more.
+	// Closing reports whether the node is stopping and refuses new requests.
 	Closing func() bool
-	// Stopping says that the node is about to stop: connections are closed with their next answer.
+	// Stopping reports whether the node is about to stop. Each connection is then
+	// closed after its next answer.
 	Stopping func() bool
 	Logger   *slog.Logger
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
 }
 
-// Handler answers callers.
+// Handler forwards callers' requests to replicas. It implements http.Handler.
 type Handler struct {
 	config  Config
 	metrics *metrics
@@ -86,21 +89,24 @@
 	}
 }
 
-// defaultBudget is how long a caller waits that does not say, on a route without a timeout.
-const defaultBudget = 30 * time.Second
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// startingRetryAfter is when a node that knows no configuration yet probably does.
+// startingRetryAfter is the retry delay sent by a node that has no configuration
+// yet; it usually has one by then.
 const startingRetryAfter = 500 * time.Millisecond
 
-// stoppingRetryAfter is when a caller may ask again; it will meet another node.
+// stoppingRetryAfter is the retry delay sent by a stopping node. It is short
+// because the retry reaches another node.
 const stoppingRetryAfter = 50 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	// A chunked request may have stated a length as well; net/http takes the
-	// chunks and hides the length. What follows on the connection is a request to
-	// one reader and a body to another, so that it is not read.
+	// A chunked request may also contain a Content-Length, which net/http drops in
+	// favour of the chunks. A proxy that uses the length instead sees another end of
+	// the body (request smuggling), so the connection is closed and the bytes that
+	// follow on it are not read.
 	if h.config.Stopping() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
@@ -124,101 +130,105 @@
 	h.run(ctx, w, c)
 }
 
-// reportPanic logs a panic other than the one that closes a connection on purpose:
-// net/http tells of it at debug level alone, and the caller sees a closed connection.
+// reportPanic logs a panic other than http.ErrAbortHandler, which closes a
+// connection on purpose. The panic continues as http.ErrAbortHandler, so that
+// net/http closes the connection without a log line of its own.
 func (h *Handler) reportPanic(r *http.Request) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	if cause != http.ErrAbortHandler {
-		h.metrics.broken.WithLabelValues(reasonPanic).Inc()
+		h.metrics.brokenOff.WithLabelValues(reasonPanic).Inc()
 		h.config.Logger.Error("handler panicked", "request", h.config.Protocol.Ask(r.Header).ID,
 			"cause", cause, "stack", string(debug.Stack()))
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// reasonPanic labels connections closed by a panic in the handler.
+// reasonPanic is the metric label of connections closed by a panic in the handler.
 const reasonPanic = "panic"
 
-// call is one caller's request on its way.
+// call is the state of one caller's request.
 type call struct {
-	request *http.Request
-	ask     Ask
-	arrived time.Time
-	// deadline is when the caller has an answer, whatever it is.
+	request  *http.Request
+	metadata Ask
+	arrived  time.Time
+	// deadline is the time by which the caller gets an answer or a refusal.
 	deadline     time.Time
 	route        *routes.Route
 	service      string
 	organisation *routes.Organisation
 	limits       routes.Limits
-	// version is that of the configuration which decides the request.
-	version     int64
-	priority    int
-	body        []byte
-	fingerprint uint64
-	// alone says that the request is suspected of crashing its replicas.
-	alone  bool
-	prefix []uint64
-
-	// fetchFrom is the address from which the chosen replica fetches, and cached
-	// what it then holds of the prompt.
-	fetchFrom string
-	cached    int
-
-	// sends counts replicas that may have run the request, and avoid names
-	// those that it shall not go to again.
+	// configVersion is the version of the configuration that applies to the request.
+	configVersion int64
+	priority      int
+	body          []byte
+	fingerprint   uint64
+	// isSuspect reports whether the request is suspected of crashing its replicas.
+	isSuspect bool
+	prefix    []uint64
+
+	// fetchFrom is the address from which the chosen replica fetches the prompt's
+	// prefix, and cachedTokens is how much of the prompt it then has in its KV cache.
+	fetchFrom    string
+	cachedTokens int
+
+	// sends counts the sends that may have run, and avoid lists the replicas that
+	// must not get the request again.
 	sends int
 	avoid []string
-	// arrivals counts sends that reached a replica, run or not.
+	// arrivals counts the sends that reached a replica, whether or not they ran.
 	arrivals int
-	// ran is what is known of all sends so far.
+	// ran tells whether the request has run, judging by all sends so far.
 	ran zinniamast.Ran
-	// paid says that the budget has been charged for the next send.
-	paid bool
-	// moving says that the request left a silent replica and no event has come
-	// since, and holds counts how often it was held meanwhile.
-	moving bool
-	holds  int
-	// failure is that of the last send; nil if there was none.
+	// retryCharged reports whether the retry budget was charged for the next send.
+	retryCharged bool
+	// leftSilentReplica reports whether the request left a silent replica and has
+	// received no event since, and resumeWaits counts the waits before a resumption
+	// since then, up to maxResumeDoublings.
+	leftSilentReplica bool
+	resumeWaits       int
+	// failure is the failure of the last send; nil if no send has failed.
 	failure *zinniamast.UpstreamError
-	// began says that its beginning to run was counted, and first is when its
-	// first event came, from its arrival here.
-	began bool
-	first time.Duration
-	// held keeps a replica's own failure, to be passed on if nothing better comes.
-	held *answer
+	// startRecorded reports whether the start of the answer was recorded, and
+	// timeToFirst is the time from the request's arrival to its first event.
+	startRecorded bool
+	timeToFirst   time.Duration
+	// failedAnswer is a server error from a replica. The caller gets it if no other
+	// replica answers.
+	failedAnswer *answer
 }
 
-// admit finds the route and the organisation of a request.
+// admit determines the route, organisation, service, priority and deadline of a
+// request, or refuses it.
 func (h *Handler) admit(r *http.Request, arrived time.Time) (*call, *zinniamast.Refusal) {
 	c := &call{
-		request: r,
-		ask:     h.config.Protocol.Ask(r.Header),
-		arrived: arrived,
-		ran:     zinniamast.NotRun,
+		request:  r,
+		metadata: h.config.Protocol.Ask(r.Header),
+		arrived:  arrived,
+		ran:      zinniamast.NotRun,
 	}
 	table := h.config.Routes.Current()
 	if table == nil {
 		return c, zinniamast.Refuse(zinniamast.ReasonStarting, "no configuration yet").After(startingRetryAfter)
 	}
 	c.limits = table.Limits
-	c.version = table.Version
+	c.configVersion = table.Version
 	c.route = table.Match(hostOf(r), r.URL.Path)
 	if c.route == nil {
 		return c, zinniamast.Refuse(zinniamast.ReasonNotFound, "no route")
 	}
-	c.organisation = table.Organisation(c.ask.Key)
+	c.organisation = table.Organisation(c.metadata.Key)
 	if len(table.Organisations) > 0 && !c.route.Anonymous && c.organisation == nil {
 		return c, zinniamast.Refuse(zinniamast.ReasonUnauthorised, "unknown key")
 	}
-	c.service = pick(c.route, c.ask.ID)
+	c.service = pickService(c.route, c.metadata.ID)
 	if c.service == "" {
 		return c, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "the route has no service").After(noReplicaRetryAfter)
 	}
 	if len(h.config.Upstreams.Of(c.service)) == 0 {
-		// Refused before it counts against an allowance.
+		// The refusal comes before the request is charged to an allowance.
 		return c, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "no replica is known").After(noReplicaRetryAfter)
 	}
 	c.priority = c.route.Priority
@@ -226,19 +236,22 @@
 		c.priority = *c.organisation.Priority
 	}
 	c.deadline = deadline(c, arrived)
-	c.prefix = prefix.Parts(shared(c.ask.Parts))
+	c.prefix = prefix.Parts(sharedParts(c.metadata.Parts))
 	return c, nil
 }
 
-// shared leaves out a prompt's last part, which is the request's own.
+// sharedParts returns a prompt's parts without the last one, which only this
+// request has.
 //
-// Load: requests of some hundred sessions come to all nodes. With their own part
-// in the prefix each has a home of its own, and a session's requests read their
-// shared parts again at one replica after the other.
-func shared(parts []prefix.Part) []prefix.Part {
+// Requests of some hundred sessions arrive at all nodes. If the last part belonged
+// to the prefix, each request would be routed to a replica of its own, and the
+// requests of a session would prefill their shared parts on one replica after
+// another.
+func sharedParts(parts []prefix.Part) []prefix.Part {
 	return parts[:max(0, len(parts)-1)]
 }
 
+// hostOf returns the host of a request without its port.
 func hostOf(r *http.Request) string {
 	host, _, found := strings.Cut(r.Host, ":")
 	if found {
@@ -247,8 +260,9 @@
 	return r.Host
 }
 
-// pick draws the route's service by the request's ID, in the parts that the split gives.
-func pick(r *routes.Route, id string) string {
+// pickService selects a service of the route by a hash of the request ID, in
+// proportion to the weights of the split.
+func pickService(r *routes.Route, id string) string {
 	total := 0
 	for _, share := range r.Split {
 		total += max(0, share.Weight)
@@ -269,19 +283,19 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// deadline is the earlier one of the caller's and the route's.
+// deadline returns the earlier of the caller's and the route's deadline.
 func deadline(c *call, arrived time.Time) time.Time {
-	budget := c.ask.Budget
-	if budget == 0 {
-		budget = defaultBudget
+	timeout := c.metadata.Budget
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
 	if c.route.Timeout > 0 {
-		budget = min(budget, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	return arrived.Add(budget)
+	return arrived.Add(timeout)
 }
 
-// readBody reads the body within the configured bounds.
+// readBody reads the body up to the configured size and the request's deadline.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, c *call) *zinniamast.Refusal {
 	if r.Body == nil || r.ContentLength == 0 {
 		c.fingerprint = fingerprint(c)
@@ -289,34 +303,35 @@
 	}
 	limit := c.limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return zinniamast.Refuse(zinniamast.ReasonOversized, "the body is larger than %d bytes", limit)
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(c.deadline); err != nil {
-		h.config.Logger.Debug("no read deadline", "cause", err)
+		h.config.Logger.Debug("failed to change the read deadline", "cause", err)
 	}
 	body, err := readAll(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if err != nil {
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			return zinniamast.Refuse(zinniamast.ReasonOversized, "the body is larger than %d bytes", limit)
 		}
 		return zinniamast.Refuse(zinniamast.ReasonMalformed, "the body cannot be read")
 	}
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
-		h.config.Logger.Debug("no read deadline", "cause", err)
+		h.config.Logger.Debug("failed to change the read deadline", "cause", err)
 	}
 	c.body = body
 	c.fingerprint = fingerprint(c)
 	return nil
 }
 
-// defaultMaxBody holds where the configuration gives no bound.
-const defaultMaxBody = 4 << 20
+// defaultMaxBodyBytes applies if the configuration sets no limit.
+const defaultMaxBodyBytes = 4 << 20
 
-// readAll reads a body of a known length into one buffer of that size.
+// readAll reads a body. If its length is known, it allocates one buffer of that
+// size.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length <= 0 {
 		return io.ReadAll(body)
@@ -326,10 +341,11 @@
 	return buffer, err
 }
 
-// fingerprint names the content of a request, whoever's attempt it is.
+// fingerprint returns a hash of a request's content. Repeated attempts of the same
+// request have the same fingerprint.
 func fingerprint(c *call) uint64 {
 	hash := xxh3.New()
-	for _, part := range []string{c.request.Method, c.request.RequestURI, c.ask.Key} {
+	for _, part := range []string{c.request.Method, c.request.RequestURI, c.metadata.Key} {
 		_, _ = hash.WriteString(part)
 		_, _ = hash.Write([]byte{0})
 	}
@@ -337,21 +353,22 @@
 	return hash.Sum64()
 }
 
-// allow takes the request's amount from its organisation's allowance.
+// allow refuses quarantined requests and takes the request's amount from its
+// organisation's allowance.
 func (h *Handler) allow(c *call) *zinniamast.Refusal {
-	alone, err := h.config.Quarantine.Check(c.fingerprint)
+	isSuspect, err := h.config.Quarantine.Check(c.fingerprint)
 	if err != nil {
 		return zinniamast.AsRefusal(err)
 	}
-	c.alone = alone
+	c.isSuspect = isSuspect
 	if c.organisation == nil || c.organisation.Rate <= 0 {
 		return nil
 	}
 	amount := 1.0
 	if c.organisation.ByTokens {
 		amount = float64(c.organisation.UncountedTokens)
-		if c.ask.Counted {
-			amount = float64(c.ask.PromptTokens + c.ask.MaxTokens)
+		if c.metadata.Counted {
+			amount = float64(c.metadata.PromptTokens + c.metadata.MaxTokens)
 		}
 	}
 	wait, ok := h.config.Allowance.Take(c.request.Context(), c.organisation, amount, c.route.Priority)
@@ -361,7 +378,7 @@
 	return zinniamast.Refuse(zinniamast.ReasonOverShare, "the allowance is used up").After(wait)
 }
 
-// refuse answers a request that this node ends itself.
+// refuse answers a request that this node refuses or gives up.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refusal *zinniamast.Refusal) {
 	status := statusOf(refusal)
 	header := w.Header()
@@ -375,19 +392,19 @@
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, refusal.Message+"\n")
 	h.metrics.refused.WithLabelValues(string(refusal.Reason)).Inc()
-	h.config.Logger.Warn("refused", "request", c.ask.ID, "status", status, "reason", refusal.Reason,
-		"ran", refusal.Ran, "service", c.service, "config", c.version, "arrivals", c.arrivals, "avoid", c.avoid,
-		"cause", c.cause(),
+	h.config.Logger.Warn("request refused", "request", c.metadata.ID, "status", status, "reason", refusal.Reason,
+		"ran", refusal.Ran, "service", c.service, "config", c.configVersion, "arrivals", c.arrivals, "avoid", c.avoid,
+		"cause", c.lastError(),
 		"retry_after", refusal.RetryAfter, "elapsed", time.Since(c.arrived).Round(time.Millisecond))
 }
 
-// statusOf gives the status that a refusal may have. 429 and 503 promise that
-// the request has not run and never will; what may have run is answered 502,
-// or 504 where its time is up, which promise nothing.
+// statusOf returns the HTTP status for a refusal. The statuses 429 and 503 promise
+// that the request has not run and never will. A request that may have run gets
+// 502, or 504 if its deadline has passed, which promise nothing.
 func statusOf(refusal *zinniamast.Refusal) int {
 	status := refusal.Status()
-	promises := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
-	if promises && refusal.Ran != zinniamast.NotRun {
+	promisesNotRun := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	if promisesNotRun && refusal.Ran != zinniamast.NotRun {
 		return http.StatusBadGateway
 	}
 	if status == http.StatusUnprocessableEntity {
@@ -396,7 +413,7 @@
 	return status
 }
 
-// hopByHop are headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection",
 	"Proxy-Connection",
@@ -410,7 +427,8 @@
 	"Expect",
 }
 
-// dropHopByHop removes headers of one connection, also those that it names itself.
+// dropHopByHop removes the hop-by-hop headers, including those that the Connection
+// header lists.
 func dropHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -422,8 +440,8 @@
 	}
 }
 
-// avoids adds a replica to those that the request shall not go to again.
-func (c *call) avoids(id string) {
+// addAvoided adds a replica to those that must not get the request again.
+func (c *call) addAvoided(id string) {
 	if !slices.Contains(c.avoid, id) {
 		c.avoid = append(c.avoid, id)
 	}
--- a/forward/log_test.go
+++ b/forward/log_test.go
@@ -8,25 +8,26 @@
 	"zinniamast/standin/replica"
 )
 
-// Guards against a panic that closes callers' connections and leaves no line in the log.
+// Guards against a panic that closes a caller's connection without a log line.
 func TestPanicIsLogged(t *testing.T) {
-	b := newBed(t, 1)
-	b.routing = func() { panic("no such service") }
-	b.is.True(b.do(b.request(http.MethodGet, pathGet, "")).broken)
-	lines := b.log.of("handler panicked")
-	b.is.Equal(len(lines), 1)
-	b.is.True(strings.Contains(lines[0], "request=r-1"))
-	b.is.True(strings.Contains(lines[0], "no such service"))
+	f := newFixture(t, 1)
+	f.onRoute = func() { panic("no such service") }
+	f.is.True(f.do(f.request(http.MethodGet, pathSafe, "")).broken)
+	lines := f.log.linesWith("handler panicked")
+	f.is.Equal(len(lines), 1)
+	f.is.True(strings.Contains(lines[0], "request=r-1"))
+	f.is.True(strings.Contains(lines[0], "no such service"))
 }
 
-// Guards against a log that does not tell a replica's silence from a caller that left.
-func TestSilenceIsNamedInTheLog(t *testing.T) {
-	b := newBed(t, 2)
-	b.all(replica.Behaviour{
+// Guards against a log that does not distinguish a silent replica from a caller that
+// disconnected.
+func TestSilenceIsLogged(t *testing.T) {
+	f := newFixture(t, 2)
+	f.setBehaviour(replica.Behaviour{
 		Hang: true,
 	})
-	b.do(b.request(http.MethodPost, pathSay, "x"))
-	again := b.log.of("sent again")
-	b.is.Equal(len(again), 1)
-	b.is.True(strings.Contains(again[0], "the replica is silent"))
+	f.do(f.request(http.MethodPost, pathResumable, "x"))
+	retries := f.log.linesWith("send failed, retrying request")
+	f.is.Equal(len(retries), 1)
+	f.is.True(strings.Contains(retries[0], "the replica is silent"))
 }
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -5,36 +5,38 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics counts what becomes of requests.
+// metrics holds the metrics of forwarded requests.
 type metrics struct {
-	answered *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	broken   *prometheus.CounterVec
-	again    *prometheus.CounterVec
-	first    prometheus.Histogram
-	pause    prometheus.Histogram
-	queued   prometheus.Histogram
+	answered     *prometheus.CounterVec
+	refused      *prometheus.CounterVec
+	brokenOff    *prometheus.CounterVec
+	retried      *prometheus.CounterVec
+	timeToFirst  prometheus.Histogram
+	longestPause prometheus.Histogram
+	timeToSend   prometheus.Histogram
 }
 
-// firstBuckets are the bounds of the first answer's histogram, in seconds.
-var firstBuckets = []float64{.01, .03, .1, .2, .4, .8, 1.6, 3.2, 6.4}
+// answerTimeBuckets are the histogram bounds of the time to the first byte and of
+// the longest pause of a stream, in seconds.
+var answerTimeBuckets = []float64{.01, .03, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// queuedBuckets are the bounds of the time before a request is sent, in seconds:
-// its body is read and its organisation's pool is asked.
-var queuedBuckets = []float64{.001, .003, .01, .03, .1, .3, 1}
+// sendTimeBuckets are the histogram bounds of the time from a request's arrival to
+// its first send, in seconds. In that time the body is read and the allowance of
+// the organisation is requested from its pool.
+var sendTimeBuckets = []float64{.001, .003, .01, .03, .1, .3, 1}
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	factory := promauto.With(registerer)
 	m := &metrics{
-		pause: factory.NewHistogram(prometheus.HistogramOpts{
+		longestPause: factory.NewHistogram(prometheus.HistogramOpts{
 			Name:    "zinniamast_forward_pause_seconds",
 			Help:    "Longest pause between two events of an answered stream.",
-			Buckets: firstBuckets,
+			Buckets: answerTimeBuckets,
 		}),
-		queued: factory.NewHistogram(prometheus.HistogramOpts{
+		timeToSend: factory.NewHistogram(prometheus.HistogramOpts{
 			Name:    "zinniamast_forward_queued_seconds",
 			Help:    "Time from a request's arrival to its first send.",
-			Buckets: queuedBuckets,
+			Buckets: sendTimeBuckets,
 		}),
 		answered: factory.NewCounterVec(prometheus.CounterOpts{
 			Name: "zinniamast_forward_answered_total",
@@ -44,18 +46,18 @@
 			Name: "zinniamast_forward_refused_total",
 			Help: "Requests that the node ended itself, by reason.",
 		}, []string{"reason"}),
-		broken: factory.NewCounterVec(prometheus.CounterOpts{
+		brokenOff: factory.NewCounterVec(prometheus.CounterOpts{
 			Name: "zinniamast_forward_broken_off_total",
 			Help: "Requests whose connection was closed without a whole answer, by reason.",
 		}, []string{"reason"}),
-		again: factory.NewCounterVec(prometheus.CounterOpts{
+		retried: factory.NewCounterVec(prometheus.CounterOpts{
 			Name: "zinniamast_forward_again_total",
 			Help: "Requests sent again, by how the send before failed.",
 		}, []string{"failure"}),
-		first: factory.NewHistogram(prometheus.HistogramOpts{
+		timeToFirst: factory.NewHistogram(prometheus.HistogramOpts{
 			Name:    "zinniamast_forward_first_seconds",
 			Help:    "Time from a request's arrival to the first byte of its answer.",
-			Buckets: firstBuckets,
+			Buckets: answerTimeBuckets,
 		}),
 	}
 	return m
--- a/forward/protocol.go
+++ b/forward/protocol.go
@@ -1,6 +1,6 @@
-// Package forward carries callers' HTTP requests to replicas and their answers
-// back, unchanged: whole answers, and streams of events that may go on at
-// another replica.
+// Package forward forwards callers' HTTP requests to replicas and returns the
+// answers unchanged. An answer is either plain or a stream of events, which
+// another replica may resume.
 package forward
 
 import (
@@ -10,62 +10,66 @@
 	"zinniamast/prefix"
 )
 
-// Protocol reads and writes what a deployment puts into headers.
+// Protocol reads and writes the headers that a deployment defines.
 type Protocol interface {
-	// Ask reads what a caller says of its request.
+	// Ask reads the request metadata from a caller's headers.
 	Ask(header http.Header) Ask
-	// Deliver turns a caller's headers into those for a replica.
+	// Deliver rewrites a caller's headers for a replica.
 	Deliver(header http.Header, delivery Delivery)
-	// Reply reads what a replica says of its answer.
+	// Reply reads the metadata of a replica's answer.
 	Reply(response *http.Response) Reply
-	// RetryAfter writes a time to come back.
+	// RetryAfter formats the value of the Retry-After header.
 	RetryAfter(wait time.Duration) string
 }
 
-// Ask is what a caller says of its request.
+// Ask is the metadata that a caller sends with its request.
 type Ask struct {
-	// ID identifies the caller's attempt; empty if it gave none.
+	// ID identifies the caller's attempt; empty if the caller sent none.
 	ID string
-	// Key is the organisation's key; empty if it gave none.
+	// Key is the organisation's API key; empty if the caller sent none.
 	Key string
-	// Budget is how long the caller waits; zero if it does not say.
+	// Budget is the caller's timeout; zero if the caller sent none.
 	Budget time.Duration
-	// PromptTokens and MaxTokens are the prompt's length and the longest answer;
-	// Counted says whether the caller stated them.
+	// PromptTokens is the length of the prompt and MaxTokens the maximum length of
+	// the answer. Counted reports whether the caller sent them.
 	PromptTokens int
 	MaxTokens    int
 	Counted      bool
-	// Parts are the prompt's parts in order, each known by its ID.
+	// Parts are the parts of the prompt in order, each identified by its ID.
 	Parts []prefix.Part
-	// After is the last event that the caller has of the stream; empty for a new one.
+	// After is the ID of the last event of the stream that the caller has received;
+	// empty for a new stream.
 	After string
 }
 
-// Delivery is what a replica is told of a request.
+// Delivery is the metadata that a replica receives with a request.
 type Delivery struct {
-	// Instance is the replica it is meant for.
+	// Instance is the ID of the replica that the request is addressed to.
 	Instance string
-	// Organisation is the caller's; empty on anonymous routes.
+	// Organisation is the caller's organisation; empty on anonymous routes.
 	Organisation string
-	// Left is what is left of the caller's time.
+	// Left is the time until the caller's deadline.
 	Left time.Duration
-	// Priority ranks the request at the replica; 0 is first.
+	// Priority is the rank of the request at the replica; 0 is the most urgent.
 	Priority int
-	// FetchFrom is host:port of the replica from which it shall fetch what it does
-	// not keep of the prompt; empty if from none.
+	// FetchFrom is the host:port of the replica from which this replica fetches the
+	// parts of the prompt missing in its KV cache; empty if it fetches nothing.
 	FetchFrom string
-	// After is the last event that the caller has; empty to leave the header as it is.
+	// After is the ID of the last event that the caller has received; empty leaves
+	// the header unchanged.
 	After string
 }
 
-// Reply is what a replica says of its answer.
+// Reply is the metadata of a replica's answer.
 type Reply struct {
-	// ID repeats the request's; empty if the replica gave none.
+	// ID is the ID of the answered request; empty if the replica sent none.
 	ID string
-	// Signed says that the answer bears the replica's own mark.
+	// Signed reports whether the answer has the header that replicas add to their
+	// own answers.
 	Signed bool
-	// NotRun promises that the replica has not run the request and will not.
+	// NotRun reports the replica's promise that it has not run the request and will
+	// not run it.
 	NotRun bool
-	// Elsewhere means that another instance answers at this address.
+	// Elsewhere reports whether another instance answered at the replica's address.
 	Elsewhere bool
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -16,28 +16,30 @@
 )
 
 const (
-	// maxArrivals bounds the sends of one request that reach a replica, also
-	// those that the replica turns away: a fourth replica of a full service
-	// would turn it away too, and each costs the fleet's budget.
+	// maxArrivals bounds the sends of one request that reach a replica, including
+	// those that the replica refuses. A fourth replica of a full service would
+	// refuse the request too, and each send is charged to the retry budget shared by
+	// all nodes.
 	maxArrivals = 3
-	// maxDials bounds tries at replicas that take no connection at all.
+	// maxDials bounds the failed connection attempts of one request.
 	maxDials = 4
-	// holdInterval is when a stream that left a silent replica is first tried again;
-	// it doubles with each try, maxHoldDoublings times.
-	holdInterval     = 100 * time.Millisecond
-	maxHoldDoublings = 4
-	// noReplicaRetryAfter is when a service without replicas may have one again:
-	// replicas take some seconds to start, and entries lapse for about two.
+	// resumeInterval is the wait before a stream that left a silent replica is sent
+	// again. It doubles with each try, at most maxResumeDoublings times.
+	resumeInterval     = 100 * time.Millisecond
+	maxResumeDoublings = 4
+	// noReplicaRetryAfter is the retry delay for a service without replicas. Replicas
+	// take some seconds to start, and registry entries lapse for about two seconds.
 	noReplicaRetryAfter = 2 * time.Second
-	// fullRetryAfter is when replicas that turned a request away may have room:
-	// a place becomes free with each answer, many times a second.
+	// fullRetryAfter is the retry delay after replicas refused a request because they
+	// are full. Each answer frees a slot, many times a second.
 	fullRetryAfter = 300 * time.Millisecond
 )
 
-// run sends a request to replicas until one has answered.
+// run sends a request to one replica after another until one has answered or no
+// further send is possible.
 func (h *Handler) run(ctx context.Context, w http.ResponseWriter, c *call) {
 	h.config.Budget.Started(c.service)
-	h.config.Demand.Entered(c.service, c.ask.PromptTokens)
+	h.config.Demand.Entered(c.service, c.metadata.PromptTokens)
 	defer h.config.Demand.Left(c.service)
 	a := &answer{
 		writer: w,
@@ -45,55 +47,55 @@
 	for dials := 0; ; {
 		upstream, refusal := h.choose(c)
 		if refusal != nil {
-			if refusal = h.hold(ctx, a, c, refusal); refusal == nil {
+			if refusal = h.awaitResume(ctx, a, c, refusal); refusal == nil {
 				continue
 			}
 			h.giveUp(ctx, a, c, refusal)
 			return
 		}
 		if c.arrivals == 0 && dials == 0 {
-			h.metrics.queued.Observe(time.Since(c.arrived).Seconds())
+			h.metrics.timeToSend.Observe(time.Since(c.arrived).Seconds())
 		}
 		failure := h.attempt(ctx, a, c, upstream)
 		if failure == nil {
-			h.finished(a, c, upstream)
+			h.recordAnswer(a, c, upstream)
 			return
 		}
 		c.failure = failure
 		if failure.Failure == zinniamast.FailureDial {
 			dials++
 		}
-		if refusal := h.judge(ctx, a, c, failure, dials); refusal != nil {
-			if refusal = h.hold(ctx, a, c, refusal); refusal != nil {
+		if refusal := h.checkRetry(ctx, a, c, failure, dials); refusal != nil {
+			if refusal = h.awaitResume(ctx, a, c, refusal); refusal != nil {
 				h.giveUp(ctx, a, c, refusal)
 				return
 			}
 			dials = 0
 		}
-		h.metrics.again.WithLabelValues(string(failure.Failure)).Inc()
-		h.config.Logger.Warn("sent again", "request", c.ask.ID, "service", c.service, "replica", upstream.Instance.ID,
-			"failure", failure.Failure, "cause", failure.Cause, "sends", c.sends, "arrivals", c.arrivals, "after", string(a.last))
+		h.metrics.retried.WithLabelValues(string(failure.Failure)).Inc()
+		h.config.Logger.Warn("send failed, retrying request", "request", c.metadata.ID, "service", c.service, "replica", upstream.Instance.ID,
+			"failure", failure.Failure, "cause", failure.Cause, "sends", c.sends, "arrivals", c.arrivals, "after", string(a.lastID))
 	}
 }
 
-// need is what a request asks of the router.
+// need returns what the router takes into account when it chooses a replica.
 func (h *Handler) need(c *call, avoid []string) *zinniamast.Need {
 	return &zinniamast.Need{
-		Request:             c.ask.ID,
+		Request:             c.metadata.ID,
 		Service:             c.service,
 		Organisation:        c.organisationName(),
 		Priority:            c.priority,
-		PromptTokens:        c.ask.PromptTokens,
+		PromptTokens:        c.metadata.PromptTokens,
 		Prefix:              c.prefix,
 		Deadline:            c.deadline,
 		FirstTokenTarget:    c.route.Target,
 		BetweenTokensTarget: c.route.PauseTarget,
 		Avoid:               avoid,
-		Alone:               c.alone,
+		Alone:               c.isSuspect,
 	}
 }
 
-// choose asks for the next replica.
+// choose asks the router for the next replica.
 func (h *Handler) choose(c *call) (*blackboard.Upstream, *zinniamast.Refusal) {
 	choice, err := h.config.Router.Route(h.need(c, h.avoided(c)))
 	if err != nil {
@@ -104,23 +106,24 @@
 		return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "no replica").After(noReplicaRetryAfter)
 	}
 	h.config.Demand.Sent(c.service, choice.Work)
-	c.fetchFrom, c.cached = "", choice.CachedTokens
+	c.fetchFrom, c.cachedTokens = "", choice.CachedTokens
 	if source := h.config.Upstreams.Get(choice.FetchFrom); source != nil {
 		c.fetchFrom = source.Instance.Address
 	}
-	h.config.Logger.Info("sent", "request", c.ask.ID, "service", c.service, "organisation", c.organisationName(),
-		"config", c.version, "priority", c.priority, "prompt_tokens", c.ask.PromptTokens, "replica", choice.Upstream,
+	h.config.Logger.Info("request sent to replica", "request", c.metadata.ID, "service", c.service, "organisation", c.organisationName(),
+		"config", c.configVersion, "priority", c.priority, "prompt_tokens", c.metadata.PromptTokens, "replica", choice.Upstream,
 		"failure_domain", upstream.Instance.FailureDomain, "running_here", upstream.Inflight(),
 		"predicted_first", choice.FirstToken.Round(time.Millisecond), "cached", choice.CachedTokens, "fetch_from", choice.FetchFrom,
 		"left", time.Until(c.deadline).Round(time.Millisecond))
 	return upstream, nil
 }
 
-// avoided is where the request shall not go. A suspect also stays away from
-// where replicas died under it: a second death there would tell nothing, and
-// takes with it what else has just come back.
+// avoided returns the replicas that must not get the request. A suspect request
+// also avoids the replicas that the quarantine sets apart, where replicas crashed
+// while running it. A second crash there would prove nothing, and would also end
+// whatever has just recovered there.
 func (h *Handler) avoided(c *call) []string {
-	if !c.alone {
+	if !c.isSuspect {
 		return c.avoid
 	}
 	var replicas []string
@@ -132,12 +135,12 @@
 	return append(slices.Clone(c.avoid), h.config.Quarantine.Apart(c.fingerprint, replicas)...)
 }
 
-// attempt sends the request to one replica and passes its answer on; nil means
-// that the caller has a whole answer.
+// attempt sends the request to one replica and forwards its answer. It returns nil
+// if the caller has received a whole answer.
 func (h *Handler) attempt(ctx context.Context, a *answer, c *call, upstream *blackboard.Upstream) *zinniamast.UpstreamError {
 	upstream.Enter()
 	defer upstream.Exit()
-	c.paid = false
+	c.retryCharged = false
 	id := upstream.Instance.ID
 	h.config.Quarantine.Running(id, c.fingerprint)
 	defer h.config.Quarantine.Ended(id, c.fingerprint)
@@ -162,14 +165,15 @@
 	return failure
 }
 
+// observe reports an event of a send to the router.
 func (h *Handler) observe(c *call, upstream string, kind zinniamast.ObservationKind, elapsed time.Duration, failure zinniamast.Failure, events int) {
 	h.config.Router.Observe(zinniamast.Observation{
 		Kind:         kind,
-		Attempt:      c.ask.ID,
+		Attempt:      c.metadata.ID,
 		Upstream:     upstream,
 		Priority:     c.priority,
 		Elapsed:      elapsed,
-		PromptTokens: c.ask.PromptTokens,
+		PromptTokens: c.metadata.PromptTokens,
 		CachedTokens: cachedTokens(c, kind),
 		Tokens:       events,
 		Prefix:       c.prefix,
@@ -179,26 +183,28 @@
 	})
 }
 
-// cachedTokens is what the router believed at the start; replicas do not tell.
+// cachedTokens returns the cached tokens that the router predicted, for the start
+// of a send. Replicas do not report the actual number.
 func cachedTokens(c *call, kind zinniamast.ObservationKind) int {
 	if kind == zinniamast.ObservedStart {
-		return c.cached
+		return c.cachedTokens
 	}
 	return zinniamast.UnknownCached
 }
 
-// exchange is one send and its answer.
+// exchange sends the request once and forwards the answer, watched for silence of
+// the replica.
 func (h *Handler) exchange(ctx context.Context, a *answer, c *call, upstream *blackboard.Upstream, started time.Time) *zinniamast.UpstreamError {
-	request, err := h.request(c, upstream, string(a.last))
+	request, err := h.newRequest(c, upstream, string(a.lastID))
 	if err != nil {
-		return fail(upstream, zinniamast.FailureInvalid, err)
+		return upstreamError(upstream, zinniamast.FailureInvalid, err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	wait := patience(c)
+	timeouts := silenceTimeoutsOf(c)
 	watch := silence.New(silence.Config{
-		First:  wait.first,
-		Pause:  wait.pause,
+		First:  timeouts.first,
+		Pause:  timeouts.pause,
 		Leave:  func() bool { return h.mayLeave(c, upstream.Instance.ID) },
 		Cancel: cancel,
 	})
@@ -207,39 +213,40 @@
 	if err != nil {
 		failure := zinniamast.AsUpstreamError(err)
 		if watch.Stop() && failure.Failure != zinniamast.FailureDial {
-			c.leave(failure)
+			c.markSilent(failure)
 		}
-		c.count(failure)
+		c.countSend(failure)
 		return failure
 	}
 	defer response.Body.Close()
-	failure := h.take(a, c, upstream, response, watch, started)
+	failure := h.forwardAnswer(a, c, upstream, response, watch, started)
 	if watch.Stop() && failure != nil {
-		c.leave(failure)
+		c.markSilent(failure)
 	}
-	c.count(failure)
+	c.countSend(failure)
 	return failure
 }
 
-// leave notes that this node has ended a send for its replica's silence.
-func (c *call) leave(failure *zinniamast.UpstreamError) {
+// markSilent records that this node ended a send because its replica was silent.
+func (c *call) markSilent(failure *zinniamast.UpstreamError) {
 	failure.Failure = zinniamast.FailureTimeout
-	c.moving = true
+	c.leftSilentReplica = true
 }
 
-// cause tells how the last send ended, for the log; nil if there was none.
-func (c *call) cause() error {
+// lastError returns the failure of the last send for the log; nil if no send has
+// failed.
+func (c *call) lastError() error {
 	if c.failure == nil {
 		return nil
 	}
 	return c.failure
 }
 
-// remaining is what is left of the caller's time, for the log.
+// remaining returns the time until the deadline, for the log.
 func (c *call) remaining() time.Duration { return time.Until(c.deadline).Round(time.Millisecond) }
 
-// count notes what a send did.
-func (c *call) count(failure *zinniamast.UpstreamError) {
+// countSend updates the counts of the request after a send.
+func (c *call) countSend(failure *zinniamast.UpstreamError) {
 	if failure == nil {
 		c.arrivals++
 		c.sends++
@@ -259,17 +266,17 @@
 	}
 }
 
-// request builds what a replica gets: the caller's method, path and body
-// unchanged, with what is left of the caller's time.
-func (h *Handler) request(c *call, upstream *blackboard.Upstream, after string) (*http.Request, error) {
+// newRequest builds the request for a replica: the caller's method, path and body
+// unchanged, with the time until the caller's deadline.
+func (h *Handler) newRequest(c *call, upstream *blackboard.Upstream, after string) (*http.Request, error) {
 	if !strings.HasPrefix(c.request.RequestURI, "/") {
-		return nil, fmt.Errorf("forward: the request's target %q is no path", c.request.RequestURI)
+		return nil, fmt.Errorf("forward: request target %q is not a path", c.request.RequestURI)
 	}
 	header := c.request.Header.Clone()
 	dropHopByHop(header)
 	header.Del("Content-Length")
 	if _, ok := header["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// An empty value keeps net/http from adding its own User-Agent.
 		header["User-Agent"] = []string{""}
 	}
 	h.config.Protocol.Deliver(header, Delivery{
@@ -282,7 +289,7 @@
 	})
 	request := &http.Request{
 		Method: c.request.Method,
-		// Opaque goes onto the request line as it is.
+		// Opaque is written to the request line unchanged.
 		URL: &url.URL{
 			Scheme: "http",
 			Host:   upstream.Instance.Address,
@@ -298,6 +305,8 @@
 	return request, nil
 }
 
+// organisationName returns the name of the caller's organisation; empty if the
+// request is anonymous.
 func (c *call) organisationName() string {
 	if c.organisation == nil {
 		return ""
@@ -305,103 +314,105 @@
 	return c.organisation.Name
 }
 
-// judge decides whether a request goes on after a failed send; a refusal says
-// that it does not.
-func (h *Handler) judge(ctx context.Context, a *answer, c *call, failure *zinniamast.UpstreamError, dials int) *zinniamast.Refusal {
-	c.avoids(failure.Upstream)
+// checkRetry decides whether a request is sent again after a failed send. It returns
+// a refusal if not, and nil if so.
+func (h *Handler) checkRetry(ctx context.Context, a *answer, c *call, failure *zinniamast.UpstreamError, dials int) *zinniamast.Refusal {
+	c.addAvoided(failure.Upstream)
 	if ctx.Err() != nil {
-		return h.ended(ctx, c)
+		return h.endedRefusal(ctx, c)
 	}
 	if dials >= maxDials {
 		return zinniamast.Refuse(zinniamast.ReasonNoUpstream, "no replica takes connections").With(c.ran).After(noReplicaRetryAfter)
 	}
 	if failure.Failure == zinniamast.FailureDial {
-		h.stayHome(c)
+		h.avoidOtherDomains(c)
 		return nil
 	}
 	ran := failure.Outcome().Ran
 	if ran != zinniamast.NotRun && !c.route.Repeatable() {
-		return h.failed(c)
+		return h.failedRefusal(c)
 	}
 	if ran != zinniamast.NotRun && c.sends >= c.route.MaxAttempts || c.arrivals >= maxArrivals {
-		return h.failed(c)
+		return h.failedRefusal(c)
 	}
-	return h.pay(c)
+	return h.chargeRetry(c)
 }
 
-// pay charges the budget for a request's next send, once.
-func (h *Handler) pay(c *call) *zinniamast.Refusal {
-	if !c.paid && !h.config.Budget.Again(c.service) {
+// chargeRetry charges the retry budget for the next send of a request, unless that
+// send was charged already. It returns a refusal if the budget is used up.
+func (h *Handler) chargeRetry(c *call) *zinniamast.Refusal {
+	if !c.retryCharged && !h.config.Budget.Again(c.service) {
 		return zinniamast.Refuse(zinniamast.ReasonRetryBudget, "the service's retries are used up").With(c.ran).After(fullRetryAfter)
 	}
-	c.paid = true
+	c.retryCharged = true
 	return nil
 }
 
-// hold keeps a begun stream that left a silent replica until it may be sent
-// again, ever more rarely: the other replicas may be full for a moment. It
-// returns why the stream cannot go on, or nil.
-func (h *Handler) hold(ctx context.Context, a *answer, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
-	if !a.began || !c.moving || c.sends >= c.route.MaxAttempts {
+// awaitResume waits until a begun stream that left a silent replica may be sent
+// again, with a growing interval between tries. The other replicas may be full only
+// for a moment. It returns nil, or a refusal if the stream cannot be resumed.
+func (h *Handler) awaitResume(ctx context.Context, a *answer, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
+	if !a.begun || !c.leftSilentReplica || c.sends >= c.route.MaxAttempts {
 		return refusal
 	}
 	c.avoid = nil
 	for {
 		select {
-		case <-time.After(holdInterval << c.holds):
+		case <-time.After(resumeInterval << c.resumeWaits):
 		case <-ctx.Done():
-			return h.ended(ctx, c)
+			return h.endedRefusal(ctx, c)
 		}
-		c.holds = min(c.holds+1, maxHoldDoublings)
-		if h.pay(c) == nil {
+		c.resumeWaits = min(c.resumeWaits+1, maxResumeDoublings)
+		if h.chargeRetry(c) == nil {
 			return nil
 		}
 	}
 }
 
-// stayHome keeps a request to this failure domain after a connection could not
-// be made, where the domain has another replica.
+// avoidOtherDomains restricts a request to this node's failure domain after a failed
+// connection attempt, if the domain has another replica.
 //
-// Failure: the failure domain is cut off. Each replica outside costs a request
-// the whole time of a connect, one after the other, and it is refused after four
-// of them although the replicas beside this node are well.
-func (h *Handler) stayHome(c *call) {
+// If the failure domain is cut off, each replica outside it costs the request a
+// whole connect timeout, and after four of them the request is refused although the
+// replicas in the domain are healthy.
+func (h *Handler) avoidOtherDomains(c *call) {
 	all := h.config.Upstreams.Of(c.service)
-	home := false
+	hasReplica := false
 	for _, u := range all {
 		if u.Instance.FailureDomain == h.config.FailureDomain && !u.Leaving() && !slices.Contains(c.avoid, u.Instance.ID) {
-			home = true
+			hasReplica = true
 		}
 	}
-	if !home {
+	if !hasReplica {
 		return
 	}
 	for _, u := range all {
 		if u.Instance.FailureDomain != h.config.FailureDomain {
-			c.avoids(u.Instance.ID)
+			c.addAvoided(u.Instance.ID)
 		}
 	}
 }
 
-// failed is the refusal of a request that no further replica is asked for.
-func (h *Handler) failed(c *call) *zinniamast.Refusal {
+// failedRefusal returns the refusal of a request that has failed and is not sent to
+// a further replica.
+func (h *Handler) failedRefusal(c *call) *zinniamast.Refusal {
 	if c.ran == zinniamast.NotRun {
 		return zinniamast.Refuse(zinniamast.ReasonNoCapacity, "the replicas are full").After(fullRetryAfter)
 	}
 	return zinniamast.Refuse(zinniamast.ReasonUpstreamFailed, "the replica failed").With(c.ran)
 }
 
-// ErrStopping is the cause with which a node that has no more time to stop ends
-// what it still runs.
+// ErrStopping is the cancellation cause of requests that still run when a stopping
+// node reaches its stop timeout.
 var ErrStopping = errors.New("forward: the node stops")
 
-// stopped says whether a request was ended by the stop of its node.
-func stopped(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopping) }
+// isNodeStop reports whether the request was cancelled because its node stops.
+func isNodeStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopping) }
 
-// ended is the refusal of a request whose time is up, whose caller has left or
-// whose node has no more time to stop.
-func (h *Handler) ended(ctx context.Context, c *call) *zinniamast.Refusal {
-	if stopped(ctx) {
+// endedRefusal returns the refusal of a request whose deadline has passed, whose
+// caller has disconnected or whose node has reached its stop timeout.
+func (h *Handler) endedRefusal(ctx context.Context, c *call) *zinniamast.Refusal {
+	if isNodeStop(ctx) {
 		return zinniamast.Refuse(zinniamast.ReasonStopping, "this node stops").With(c.ran).After(stoppingRetryAfter)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -413,33 +424,34 @@
 	return zinniamast.Refuse(zinniamast.ReasonCancelled, "the caller has left").With(c.ran)
 }
 
-// giveUp ends a request without a whole answer. Once an answer has begun only
-// a broken connection tells the caller that it is not whole.
+// giveUp ends a request without a whole answer. Once an answer has begun, only
+// closing the connection shows the caller that the answer is incomplete.
 func (h *Handler) giveUp(ctx context.Context, a *answer, c *call, refusal *zinniamast.Refusal) {
-	if a.began {
+	if a.begun {
 		h.metrics.refused.WithLabelValues(string(zinniamast.ReasonAnswerCutShort)).Inc()
-		h.metrics.broken.WithLabelValues(string(refusal.Reason)).Inc()
-		h.config.Logger.Warn("broken off", "request", c.ask.ID, "service", c.service, "reason", refusal.Reason,
-			"last_event", string(a.last), "sends", c.sends, "avoid", c.avoid, "cause", c.cause(),
+		h.metrics.brokenOff.WithLabelValues(string(refusal.Reason)).Inc()
+		h.config.Logger.Warn("answer cut short, closing connection", "request", c.metadata.ID, "service", c.service, "reason", refusal.Reason,
+			"last_event", string(a.lastID), "sends", c.sends, "avoid", c.avoid, "cause", c.lastError(),
 			"elapsed", time.Since(c.arrived).Round(time.Millisecond), "left", c.remaining())
 		panic(http.ErrAbortHandler)
 	}
-	if c.held != nil && (ctx.Err() == nil || stopped(ctx)) {
-		c.held.deliver(a.writer)
-		h.finishedHeld(c)
+	if c.failedAnswer != nil && (ctx.Err() == nil || isNodeStop(ctx)) {
+		c.failedAnswer.writeTo(a.writer)
+		h.recordFailedAnswer(c)
 		return
 	}
 	refusal.Ran = c.ran
 	if refusal.Reason == zinniamast.ReasonCancelled {
-		h.metrics.broken.WithLabelValues(string(refusal.Reason)).Inc()
-		h.config.Logger.Info("caller left", "request", c.ask.ID, "service", c.service,
+		h.metrics.brokenOff.WithLabelValues(string(refusal.Reason)).Inc()
+		h.config.Logger.Info("caller disconnected", "request", c.metadata.ID, "service", c.service,
 			"sends", c.sends, "elapsed", time.Since(c.arrived).Round(time.Millisecond), "left", c.remaining())
 		panic(http.ErrAbortHandler)
 	}
 	h.refuse(a.writer, c, refusal)
 }
 
-func fail(upstream *blackboard.Upstream, failure zinniamast.Failure, cause error) *zinniamast.UpstreamError {
+// upstreamError returns the error of a failed send to an upstream.
+func upstreamError(upstream *blackboard.Upstream, failure zinniamast.Failure, cause error) *zinniamast.UpstreamError {
 	return &zinniamast.UpstreamError{
 		Failure:  failure,
 		Upstream: upstream.Instance.ID,
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -8,54 +8,57 @@
 )
 
 const (
-	// firstPatience is how many of its targets a repeatable request waits for
-	// the first byte before it goes to another replica, and minFirstPatience
-	// the least it waits: a replica that went dark without a reset is told from
-	// one with a queue only by time.
-	firstPatience    = 3
-	minFirstPatience = 500 * time.Millisecond
-	// pausePatience is how many of its pause targets a resumable stream waits for
-	// the next event, and minPausePatience the least. Callers abandon a stream
-	// after a gap of eight pauses or two seconds.
-	pausePatience    = 4
-	minPausePatience = time.Second
+	// A repeatable request waits firstTimeoutTargets times its first-token target,
+	// but at least minFirstTimeout, for the first byte before it moves to another
+	// replica. Only time distinguishes a replica that stopped without a connection
+	// reset from one with a queue.
+	firstTimeoutTargets = 3
+	minFirstTimeout     = 500 * time.Millisecond
+	// A resumable stream waits pauseTimeoutTargets times its pause target, but at
+	// least minPauseTimeout, for the next event. Callers abandon a stream after a gap
+	// of eight pause targets or two seconds.
+	pauseTimeoutTargets = 4
+	minPauseTimeout     = time.Second
 )
 
-// waits are how long a send may be silent.
-type waits struct {
-	// first bounds the wait for the first byte, pause that for each further event.
+// silenceTimeouts bound how long a replica may send nothing. Zero means no bound.
+type silenceTimeouts struct {
+	// first bounds the wait for the first byte, and pause the wait for each further
+	// event.
 	first time.Duration
 	pause time.Duration
 }
 
-// patience returns the waits of a request. What may not be repeated waits to
-// its deadline: a replica's silence is no reason to end it.
-func patience(c *call) waits {
+// silenceTimeoutsOf returns the silence timeouts of a request. A request that may
+// not be repeated waits until its deadline, because it could not move to another
+// replica.
+func silenceTimeoutsOf(c *call) silenceTimeouts {
 	if !c.route.Repeatable() || c.route.Target == 0 {
-		return waits{}
+		return silenceTimeouts{}
 	}
-	w := waits{
-		first: max(firstPatience*c.route.Target, minFirstPatience),
+	timeouts := silenceTimeouts{
+		first: max(firstTimeoutTargets*c.route.Target, minFirstTimeout),
 	}
 	if c.route.Kind == routes.Stream && c.route.PauseTarget > 0 {
-		w.pause = max(pausePatience*c.route.PauseTarget, minPausePatience)
+		timeouts.pause = max(pauseTimeoutTargets*c.route.PauseTarget, minPauseTimeout)
 	}
-	return w
+	return timeouts
 }
 
-// mayLeave says whether a request may leave a silent replica, and pays for its
-// next send if so: another replica is to begin within the same patience. A
-// replica's own failure that is in hand is an answer too.
+// mayLeave reports whether a request may leave a silent replica, and charges the
+// retry budget for its next send if so: another replica must be predicted to send
+// the first token within the same timeout. If a failed answer of a replica is
+// already available for the caller, the request may leave without a charge.
 func (h *Handler) mayLeave(c *call, id string) bool {
-	if c.held != nil {
+	if c.failedAnswer != nil {
 		return true
 	}
 	if c.sends+1 >= c.route.MaxAttempts || c.arrivals+1 >= maxArrivals {
 		return false
 	}
 	choice, err := h.config.Router.Route(h.need(c, append(slices.Clone(h.avoided(c)), id)))
-	if err != nil || choice.FirstToken > min(patience(c).first, time.Until(c.deadline)) {
+	if err != nil || choice.FirstToken > min(silenceTimeoutsOf(c).first, time.Until(c.deadline)) {
 		return false
 	}
-	return h.pay(c) == nil
+	return h.chargeRetry(c) == nil
 }
--- a/httplimit/client.go
+++ b/httplimit/client.go
@@ -1,4 +1,4 @@
-// Package httplimit builds HTTP clients whose answers are bounded in time and size.
+// Package httplimit builds HTTP clients that bound the time and size of answers.
 package httplimit
 
 import (
@@ -13,45 +13,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrTooLarge means that an answer is larger than the client may read.
+// ErrTooLarge means that an answer exceeds the client's limit.
 var ErrTooLarge = errors.New("answer too large")
 
-// Config says what a client may use.
+// Config sets the limits of a client.
 type Config struct {
 	// Timeout bounds a whole call, body included.
 	Timeout time.Duration
 	// MaxBody bounds an answer's body, in bytes.
 	MaxBody int64
-	// MaxConnections bounds connections to one host.
+	// MaxConnections bounds the connections to one host.
 	MaxConnections int
 }
 
-// dialTimeout bounds the connect alone, so that a dead address is told from a slow one.
+// dialTimeout bounds only the connect, so that an unreachable address is
+// distinguished from a slow one.
 const dialTimeout = 2 * time.Second
 
-// Keep-alive probes of a connection without traffic, and the bound on what is
-// sent and not acknowledged.
+// Keep-alive probes of an idle connection, and the time limit for sent data that is
+// not acknowledged.
 //
-// Failure: a connection goes silent without a reset while new ones to the same
-// peer work; a call that waits on it would hang until its own timeout. With a
-// probe after a second and two more a second apart the kernel ends an idle one
-// within three seconds. Probes are not sent while data waits to be
-// acknowledged: there the kernel sends again ever more rarely, and after a cut
-// of some seconds the connection stays silent as long again; the user timeout
-// ends it.
+// A connection may go silent without a reset while new connections to the same peer
+// work. A call that waits on it would hang until its own timeout. With a probe after
+// a second and two more a second apart, the kernel closes an idle connection within
+// three seconds. The kernel sends no probes while data waits for an acknowledgement.
+// It retransmits with a growing interval instead, so that after a network cut of
+// some seconds the connection stays silent for as long again. The user timeout
+// closes such a connection.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
-	keepAliveCount    = 2
+	keepAliveProbes   = 2
 	userTimeout       = 3 * time.Second
 )
 
 // DialAbortive dials a connection that is reset when it is closed.
 //
-// Failure: a call is given up while its bytes wait behind a cut. The kernel
-// goes on sending them after an ordinary close, and seconds later the peer
-// runs what the caller was told had failed, or takes an order of a node that no
-// longer holds the duty. A reset discards what was not sent.
+// If a call is cancelled while its data waits for a network cut to end, the kernel
+// continues to send the data after an ordinary close. Seconds later the peer would
+// run a request whose caller was told that it failed, or accept an order from a node
+// that no longer holds the duty. A reset discards data that was not sent.
 func DialAbortive(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
@@ -65,30 +66,32 @@
 	return conn, nil
 }
 
-// Dialer returns a dialer whose connections notice a silent peer within seconds.
+// Dialer returns a dialer whose connections are closed within seconds if the peer is
+// silent.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
-		Control: boundUnacknowledged,
+		Control: setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     keepAliveIdle,
 			Interval: keepAliveInterval,
-			Count:    keepAliveCount,
+			Count:    keepAliveProbes,
 		},
 	}
 }
 
-// boundUnacknowledged sets TCP_USER_TIMEOUT.
-func boundUnacknowledged(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. It bounds how long sent data may
+// stay unacknowledged.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockErr)
 }
 
-// NewClient returns a client with bounds.
+// NewClient returns a client with the limits of the configuration.
 func NewClient(c Config) *http.Client {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -102,47 +105,48 @@
 	}
 	return &http.Client{
 		Timeout: c.Timeout,
-		Transport: &limited{
-			next:    transport,
-			maxBody: c.MaxBody,
+		Transport: &limitedTransport{
+			next:         transport,
+			maxBodyBytes: c.MaxBody,
 		},
 	}
 }
 
-// limited bounds the bodies that come through it. A peer that never ends its
-// answer would otherwise fill this node's memory; cutting the read at the
-// bound is enough because no caller reads past an error.
-type limited struct {
-	next    *http.Transport
-	maxBody int64
+// limitedTransport limits the size of answer bodies. A peer that never ends its
+// answer would otherwise fill this node's memory. Cutting the read at the limit is
+// enough because no caller continues to read after an error.
+type limitedTransport struct {
+	next         *http.Transport
+	maxBodyBytes int64
 }
 
 // RoundTrip implements http.RoundTripper.
-func (l *limited) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *limitedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	response, err := l.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	response.Body = &body{
-		ReadCloser: response.Body,
-		left:       l.maxBody,
+	response.Body = &limitedBody{
+		ReadCloser:     response.Body,
+		remainingBytes: l.maxBodyBytes,
 	}
 	return response, nil
 }
 
-// CloseIdleConnections lets http.Client close what the transport keeps open.
-func (l *limited) CloseIdleConnections() { l.next.CloseIdleConnections() }
+// CloseIdleConnections closes idle connections of the transport; http.Client calls it.
+func (l *limitedTransport) CloseIdleConnections() { l.next.CloseIdleConnections() }
 
-type body struct {
+// limitedBody fails with ErrTooLarge once more than remainingBytes were read.
+type limitedBody struct {
 	io.ReadCloser
-	left int64
+	remainingBytes int64
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *limitedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remainingBytes -= int64(n)
+	if b.remainingBytes < 0 {
 		return 0, ErrTooLarge
 	}
 	return n, err
--- a/httplimit/dial_test.go
+++ b/httplimit/dial_test.go
@@ -13,26 +13,27 @@
 	"zinniamast/httplimit"
 )
 
-// A call is given up and its connection closed. The peer sees a reset and no
-// ordinary end: what was not delivered is discarded, and is not run later.
+// Guards against an ordinary close of a cancelled call's connection, after which
+// undelivered data would still reach the peer and run later. The peer must see a
+// reset.
 func TestAbortiveCloseResets(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	check.NoErr(err)
 	defer listener.Close()
-	read := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
-			read <- err
+			readErr <- err
 			return
 		}
 		defer conn.Close()
 		_, err = conn.Read(make([]byte, 1))
-		read <- err
+		readErr <- err
 	}()
 	conn, err := httplimit.DialAbortive(context.Background(), httplimit.Dialer(time.Second), "tcp", listener.Addr().String())
 	check.NoErr(err)
 	check.NoErr(conn.Close())
-	check.True(errors.Is(<-read, syscall.ECONNRESET))
+	check.True(errors.Is(<-readErr, syscall.ECONNRESET))
 }
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -1,5 +1,5 @@
-// Package silence ends attempts at replicas that tell nothing for too long, as
-// soon as their requests may leave them.
+// Package silence cancels an attempt whose replica has sent nothing for too long,
+// as soon as the request may move to another replica.
 package silence
 
 import (
@@ -9,42 +9,47 @@
 	"time"
 )
 
-// ErrSilent is the cause with which a watch ends an attempt.
+// ErrSilent is the cancellation cause of an attempt that a watch ends.
 var ErrSilent = errors.New("the replica is silent")
 
-// askInterval is how often a request that may not leave a silent replica asks again.
-const askInterval = 200 * time.Millisecond
+// recheckInterval is the time between two calls of Config.Leave while the request
+// may not leave its silent replica.
+const recheckInterval = 200 * time.Millisecond
 
-// Config says what a watch works with.
+// Config configures a Watch.
 type Config struct {
-	// First bounds the wait for the first sign of life; zero watches nothing.
+	// First bounds the wait for the first data from the replica; zero disables the
+	// watch.
 	First time.Duration
-	// Pause bounds the wait for each further one; zero ends the watch with the first.
+	// Pause bounds the wait for each further piece of data; zero ends the watch with
+	// the first.
 	Pause time.Duration
-	// Leave says whether the request may leave its replica, and pays for its next
-	// attempt if so. It is not called any more once Stop has returned.
+	// Leave reports whether the request may leave its replica, and charges the retry
+	// budget for its next attempt if so. It is not called after Stop has returned.
 	Leave func() bool
-	// Cancel ends the attempt.
+	// Cancel cancels the attempt.
 	Cancel context.CancelCauseFunc
 }
 
-// Watch ends one attempt.
+// Watch cancels one attempt if its replica is silent and the request may leave it.
 //
-// Failure: a replica that reads long prompts, or preempts the request, is silent
-// for seconds though it is well. An attempt that is ended before another one is
-// certain leaves the request nothing to go on with.
+// A healthy replica that prefills long prompts or preempts the request is silent for
+// seconds. Cancelling an attempt before another one is certain to follow would
+// leave the request without any attempt.
 type Watch struct {
 	config Config
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// due is when the replica counts as silent; zero while the watch rests.
-	due     time.Time
-	stopped bool
-	ended   bool
+	// deadline is the time at which the replica counts as silent; zero while the watch
+	// is suspended.
+	deadline time.Time
+	stopped  bool
+	// ended reports whether the watch cancelled the attempt.
+	ended bool
 }
 
-// New starts a watch.
+// New starts a watch. Its caller must call Stop when the attempt has ended.
 func New(config Config) *Watch {
 	w := &Watch{
 		config: config,
@@ -52,21 +57,22 @@
 	if config.First > 0 {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.due = time.Now().Add(config.First)
+		w.deadline = time.Now().Add(config.First)
 		w.timer = time.AfterFunc(config.First, w.expire)
 	}
 	return w
 }
 
-// expire ends the attempt, or asks again later.
+// expire cancels the attempt, or checks again after recheckInterval if the request
+// may not leave its replica.
 func (w *Watch) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.due.IsZero() || time.Now().Before(w.due) {
+	if w.stopped || w.deadline.IsZero() || time.Now().Before(w.deadline) {
 		return
 	}
 	if !w.config.Leave() {
-		w.wait(askInterval)
+		w.startTimer(recheckInterval)
 		return
 	}
 	w.ended = true
@@ -74,19 +80,19 @@
 	w.config.Cancel(ErrSilent)
 }
 
-// Rest ends the wait until the replica is heard again: what it tells meanwhile
-// is not read.
+// Rest suspends the watch until the next call of Heard. It is called while nothing
+// is read from the replica.
 func (w *Watch) Rest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer == nil || w.stopped {
 		return
 	}
-	w.due = time.Time{}
+	w.deadline = time.Time{}
 	w.timer.Stop()
 }
 
-// Heard starts the wait for the next sign of life.
+// Heard records data from the replica and starts the wait for the next.
 func (w *Watch) Heard() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,16 +103,16 @@
 		w.stop()
 		return
 	}
-	w.wait(w.config.Pause)
+	w.startTimer(w.config.Pause)
 }
 
-// wait sets the timer; the caller holds the lock.
-func (w *Watch) wait(d time.Duration) {
-	w.due = time.Now().Add(d)
+// startTimer sets the deadline and the timer. The caller holds the lock.
+func (w *Watch) startTimer(d time.Duration) {
+	w.deadline = time.Now().Add(d)
 	w.timer.Reset(d)
 }
 
-// Stop ends the watch and says whether it had ended the attempt.
+// Stop ends the watch and reports whether the watch had cancelled the attempt.
 func (w *Watch) Stop() (ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +120,7 @@
 	return w.ended
 }
 
-// stop ends the watch; the caller holds the lock.
+// stop ends the watch. The caller holds the lock.
 func (w *Watch) stop() {
 	w.stopped = true
 	if w.timer != nil {
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -12,105 +12,105 @@
 	"zinniamast/silence"
 )
 
-// bed is a watch in virtual time.
-type bed struct {
-	watch *silence.Watch
-	ctx   context.Context
-	asked atomic.Int64
-	leave atomic.Bool
+// fixture is a watch with its attempt's context and a count of the calls of Leave.
+type fixture struct {
+	watch      *silence.Watch
+	ctx        context.Context
+	leaveCalls atomic.Int64
+	mayLeave   atomic.Bool
 }
 
-func newBed(first, pause time.Duration) *bed {
+func newFixture(first, pause time.Duration) *fixture {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	b := &bed{
+	f := &fixture{
 		ctx: ctx,
 	}
-	b.watch = silence.New(silence.Config{
+	f.watch = silence.New(silence.Config{
 		First: first,
 		Pause: pause,
 		Leave: func() bool {
-			b.asked.Add(1)
-			return b.leave.Load()
+			f.leaveCalls.Add(1)
+			return f.mayLeave.Load()
 		},
 		Cancel: cancel,
 	})
-	return b
+	return f
 }
 
-// Guards against ending an attempt before the request may leave its replica.
-func TestEndsOnlyWhatMayLeave(t *testing.T) {
+// Guards against cancelling an attempt before the request may leave its replica.
+func TestEndsOnlyAttemptsThatMayLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		b := newBed(time.Second, time.Second)
+		f := newFixture(time.Second, time.Second)
 		time.Sleep(1900 * time.Millisecond)
 		synctest.Wait()
-		check.NoErr(b.ctx.Err())
-		check.Equal(b.asked.Load(), int64(5))
-		b.leave.Store(true)
+		check.NoErr(f.ctx.Err())
+		check.Equal(f.leaveCalls.Load(), int64(5))
+		f.mayLeave.Store(true)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		check.Equal(context.Cause(b.ctx), silence.ErrSilent)
-		check.True(b.watch.Stop())
+		check.Equal(context.Cause(f.ctx), silence.ErrSilent)
+		check.True(f.watch.Stop())
 	})
 }
 
-// Guards against a wait that goes on from before the last sign of life.
-func TestHeardStartsTheWaitAnew(t *testing.T) {
+// Guards against a wait that is measured from before the last data of the replica.
+func TestHeardRestartsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		b := newBed(time.Second, 500*time.Millisecond)
-		b.leave.Store(true)
+		f := newFixture(time.Second, 500*time.Millisecond)
+		f.mayLeave.Store(true)
 		for range 5 {
 			time.Sleep(400 * time.Millisecond)
-			b.watch.Heard()
+			f.watch.Heard()
 		}
-		check.NoErr(b.ctx.Err())
+		check.NoErr(f.ctx.Err())
 		time.Sleep(600 * time.Millisecond)
 		synctest.Wait()
-		check.Equal(context.Cause(b.ctx), silence.ErrSilent)
+		check.Equal(context.Cause(f.ctx), silence.ErrSilent)
 	})
 }
 
-// Guards against a watch that pays for a request that has ended.
-func TestStoppedAsksNoMore(t *testing.T) {
+// Guards against a watch that charges the retry budget for a request that has ended.
+func TestStoppedWatchMakesNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		b := newBed(time.Second, time.Second)
+		f := newFixture(time.Second, time.Second)
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
-		check.True(!b.watch.Stop())
-		asked := b.asked.Load()
-		b.watch.Heard()
+		check.True(!f.watch.Stop())
+		calls := f.leaveCalls.Load()
+		f.watch.Heard()
 		time.Sleep(time.Minute)
-		check.Equal(b.asked.Load(), asked)
+		check.Equal(f.leaveCalls.Load(), calls)
 	})
 }
 
-// Guards against watching a plain answer after its head has come.
+// Guards against watching a plain answer after its header has arrived.
 func TestNoPauseMeansNoFurtherWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		b := newBed(time.Second, 0)
-		b.leave.Store(true)
-		b.watch.Heard()
+		f := newFixture(time.Second, 0)
+		f.mayLeave.Store(true)
+		f.watch.Heard()
 		time.Sleep(time.Minute)
-		check.NoErr(b.ctx.Err())
+		check.NoErr(f.ctx.Err())
 	})
 }
 
-// Guards against taking a caller that does not read for a replica that is silent.
-func TestRestsWhileNothingIsRead(t *testing.T) {
+// Guards against treating a replica as silent while its caller does not read.
+func TestRestSuspendsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		b := newBed(time.Second, time.Second)
-		b.leave.Store(true)
-		b.watch.Heard()
-		b.watch.Rest()
+		f := newFixture(time.Second, time.Second)
+		f.mayLeave.Store(true)
+		f.watch.Heard()
+		f.watch.Rest()
 		time.Sleep(time.Minute)
-		check.NoErr(b.ctx.Err())
-		b.watch.Heard()
+		check.NoErr(f.ctx.Err())
+		f.watch.Heard()
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
-		check.Equal(context.Cause(b.ctx), silence.ErrSilent)
+		check.Equal(context.Cause(f.ctx), silence.ErrSilent)
 	})
 }
