--- a/forward/answer.go
+++ b/forward/answer.go
@@ -54,7 +54,7 @@
 
 // forwardAnswer checks the status and the headers of a replica's answer and
 // forwards the answer to the caller.
-func (h *Handler) forwardAnswer(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+func (h *Handler) forwardAnswer(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, watch *silence.Watch, started time.Time) *zinniamast.UpstreamError {
 	reply := h.config.Protocol.Reply(response)
 	if reply.ID != "" && reply.ID != c.metadata.ID {
 		return upstreamError(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer belongs to request %q", reply.ID))
@@ -69,21 +69,21 @@
 		return upstreamError(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer with status %d lacks the replica's signature or has a content encoding", response.StatusCode))
 	}
 	if c.route.Kind == routes.Stream && response.StatusCode == http.StatusOK {
-		return h.forwardStream(a, c, upstream, response, w, started)
+		return h.forwardStream(a, c, upstream, response, watch, started)
 	}
 	if a.begun {
 		// The replica that was to resume the stream sent another kind of answer.
 		return upstreamError(upstream, zinniamast.FailureError, fmt.Errorf("forward: replica answered with status %d instead of resuming the stream", response.StatusCode))
 	}
-	return h.forwardPlain(a, c, upstream, response, w, started)
+	return h.forwardPlain(a, c, upstream, response, watch, started)
 }
 
 // forwardPlain forwards an answer that is not a stream. An answer of less than
 // maxBufferedBytes is read whole before the first byte goes to the caller. A
 // server error on a safe route is kept and the request may be retried.
-func (h *Handler) forwardPlain(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+func (h *Handler) forwardPlain(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, watch *silence.Watch, started time.Time) *zinniamast.UpstreamError {
 	h.recordStart(c, upstream, started)
-	w.Heard()
+	watch.Heard()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		return upstreamError(upstream, zinniamast.FailureCutShort, err)
@@ -157,7 +157,7 @@
 // forwardStream forwards events as they arrive. It forwards whole events only,
 // because a replica may stop in the middle of an event and the replica that
 // resumes the stream sends that event again from its start.
-func (h *Handler) forwardStream(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, w *silence.Watch, started time.Time) *zinniamast.UpstreamError {
+func (h *Handler) forwardStream(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, watch *silence.Watch, started time.Time) *zinniamast.UpstreamError {
 	pooled, _ := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(pooled)
 	buffer := *pooled
@@ -179,11 +179,11 @@
 			c.leftSilentReplica, c.resumeWaits = false, 0
 			// A caller that reads slowly blocks the write. Nothing is read from the
 			// replica meanwhile, so the silence watch is suspended.
-			w.Rest()
+			watch.Suspend()
 			if writeErr := a.writeEvents(buffer[:whole], response); writeErr != nil {
 				return upstreamError(upstream, zinniamast.FailureStopped, writeErr)
 			}
-			w.Heard()
+			watch.Heard()
 			filled = copy(buffer, buffer[whole:filled])
 		}
 		if err == io.EOF && filled == 0 && a.begun {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -46,9 +46,9 @@
 	for _, name := range []string{"Api-Key", "Zinniamast-Kv-Hold", "Kv-From", "Zinniamast-Pin-Ms", "Zinniamast-Kv-Backup", "X-Dropped"} {
 		f.is.Equal(run.Header.Get(name), "")
 	}
-	left, err := strconv.Atoi(run.Header.Get("Zinniamast-Deadline-Ms"))
+	remaining, err := strconv.Atoi(run.Header.Get("Zinniamast-Deadline-Ms"))
 	f.is.NoErr(err)
-	f.is.True(left > 1000 && left <= 1500)
+	f.is.True(remaining > 1000 && remaining <= 1500)
 	f.is.Equal(f.started.Load(), int64(1))
 }
 
@@ -150,10 +150,10 @@
 }
 
 // waitClosed fails the test if the channel is not closed within half a second.
-func waitClosed(t *testing.T, left chan struct{}) {
+func waitClosed(t *testing.T, closed chan struct{}) {
 	t.Helper()
 	select {
-	case <-left:
+	case <-closed:
 	case <-time.After(500 * time.Millisecond):
 		t.Fatal("replica still runs the request after 500ms")
 	}
@@ -253,7 +253,7 @@
 
 // Guards against running a request of an organisation that has used up its allowance,
 // or a request to a stopping node. The caller gets at once a status which promises
-// that the request has not run; the first kind also states a retry time.
+// that the request has not run, and the time after which it may retry.
 func TestRefusalsBeforeRunning(t *testing.T) {
 	f := newFixture(t, 1)
 	f.refusalWait.Store(int64(700 * time.Millisecond))
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -131,8 +131,9 @@
 }
 
 // reportPanic logs a panic other than http.ErrAbortHandler, which closes a
-// connection on purpose. The panic continues as http.ErrAbortHandler, so that
-// net/http closes the connection without a log line of its own.
+// connection on purpose: net/http reports a panic only at debug level, and the
+// caller sees nothing but a closed connection. The panic continues as
+// http.ErrAbortHandler.
 func (h *Handler) reportPanic(r *http.Request) {
 	cause := recover()
 	if cause == nil {
--- a/forward/run.go
+++ b/forward/run.go
@@ -110,7 +110,7 @@
 	if source := h.config.Upstreams.Get(choice.FetchFrom); source != nil {
 		c.fetchFrom = source.Instance.Address
 	}
-	h.config.Logger.Info("request sent to replica", "request", c.metadata.ID, "service", c.service, "organisation", c.organisationName(),
+	h.config.Logger.Info("sending request to replica", "request", c.metadata.ID, "service", c.service, "organisation", c.organisationName(),
 		"config", c.configVersion, "priority", c.priority, "prompt_tokens", c.metadata.PromptTokens, "replica", choice.Upstream,
 		"failure_domain", upstream.Instance.FailureDomain, "running_here", upstream.Inflight(),
 		"predicted_first", choice.FirstToken.Round(time.Millisecond), "cached", choice.CachedTokens, "fetch_from", choice.FetchFrom,
@@ -119,9 +119,9 @@
 }
 
 // avoided returns the replicas that must not get the request. A suspect request
-// also avoids the replicas that the quarantine sets apart, where replicas crashed
-// while running it. A second crash there would prove nothing, and would also end
-// whatever has just recovered there.
+// also avoids the replicas that Quarantine.Apart returns, among them those where
+// replicas crashed while running it. A second crash there would prove nothing, and
+// would also end whatever has just recovered there.
 func (h *Handler) avoided(c *call) []string {
 	if !c.isSuspect {
 		return c.avoid
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -80,9 +80,9 @@
 	w.config.Cancel(ErrSilent)
 }
 
-// Rest suspends the watch until the next call of Heard. It is called while nothing
+// Suspend suspends the watch until the next call of Heard. It is called while nothing
 // is read from the replica.
-func (w *Watch) Rest() {
+func (w *Watch) Suspend() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer == nil || w.stopped {
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -99,13 +99,13 @@
 }
 
 // Guards against treating a replica as silent while its caller does not read.
-func TestRestSuspendsTheWait(t *testing.T) {
+func TestSuspendStopsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFixture(time.Second, time.Second)
 		f.mayLeave.Store(true)
 		f.watch.Heard()
-		f.watch.Rest()
+		f.watch.Suspend()
 		time.Sleep(time.Minute)
 		check.NoErr(f.ctx.Err())
 		f.watch.Heard()
