--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// prompt returns the prefix hashes of a prompt of so many tokens.
-func prompt(tokens int, mark byte) []uint64 {
+// promptPrefix returns the prefix hashes of a prompt of so many tokens.
+func promptPrefix(tokens int, mark byte) []uint64 {
 	text := make([]byte, tokens*prefix.BytesPerToken)
 	for i := range text {
 		text[i] = mark
@@ -68,15 +68,15 @@
 		Priority:            1,
 		PromptTokens:        30_000,
 		MaxTokens:           800,
-		Prefix:              prompt(30_000, 'a'),
+		Prefix:              promptPrefix(30_000, 'a'),
 		Deadline:            now.Add(2 * time.Minute),
 		FirstTokenTarget:    400 * time.Millisecond,
 		BetweenTokensTarget: 48 * time.Millisecond,
 	}
 }
 
-// warm gives the router some work in progress and some history.
-func warm(router *routing.Router, need *zinniamast.Need) {
+// warmUp gives the router some work in progress and some history.
+func warmUp(router *routing.Router, need *zinniamast.Need) {
 	for i := range 64 {
 		choice, err := router.Route(need)
 		if err != nil {
@@ -87,14 +87,14 @@
 			Attempt:      fmt.Sprint(i),
 			Upstream:     choice.Upstream,
 			PromptTokens: 2000,
-			Prefix:       prompt(2000, byte(i)),
+			Prefix:       promptPrefix(2000, byte(i)),
 		})
 	}
 }
 
-// faces are how the two faces choose: on the platform replicas tell nothing of
+// interfaceConfigs are how the two faces choose: on the platform replicas tell nothing of
 // their caches and fetch prefixes from each other.
-func faces(replicas int) map[string]routing.Config {
+func interfaceConfigs(replicas int) map[string]routing.Config {
 	own := routing.Config{
 		Board:         newBoard(replicas),
 		FailureDomain: domains[0],
@@ -115,11 +115,11 @@
 // before 12, 400 and 5,700 replicas.
 func BenchmarkRoute(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
-		for face, config := range faces(replicas) {
+		for face, config := range interfaceConfigs(replicas) {
 			b.Run(fmt.Sprintf("face=%s/replicas=%d", face, replicas), func(b *testing.B) {
 				router := routing.New(config)
 				need := newNeed(time.Now())
-				warm(router, need)
+				warmUp(router, need)
 				b.ReportAllocs()
 				for b.Loop() {
 					if _, err := router.Route(need); err != nil {
@@ -163,10 +163,10 @@
 func TestRouteAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	for _, replicas := range []int{12, 400, 5700} {
-		for _, config := range faces(replicas) {
+		for _, config := range interfaceConfigs(replicas) {
 			router := routing.New(config)
 			need := newNeed(time.Now())
-			warm(router, need)
+			warmUp(router, need)
 			allocations := testing.AllocsPerRun(200, func() {
 				if _, err := router.Route(need); err != nil {
 					t.Fatal(err)
@@ -185,20 +185,20 @@
 			board := newBoard(replicas)
 			need := newNeed(time.Now())
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				router := routing.New(routing.Config{
 					Board:         board,
 					FailureDomain: domains[0],
 					Seed:          1,
 				})
-				empty := heap()
+				empty := heapBytes()
 				if _, err := router.Route(need); err != nil {
 					b.Fatal(err)
 				}
 				for i := range replicas / 2 {
-					begin(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+					startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 				}
-				full := heap()
+				full := heapBytes()
 				b.ReportMetric(float64(empty-before), "B/router")
 				b.ReportMetric(float64(full-empty)/float64(replicas), "B/replica")
 				runtime.KeepAlive(router)
@@ -207,8 +207,8 @@
 	}
 }
 
-// heap returns the bytes in use after a collection.
-func heap() uint64 {
+// heapBytes returns the bytes in use after a collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -219,7 +219,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			router := newRouter(newClock(), newBoard(replicas), newBus(), "n1")
+			router := newRouter(newFakeClock(), newBoard(replicas), newBus(), "n1")
 			if _, err := router.Route(newNeed(time.Now())); err != nil {
 				b.Fatal(err)
 			}
@@ -232,7 +232,7 @@
 
 // BenchmarkObserve measures what an attempt with a prompt of 30,000 tokens costs beside its decision.
 func BenchmarkObserve(b *testing.B) {
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(400), newBus(), "n1")
 	need := newNeed(c.now)
 	if _, err := router.Route(need); err != nil {
@@ -240,6 +240,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		answer(c, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
+		completeAttempt(c, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
 	}
 }
--- a/routing/cache.go
+++ b/routing/cache.go
@@ -2,32 +2,32 @@
 
 // cacheState is what is believed of a replica's limited prefix cache.
 type cacheState struct {
-	// clock counts the tokens this node made the cache take in.
-	clock uint32
+	// insertedTokens counts the tokens this node made the cache take in.
+	insertedTokens uint32
 	// epoch rises when the engine starts again with an empty cache.
 	epoch uint32
-	// reach is how many tokens may be taken in before a prefix is probably
+	// retentionTokens is how many tokens may be taken in before a prefix is probably
 	// evicted. Other nodes' tokens evict too, unseen; reach is learned in this
 	// node's own tokens, so it shrinks by their part.
-	reach float64
+	retentionTokens float64
 	// sequence is the last cache event's.
 	sequence uint64
 }
 
 const (
-	initialReach = 400_000
-	minReach     = 4_000
-	maxReach     = 50_000_000
-	// reachWeight is how fast the reach follows a hit or miss.
-	reachWeight = 0.2
+	initialRetentionTokens = 400_000
+	minRetentionTokens     = 4_000
+	maxRetentionTokens     = 50_000_000
+	// retentionWeight is how fast the reach follows a hit or miss.
+	retentionWeight = 0.2
 )
 
 // match is what the history says of a need at one replica.
 type match struct {
 	// tokens is the length of the longest prefix ever used there.
 	tokens int
-	// age is how many tokens came since.
-	age uint32
+	// ageTokens is how many tokens came since.
+	ageTokens uint32
 }
 
 // lookup holds the history's entries for the prompt of one decision; each is
@@ -81,7 +81,7 @@
 		e := l.entry(middle)
 		since, ok := uint32(0), false
 		if e != nil {
-			since, ok = e.age(p)
+			since, ok = e.ageTokens(p)
 		}
 		if !ok {
 			high = middle
@@ -93,21 +93,21 @@
 	return low - 1, age
 }
 
-// matched says what the history knows of the prompt at a replica.
-func (r *Router) matched(p *replica) match {
+// matchHistory says what the history knows of the prompt at a replica.
+func (r *Router) matchHistory(p *replica) match {
 	index, age := r.lookup.match(p)
 	if index < 0 {
 		return match{}
 	}
 	return match{
-		tokens: r.config.BlockTokens(index),
-		age:    age,
+		tokens:    r.config.BlockTokens(index),
+		ageTokens: age,
 	}
 }
 
-// held returns how many of a match's tokens the replica probably still holds.
-func (c *cacheState) held(known match, prompt int) int {
-	if float64(known.age) > c.reach {
+// cachedTokens returns how many of a match's tokens the replica probably still holds.
+func (c *cacheState) cachedTokens(known match, prompt int) int {
+	if float64(known.ageTokens) > c.retentionTokens {
 		return 0
 	}
 	return min(known.tokens, prompt)
@@ -118,16 +118,16 @@
 	if known.tokens == 0 {
 		return
 	}
-	age := float64(known.age)
+	age := float64(known.ageTokens)
 	hit := 2*cached >= known.tokens
 	switch {
-	case hit && age > c.reach:
-		c.reach += reachWeight * (age - c.reach)
-	case !hit && age < c.reach:
-		c.reach -= reachWeight * (c.reach - age)
+	case hit && age > c.retentionTokens:
+		c.retentionTokens += retentionWeight * (age - c.retentionTokens)
+	case !hit && age < c.retentionTokens:
+		c.retentionTokens -= retentionWeight * (c.retentionTokens - age)
 	}
-	c.reach = clip(c.reach, minReach, maxReach)
+	c.retentionTokens = clip(c.retentionTokens, minRetentionTokens, maxRetentionTokens)
 }
 
-// take counts tokens that enter the cache.
-func (c *cacheState) take(tokens int) { c.clock += uint32(max(0, tokens)) }
+// insert counts tokens that enter the cache.
+func (c *cacheState) insert(tokens int) { c.insertedTokens += uint32(max(0, tokens)) }
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -11,56 +11,56 @@
 	replica *replica
 	// wait is the time before anything is computed for the need.
 	wait time.Duration
-	// first, between and completion are waits from now.
-	first      time.Duration
-	between    time.Duration
-	completion time.Duration
-	// cached and uncached split the tokens to have before the first new one.
-	cached   int
-	uncached int
-	// source is the replica from which fetched tokens more come, in the time
+	// firstToken, between and completion are waits from now.
+	firstToken    time.Duration
+	betweenTokens time.Duration
+	completion    time.Duration
+	// cachedTokens and uncached split the tokens to have before the first new one.
+	cachedTokens   int
+	uncachedTokens int
+	// fetchSource is the replica from which fetched tokens more come, in the time
 	// fetching; nil where none do.
-	source   *replica
-	fetched  int
-	fetching time.Duration
+	fetchSource   *replica
+	fetchedTokens int
+	fetchTime     time.Duration
 	// work is the machine time that the attempt takes, in seconds, and cost its price.
 	work float64
 	cost float64
-	// usual is the work at a replica of the usual speed.
-	usual float64
+	// typicalWork is the work at a replica of the usual speed.
+	typicalWork float64
 	// running are the sequences there now.
 	running float64
-	// home means that consistent hashing places a long prefix here.
-	home bool
-	rank rank
+	// isHome means that consistent hashing places a long prefix here.
+	isHome bool
+	rank   rank
 }
 
 const (
-	// allUpTo is how many replicas are all considered.
-	allUpTo = 12
-	// drawn is how many are drawn by lot: two or more of them are likely to be
+	// smallFleetSize is how many replicas are all considered.
+	smallFleetSize = 12
+	// sampleSize is how many are drawn by lot: two or more of them are likely to be
 	// little loaded, and nodes that decide at once draw different ones.
-	drawn = 4
-	// drawnAgain is how many more are drawn if none of the first meets the target.
-	drawnAgain = 8
-	// drawnLong is how many of those kept for long prompts are drawn for one.
-	drawnLong = 3
+	sampleSize = 4
+	// resampleSize is how many more are drawn if none of the first meets the target.
+	resampleSize = 8
+	// longPromptSampleSize is how many of those kept for long prompts are drawn for one.
+	longPromptSampleSize = 3
 	// maxCandidates bounds a decision's cost whatever the fleet's size.
 	maxCandidates = 28
 )
 
-// gather fills the candidates of one decision.
-func (r *Router) gather(f *fleet, need *zinniamast.Need, now time.Time) {
+// gatherCandidates fills the candidates of one decision.
+func (r *Router) gatherCandidates(f *fleet, need *zinniamast.Need, now time.Time) {
 	r.candidates = r.candidates[:0]
 	r.lookup.reset(r.history, need.Prefix)
 	r.pickCandidates(f, need, now)
-	r.expectFetches(need, now)
+	r.planFetches(need, now)
 }
 
 // pickCandidates takes in replicas that probably hold the prefix, the prefix's
 // homes, and some by lot.
 func (r *Router) pickCandidates(f *fleet, need *zinniamast.Need, now time.Time) {
-	if len(f.replicas) <= allUpTo {
+	if len(f.replicas) <= smallFleetSize {
 		for _, p := range f.replicas {
 			r.consider(p, need, now)
 		}
@@ -73,22 +73,22 @@
 	}
 	r.considerHolders(need, now)
 	r.markHomes(f, need, now)
-	r.draw(f.replicas[:f.near], drawn, need, now)
-	r.draw(f.replicas[f.near:], 1, need, now)
-	if isLong(need) {
-		r.draw(f.longs, drawnLong, need, now)
+	r.sample(f.replicas[:f.nearCount], sampleSize, need, now)
+	r.sample(f.replicas[f.nearCount:], 1, need, now)
+	if isLongPrompt(need) {
+		r.sample(f.longPromptReplicas, longPromptSampleSize, need, now)
 	}
-	if !r.anyMeets() {
-		r.draw(f.replicas, drawnAgain, need, now)
+	if !r.anyMeetsTarget() {
+		r.sample(f.replicas, resampleSize, need, now)
 	}
 	if len(r.candidates) == 0 {
 		r.considerAny(f, need, now)
 	}
 }
 
-func (r *Router) anyMeets() bool {
+func (r *Router) anyMeetsTarget() bool {
 	for i := range r.candidates {
-		if r.candidates[i].rank == rankMeets {
+		if r.candidates[i].rank == rankOnTarget {
 			return true
 		}
 	}
@@ -121,7 +121,7 @@
 func (r *Router) considerAny(f *fleet, need *zinniamast.Need, now time.Time) {
 	for _, p := range f.replicas {
 		r.consider(p, need, now)
-		if len(r.candidates) == allUpTo {
+		if len(r.candidates) == smallFleetSize {
 			return
 		}
 	}
@@ -134,17 +134,17 @@
 	if longest < 0 {
 		return
 	}
-	r.considerEntry(r.lookup.entry(longest), need, now)
+	r.considerEntryHolders(r.lookup.entry(longest), need, now)
 	if half := longest / 2; half < longest {
-		r.considerEntry(r.lookup.entry(half), need, now)
+		r.considerEntryHolders(r.lookup.entry(half), need, now)
 	}
 }
 
-func (r *Router) considerEntry(e *entry, need *zinniamast.Need, now time.Time) {
+func (r *Router) considerEntryHolders(e *entry, need *zinniamast.Need, now time.Time) {
 	if e == nil {
 		return
 	}
-	for _, h := range e.held {
+	for _, h := range e.holders {
 		if p, ok := r.bySerial[h.serial]; ok {
 			r.consider(p, need, now)
 		}
@@ -156,8 +156,8 @@
 // share would bring them all to one place.
 var anchors = [...]int{13, 7, 1}
 
-// isLong says whether a prompt is long enough to empty a cache.
-func isLong(need *zinniamast.Need) bool { return len(need.Prefix) > anchors[0] }
+// isLongPrompt says whether a prompt is long enough to empty a cache.
+func isLongPrompt(need *zinniamast.Need) bool { return len(need.Prefix) > anchors[0] }
 
 // homes returns the homes of the two longest anchors; nil where there is none.
 func (r *Router) homes(f *fleet, need *zinniamast.Need) (found [2]*replica) {
@@ -176,20 +176,20 @@
 // markHomes takes in the homes of the prompt.
 func (r *Router) markHomes(f *fleet, need *zinniamast.Need, now time.Time) {
 	homes := r.homes(f, need)
-	r.deepestHome = homes[0]
+	r.longestAnchorHome = homes[0]
 	for _, home := range homes {
 		if home == nil {
 			continue
 		}
-		if c := r.consider(home, need, now); c != nil && !c.home {
-			c.home = true
-			r.expectSurprise(c, need, now)
+		if c := r.consider(home, need, now); c != nil && !c.isHome {
+			c.isHome = true
+			r.expectHomeHits(c, need, now)
 		}
 	}
 }
 
-// anyNeed avoids nothing.
-var anyNeed = &zinniamast.Need{}
+// unrestrictedNeed avoids nothing.
+var unrestrictedNeed = &zinniamast.Need{}
 
 // isHome says whether a replica is a home of the prompt that was looked up.
 func (r *Router) isHome(p *replica) bool {
@@ -197,12 +197,12 @@
 	if !ok {
 		return false
 	}
-	found := r.homes(f, anyNeed)
+	found := r.homes(f, unrestrictedNeed)
 	return found[0] == p || found[1] == p
 }
 
-// draw considers some replicas by lot.
-func (r *Router) draw(from []*replica, count int, need *zinniamast.Need, now time.Time) {
+// sample considers some replicas by lot.
+func (r *Router) sample(from []*replica, count int, need *zinniamast.Need, now time.Time) {
 	if len(from) == 0 {
 		return
 	}
@@ -225,8 +225,8 @@
 		replica: p,
 	})
 	c := &r.candidates[len(r.candidates)-1]
-	known := r.matched(p)
-	c.cached = p.cache.held(known, need.PromptTokens)
+	known := r.matchHistory(p)
+	c.cachedTokens = p.cache.cachedTokens(known, need.PromptTokens)
 	r.predict(c, need, now)
 	return c
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// costBand is how much dearer than the cheapest a candidate may be and still
+	// costTolerance is how much dearer than the cheapest a candidate may be and still
 	// count as equal: predictions are not exact enough to tell them apart.
-	costBand = 1.2
-	// homeBand is how much later than the soonest a home may finish and still
+	costTolerance = 1.2
+	// homeTolerance is how much later than the soonest a home may finish and still
 	// be preferred for the sake of later requests with the same prefix.
-	homeBand = 1.25
-	// soonBand is how much later than the soonest still counts as equal where
+	homeTolerance = 1.25
+	// soonestTolerance is how much later than the soonest still counts as equal where
 	// no candidate meets the target.
-	soonBand = 1.3
-	// longBand is how much later than elsewhere a long prompt may be whole on
+	soonestTolerance = 1.3
+	// longPromptTolerance is how much later than elsewhere a long prompt may be whole on
 	// the part of the replicas that long prompts are kept to.
-	longBand = 2.0
+	longPromptTolerance = 2.0
 )
 
 // choose returns the index of the best candidate, or -1, and why. It compares
@@ -38,19 +38,19 @@
 		return -1, choiceNone
 	}
 	if need.Alone {
-		return emptiest(candidates), choiceAlone
+		return leastLoaded(candidates), choiceAlone
 	}
 	top := candidates[0].rank
 	for i := range candidates {
 		top = min(top, candidates[i].rank)
 	}
 	switch top {
-	case rankMeets:
+	case rankOnTarget:
 		return cheapest(candidates, homeCost)
-	case rankShunned:
-		return oldestOpen(candidates), choiceProbe
+	case rankCircuitOpen:
+		return oldestOpenCircuit(candidates), choiceProbe
 	default:
-		return soonest(candidates, top, isLong(need)), choiceNoTarget
+		return soonest(candidates, top, isLongPrompt(need)), choiceNoTarget
 	}
 }
 
@@ -60,20 +60,20 @@
 	lowest, least := -1.0, -1
 	for i := range candidates {
 		c := &candidates[i]
-		if c.rank == rankMeets && (least < 0 || c.cost < lowest) {
+		if c.rank == rankOnTarget && (least < 0 || c.cost < lowest) {
 			lowest, least = c.cost, i
 		}
 	}
 	best, home, equals := -1, -1, 0
 	for i := range candidates {
 		c := &candidates[i]
-		if c.rank != rankMeets || c.cost > max(costBand, homeCost)*lowest {
+		if c.rank != rankOnTarget || c.cost > max(costTolerance, homeCost)*lowest {
 			continue
 		}
-		if c.home && c.cost <= homeCost*lowest && (home < 0 || c.completion < candidates[home].completion) {
+		if c.isHome && c.cost <= homeCost*lowest && (home < 0 || c.completion < candidates[home].completion) {
 			home = i
 		}
-		if c.cost > costBand*lowest {
+		if c.cost > costTolerance*lowest {
 			continue
 		}
 		equals++
@@ -81,7 +81,7 @@
 			best = i
 		}
 	}
-	if home >= 0 && float64(candidates[home].completion) <= homeBand*float64(candidates[best].completion) {
+	if home >= 0 && float64(candidates[home].completion) <= homeTolerance*float64(candidates[best].completion) {
 		return home, choiceHome
 	}
 	if equals == 1 {
@@ -98,7 +98,7 @@
 		return best
 	}
 	kept := cheapestOfSoonest(candidates, of, true)
-	if kept >= 0 && float64(candidates[kept].completion) <= longBand*float64(candidates[best].completion) {
+	if kept >= 0 && float64(candidates[kept].completion) <= longPromptTolerance*float64(candidates[best].completion) {
 		return kept
 	}
 	return best
@@ -110,28 +110,28 @@
 	first := -1
 	for i := range candidates {
 		c := &candidates[i]
-		if c.fits(of, longs) && (first < 0 || c.completion < candidates[first].completion) {
+		if c.matches(of, longs) && (first < 0 || c.completion < candidates[first].completion) {
 			first = i
 		}
 	}
 	best := first
 	for i := range candidates {
 		c := &candidates[i]
-		if c.fits(of, longs) && c.cost < candidates[best].cost &&
-			float64(c.completion) <= soonBand*float64(candidates[first].completion) {
+		if c.matches(of, longs) && c.cost < candidates[best].cost &&
+			float64(c.completion) <= soonestTolerance*float64(candidates[first].completion) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (c *candidate) fits(of rank, longs bool) bool {
-	return c.rank == of && (c.replica.long || !longs)
+func (c *candidate) matches(of rank, longs bool) bool {
+	return c.rank == of && (c.replica.takesLongPrompts || !longs)
 }
 
-// emptiest picks the replica with the least at stake: what a suspect request
+// leastLoaded picks the replica with the least at stake: what a suspect request
 // crashes must take no other request with it.
-func emptiest(candidates []candidate) int {
+func leastLoaded(candidates []candidate) int {
 	best := 0
 	for i := range candidates {
 		c, b := &candidates[i], &candidates[best]
@@ -145,12 +145,12 @@
 	return best
 }
 
-// oldestOpen picks the replica that has been shunned longest. There is always
+// oldestOpenCircuit picks the replica that has been shunned longest. There is always
 // one to probe: circuits never close a whole service.
-func oldestOpen(candidates []candidate) int {
+func oldestOpenCircuit(candidates []candidate) int {
 	best := 0
 	for i := range candidates {
-		if candidates[i].replica.circuit.until.Before(candidates[best].replica.circuit.until) {
+		if candidates[i].replica.circuit.openUntil.Before(candidates[best].replica.circuit.openUntil) {
 			best = i
 		}
 	}
--- a/routing/circuit_test.go
+++ b/routing/circuit_test.go
@@ -14,10 +14,10 @@
 // Eight requests were on their way to a replica when its failure domain was cut
 // off. Each that failed opened the circuit again, for twice as long as before:
 // the replica was shunned for 30 s though it was reached again after one.
-func TestSendsThatFailTogetherOpenACircuitOnce(t *testing.T) {
+func TestConcurrentFailuresOpenCircuitOnce(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	router := newRouter(now, passingBoard(64), newBus(), "node")
+	now := newFakeClock()
+	router := newRouter(now, twoReplicaBoard(64), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 500,
@@ -25,10 +25,10 @@
 	first, err := router.Route(need)
 	check.NoErr(err)
 	for i := range 8 {
-		begin(router, need, first.Upstream, fmt.Sprint(i))
+		startAttempt(router, need, first.Upstream, fmt.Sprint(i))
 	}
 	for i := range 8 {
-		now.pass(10 * time.Millisecond)
+		now.advance(10 * time.Millisecond)
 		router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedEnd,
 			Attempt:  fmt.Sprint(i),
@@ -39,7 +39,7 @@
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.True(choice.Upstream != first.Upstream)
-	now.pass(1100 * time.Millisecond)
+	now.advance(1100 * time.Millisecond)
 	choice, err = router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, first.Upstream)
--- a/routing/curve.go
+++ b/routing/curve.go
@@ -13,27 +13,27 @@
 }
 
 const (
-	// curveKeep is the part of their weight that points keep with each new one.
-	curveKeep = 0.99
-	// curveClip bounds a point to this many times the prediction either way: one
+	// curveDecay is the part of their weight that points keep with each new one.
+	curveDecay = 0.99
+	// curveClipRatio bounds a point to this many times the prediction either way: one
 	// paused replica or one dropped packet must not bend the line of a class.
-	curveClip = 4
-	// curvePrior is the weight of the prior.
-	curvePrior = 4
+	curveClipRatio = 4
+	// curvePriorWeight is the weight of the prior.
+	curvePriorWeight = 4
 )
 
 // newCurve returns a curve that believes a line between two places until it has learned better.
 func newCurve(base, slope, near, far float64) curve {
 	c := curve{}
 	for _, x := range []float64{near, far} {
-		c.sum(x, base+slope*x, curvePrior/2)
+		c.accumulate(x, base+slope*x, curvePriorWeight/2)
 	}
 	c.base = base
 	c.slope = slope
 	return c
 }
 
-func (c *curve) sum(x, y, weight float64) {
+func (c *curve) accumulate(x, y, weight float64) {
 	c.n += weight
 	c.x += weight * x
 	c.y += weight * y
@@ -48,13 +48,13 @@
 func (c *curve) learn(x, y float64) {
 	c.points++
 	expected := c.at(x)
-	y = clip(y, expected/curveClip, expected*curveClip)
-	c.n *= curveKeep
-	c.x *= curveKeep
-	c.y *= curveKeep
-	c.xx *= curveKeep
-	c.xy *= curveKeep
-	c.sum(x, y, 1)
+	y = clip(y, expected/curveClipRatio, expected*curveClipRatio)
+	c.n *= curveDecay
+	c.x *= curveDecay
+	c.y *= curveDecay
+	c.xx *= curveDecay
+	c.xy *= curveDecay
+	c.accumulate(x, y, 1)
 	c.solve()
 }
 
@@ -88,21 +88,21 @@
 const (
 	// factorWeight is how fast one replica's speed follows its observations.
 	factorWeight = 0.1
-	// factorClip bounds one observation, and factorBound the whole factor.
-	factorClip  = 3
-	factorBound = 16
+	// factorClipRatio bounds one observation, and factorBound the whole factor.
+	factorClipRatio = 3
+	maxFactor       = 16
 )
 
 // factor is one replica's speed against its class; above 1 is slower.
 type factor struct {
-	log float64
+	logRatio float64
 }
 
 func (f *factor) value() float64 {
-	if f.log == 0 {
+	if f.logRatio == 0 {
 		return 1
 	}
-	return math.Exp(f.log)
+	return math.Exp(f.logRatio)
 }
 
 // learn takes in an observed value against the class's prediction.
@@ -111,8 +111,8 @@
 		return
 	}
 	seen := math.Log(observed / predicted)
-	seen = clip(seen, f.log-math.Log(factorClip), f.log+math.Log(factorClip))
-	f.log = clip(f.log+factorWeight*(seen-f.log), -math.Log(factorBound), math.Log(factorBound))
+	seen = clip(seen, f.logRatio-math.Log(factorClipRatio), f.logRatio+math.Log(factorClipRatio))
+	f.logRatio = clip(f.logRatio+factorWeight*(seen-f.logRatio), -math.Log(maxFactor), math.Log(maxFactor))
 }
 
 func clip(value, low, high float64) float64 { return min(max(value, low), high) }
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -10,57 +10,57 @@
 	"zinniamast"
 )
 
-// explanations is a bounded ring of recent decisions.
-type explanations struct {
+// decisionRing is a bounded ring of recent decisions.
+type decisionRing struct {
 	ring []decision
 	next int
 }
 
-// explainedCandidates is how many candidates of a decision are remembered.
-const explainedCandidates = 8
+// maxExplainedCandidates is how many candidates of a decision are remembered.
+const maxExplainedCandidates = 8
 
 type decision struct {
-	request string
-	service string
-	at      time.Time
-	reason  string
-	chosen  seen
-	others  [explainedCandidates]seen
-	count   int
-	total   int
+	request        string
+	service        string
+	at             time.Time
+	reason         string
+	chosen         candidateSnapshot
+	others         [maxExplainedCandidates]candidateSnapshot
+	otherCount     int
+	candidateCount int
 }
 
-// seen is a candidate as it looked when the decision was made.
-type seen struct {
-	id       string
-	rank     rank
-	first    time.Duration
-	between  time.Duration
-	end      time.Duration
-	cached   int
-	uncached int
-	running  float64
-	cost     float64
-	home     bool
+// candidateSnapshot is a candidate as it looked when the decision was made.
+type candidateSnapshot struct {
+	id             string
+	rank           rank
+	firstToken     time.Duration
+	betweenTokens  time.Duration
+	completion     time.Duration
+	cachedTokens   int
+	uncachedTokens int
+	running        float64
+	cost           float64
+	isHome         bool
 }
 
-func look(c *candidate) seen {
-	return seen{
-		id:       c.replica.id,
-		rank:     c.rank,
-		first:    c.first,
-		between:  c.between,
-		end:      c.completion,
-		cached:   c.cached,
-		uncached: c.uncached,
-		running:  c.running,
-		cost:     c.cost,
-		home:     c.home,
+func newSnapshot(c *candidate) candidateSnapshot {
+	return candidateSnapshot{
+		id:             c.replica.id,
+		rank:           c.rank,
+		firstToken:     c.firstToken,
+		betweenTokens:  c.betweenTokens,
+		completion:     c.completion,
+		cachedTokens:   c.cachedTokens,
+		uncachedTokens: c.uncachedTokens,
+		running:        c.running,
+		cost:           c.cost,
+		isHome:         c.isHome,
 	}
 }
 
 // record remembers a decision in place of the oldest.
-func (e *explanations) record(need *zinniamast.Need, now time.Time, candidates []candidate, best int, reason string) {
+func (e *decisionRing) record(need *zinniamast.Need, now time.Time, candidates []candidate, best int, reason string) {
 	if need.Request == "" {
 		return
 	}
@@ -70,26 +70,26 @@
 	d.service = need.Service
 	d.at = now
 	d.reason = reason
-	d.chosen = look(&candidates[best])
-	d.total = len(candidates)
-	d.count = 0
+	d.chosen = newSnapshot(&candidates[best])
+	d.candidateCount = len(candidates)
+	d.otherCount = 0
 	for i := range candidates {
-		if i == best || d.count == explainedCandidates {
+		if i == best || d.otherCount == maxExplainedCandidates {
 			continue
 		}
-		d.others[d.count] = look(&candidates[i])
-		d.count++
+		d.others[d.otherCount] = newSnapshot(&candidates[i])
+		d.otherCount++
 	}
 }
 
 // rankNames are for people.
 var rankNames = [...]string{
-	rankMeets:   "meets the target",
-	rankOnTime:  "misses the target, meets the deadline",
-	rankLate:    "misses the deadline",
-	rankUnfit:   "leaves too soon or has not loaded the model",
-	rankSilent:  "tells no load while others do",
-	rankShunned: "circuit open",
+	rankOnTarget:       "meets the target",
+	rankWithinDeadline: "misses the target, meets the deadline",
+	rankLate:           "misses the deadline",
+	rankUnfit:          "leaves too soon or has not loaded the model",
+	rankSilent:         "tells no load while others do",
+	rankCircuitOpen:    "circuit open",
 }
 
 // reasonNames are for people.
@@ -111,8 +111,8 @@
 	return text.String()
 }
 
-// explainedAttempts bounds what is told of one request.
-const explainedAttempts = 8
+// maxExplainedDecisions bounds what is told of one request.
+const maxExplainedDecisions = 8
 
 // decisions copies the last decisions about a request, oldest first, so that
 // no text is written while requests wait for the lock.
@@ -120,29 +120,29 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []decision
-	for i := max(0, r.explain.next-len(r.explain.ring)); i < r.explain.next; i++ {
-		d := &r.explain.ring[i%len(r.explain.ring)]
+	for i := max(0, r.recentDecisions.next-len(r.recentDecisions.ring)); i < r.recentDecisions.next; i++ {
+		d := &r.recentDecisions.ring[i%len(r.recentDecisions.ring)]
 		if d.request == request {
 			found = append(found, *d)
 		}
 	}
-	return found[max(0, len(found)-explainedAttempts):]
+	return found[max(0, len(found)-maxExplainedDecisions):]
 }
 
 func (d *decision) write(text *strings.Builder) {
 	fmt.Fprintf(text, "%s %s went to %s: %s (%d candidates)\n",
-		d.at.UTC().Format(time.RFC3339Nano), d.service, d.chosen.id, reasonNames[d.reason], d.total)
+		d.at.UTC().Format(time.RFC3339Nano), d.service, d.chosen.id, reasonNames[d.reason], d.candidateCount)
 	d.chosen.write(text, "chosen")
-	for i := range d.count {
+	for i := range d.otherCount {
 		d.others[i].write(text, "other")
 	}
 }
 
-func (s *seen) write(text *strings.Builder, word string) {
+func (s *candidateSnapshot) write(text *strings.Builder, word string) {
 	fmt.Fprintf(text, "  %s %s: %s; first token %s, between tokens %s, whole %s; cached %d, to compute %d; running %.0f; cost %.3g",
-		word, s.id, rankNames[s.rank], s.first.Round(time.Millisecond), s.between.Round(100*time.Microsecond),
-		s.end.Round(time.Millisecond), s.cached, s.uncached, s.running, s.cost)
-	if s.home {
+		word, s.id, rankNames[s.rank], s.firstToken.Round(time.Millisecond), s.betweenTokens.Round(100*time.Microsecond),
+		s.completion.Round(time.Millisecond), s.cachedTokens, s.uncachedTokens, s.running, s.cost)
+	if s.isHome {
 		text.WriteString("; prefix home")
 	}
 	text.WriteString("\n")
@@ -154,6 +154,6 @@
 	}
 	r.config.Logger.Debug("route chosen", "request", need.Request, "service", need.Service,
 		"upstream", c.replica.id, "reason", reason, "rank", rankNames[c.rank],
-		"first_token", c.first.String(), "between_tokens", c.between.String(),
-		"cached_tokens", c.cached, "uncached_tokens", c.uncached)
+		"first_token", c.firstToken.String(), "between_tokens", c.betweenTokens.String(),
+		"cached_tokens", c.cachedTokens, "uncached_tokens", c.uncachedTokens)
 }
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -18,8 +18,8 @@
 // replicas cannot or their links are slower than reading, or of a short prefix.
 func TestPrefixOfAFullHomeIsFetched(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	board := eightPassing()
+	now := newFakeClock()
+	board := eightReplicaBoard()
 	need := func(shared int) *zinniamast.Need {
 		return &zinniamast.Need{
 			Service:      "service",
@@ -48,7 +48,7 @@
 		return choice
 	}
 	fill := func(router *routing.Router, replica string) {
-		now.pass(time.Second)
+		now.advance(time.Second)
 		router.Reported(replica, zinniamast.LoadReport{
 			At:      now.Now(),
 			Running: 16,
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -13,55 +13,55 @@
 // fleet is the replicas of one service, ready for bounded candidate sets.
 type fleet struct {
 	// source is the blackboard's snapshot that the fleet was built from.
-	source []*blackboard.Upstream
-	built  time.Time
+	source  []*blackboard.Upstream
+	builtAt time.Time
 	// replicas are all of them, near ones first.
 	replicas []*replica
-	// near is how many of them are drawn from by default.
-	near int
-	// spans means that the near ones run in more than one failure domain.
-	spans bool
-	ring  ring
-	// longs are the near ones that long prompts are kept to.
-	longs []*replica
+	// nearCount is how many of them are drawn from by default.
+	nearCount int
+	// spansFailureDomains means that the near ones run in more than one failure domain.
+	spansFailureDomains bool
+	ring                ring
+	// longPromptReplicas are the near ones that long prompts are kept to.
+	longPromptReplicas []*replica
 }
 
 const (
-	// minNear is how many replicas a node draws from at least: with fewer, all
+	// minNearReplicas is how many replicas a node draws from at least: with fewer, all
 	// nodes of a small failure domain would crowd the same few.
-	minNear = 24
-	// rebuildEvery bounds the work of a wave of changes; leaving replicas are
+	minNearReplicas = 24
+	// minRebuildInterval bounds the work of a wave of changes; leaving replicas are
 	// recognised at once all the same.
-	rebuildEvery = 50 * time.Millisecond
+	minRebuildInterval = 50 * time.Millisecond
 )
 
 // fleet returns the service's replicas as the blackboard has them now.
 func (r *Router) fleet(service string, now time.Time) *fleet {
 	source := r.config.Board.Upstreams.Of(service)
 	f, ok := r.fleets[service]
-	if ok && same(f.source, source) {
+	if ok && isSameSnapshot(f.source, source) {
 		return f
 	}
-	if ok && len(source) > 0 && len(f.replicas) > 0 && now.Sub(f.built) < rebuildEvery {
+	if ok && len(source) > 0 && len(f.replicas) > 0 && now.Sub(f.builtAt) < minRebuildInterval {
 		return f
 	}
-	f = r.build(source, now)
+	f = r.buildFleet(source, now)
 	r.fleets[service] = f
 	return f
 }
 
-// same says whether two snapshots are the same slice.
-func same(a, b []*blackboard.Upstream) bool {
+// isSameSnapshot says whether two snapshots are the same slice.
+func isSameSnapshot(a, b []*blackboard.Upstream) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	return len(a) == 0 || &a[0] == &b[0]
 }
 
-func (r *Router) build(source []*blackboard.Upstream, now time.Time) *fleet {
+func (r *Router) buildFleet(source []*blackboard.Upstream, now time.Time) *fleet {
 	f := &fleet{
 		source:   source,
-		built:    now,
+		builtAt:  now,
 		replicas: make([]*replica, 0, len(source)),
 	}
 	for _, upstream := range source {
@@ -73,47 +73,47 @@
 		}
 		return strings.Compare(a.id, b.id)
 	})
-	f.near = nearest(f.replicas)
-	f.spans = spans(f.replicas[:f.near])
-	f.ring = newRing(f.replicas[:f.near])
-	f.longs = longs(f.replicas[:f.near])
+	f.nearCount = countNear(f.replicas)
+	f.spansFailureDomains = spansFailureDomains(f.replicas[:f.nearCount])
+	f.ring = newRing(f.replicas[:f.nearCount])
+	f.longPromptReplicas = markLongPromptReplicas(f.replicas[:f.nearCount])
 	return f
 }
 
-// nearest returns the length of the shortest leading part with whole
+// countNear returns the length of the shortest leading part with whole
 // distances that holds minNear replicas.
-func nearest(replicas []*replica) int {
-	if len(replicas) <= minNear {
+func countNear(replicas []*replica) int {
+	if len(replicas) <= minNearReplicas {
 		return len(replicas)
 	}
-	end := minNear
+	end := minNearReplicas
 	for end < len(replicas) && replicas[end].distance == replicas[end-1].distance {
 		end++
 	}
 	return end
 }
 
-// longPart is the part of the near replicas that long prompts are kept to
+// longPromptShare is the part of the near replicas that long prompts are kept to
 // where that delays them little. A long prompt evicts a dozen short ones, which
 // are asked for more often: spread evenly, a flood of long prompts empties
 // every cache.
-const longPart = 0.4
+const longPromptShare = 0.4
 
-// longs marks that part, the same on every node.
-func longs(near []*replica) []*replica {
+// markLongPromptReplicas marks that part, the same on every node.
+func markLongPromptReplicas(near []*replica) []*replica {
 	order := slices.Clone(near)
 	slices.SortFunc(order, func(a, b *replica) int { return cmp.Compare(mix(a.hash, 1), mix(b.hash, 1)) })
-	marked := order[:int(math.Ceil(longPart*float64(len(order))))]
+	marked := order[:int(math.Ceil(longPromptShare*float64(len(order))))]
 	for _, p := range near {
-		p.long = false
+		p.takesLongPrompts = false
 	}
 	for _, p := range marked {
-		p.long = true
+		p.takesLongPrompts = true
 	}
 	return marked
 }
 
-func spans(replicas []*replica) bool {
+func spansFailureDomains(replicas []*replica) bool {
 	for _, p := range replicas {
 		if p.upstream.Instance.FailureDomain != replicas[0].upstream.Instance.FailureDomain {
 			return true
@@ -134,20 +134,20 @@
 		r.forget(known)
 	}
 	r.serial++
-	plain := r.isPlain(upstream)
+	plain := r.servesCalls(upstream)
 	fresh := newReplica(upstream, r.serial, r.distance(upstream.Instance.FailureDomain), plain)
 	fresh.speed = r.speed(upstream, plain)
-	fresh.price = r.price(upstream)
-	fresh.told = r.toldOf(upstream.Instance)
+	fresh.pricePerSecond = r.price(upstream)
+	fresh.reportGroup = r.reportGroup(upstream.Instance)
 	r.replicas[id] = fresh
 	r.bySerial[fresh.serial] = fresh
-	r.byHash[fresh.short()] = fresh
+	r.byHash[fresh.shortID()] = fresh
 	return fresh
 }
 
-// isPlain says whether a replica answers calls, whose time depends on how many
+// servesCalls says whether a replica answers calls, whose time depends on how many
 // run there, and not prompts.
-func (r *Router) isPlain(upstream *blackboard.Upstream) bool {
+func (r *Router) servesCalls(upstream *blackboard.Upstream) bool {
 	if upstream.Engine != nil {
 		return false
 	}
@@ -161,8 +161,8 @@
 func (r *Router) forget(old *replica) {
 	delete(r.replicas, old.id)
 	delete(r.bySerial, old.serial)
-	if r.byHash[old.short()] == old {
-		delete(r.byHash, old.short())
+	if r.byHash[old.shortID()] == old {
+		delete(r.byHash, old.shortID())
 	}
 }
 
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -7,10 +7,10 @@
 
 var _ limits.Predictor = (*Router)(nil)
 
-// surePoints is how many answers a machine class must have given before a
+// minForecastPoints is how many answers a machine class must have given before a
 // request is refused on its predicted speed. Priors may be wrong by far, and a
 // refusal teaches nothing.
-const surePoints = 20
+const minForecastPoints = 20
 
 // Forecast implements limits.Predictor: the best that any candidate offers
 // now. The shortest wait need not be the chosen candidate's, which may wait
@@ -19,7 +19,7 @@
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gather(r.fleet(need.Service, now), need, now)
+	r.gatherCandidates(r.fleet(need.Service, now), need, now)
 	best, _ := choose(r.candidates, need, r.config.HomeCost)
 	if best < 0 {
 		return limits.Forecast{}
@@ -29,7 +29,7 @@
 		Replicas: len(r.candidates),
 		Work:     seconds(chosen.work),
 	}
-	if chosen.replica.speed.first.points < surePoints {
+	if chosen.replica.speed.first.points < minForecastPoints {
 		return forecast
 	}
 	forecast.Wait = chosen.wait
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -10,18 +10,18 @@
 // Load news is a list of items of loadItemBytes: the replica's short name,
 // the sequences this node has there, and its queued prompt tokens.
 const (
-	loadItemBytes   = 7
-	loadQueuedUnit  = 64
-	loadKey         = "load"
-	loadExpires     = 10 * time.Second
-	maxLoadItems    = zinniamast.MaxNews / loadItemBytes
-	minLoadInterval = 500 * time.Millisecond
-	// loadBytesASecond bounds what a node hears of load from all others together.
-	loadBytesASecond = 1500
+	loadItemBytes        = 7
+	loadQueuedUnitTokens = 64
+	loadKey              = "load"
+	loadLifetime         = 10 * time.Second
+	maxLoadItems         = zinniamast.MaxNews / loadItemBytes
+	minLoadInterval      = 500 * time.Millisecond
+	// maxLoadBytesPerSecond bounds what a node hears of load from all others together.
+	maxLoadBytesPerSecond = 1500
 )
 
-// heardLoad is what one other node said last.
-type heardLoad struct {
+// peerLoad is what one other node said last.
+type peerLoad struct {
 	items   []loadItem
 	expires time.Time
 }
@@ -36,27 +36,27 @@
 	if r.config.Gossip == nil {
 		return
 	}
-	r.config.Gossip.Subscribe(zinniamast.TopicLoad, r.hearLoad)
-	r.config.Gossip.Subscribe(zinniamast.TopicCircuit, r.hearCircuit)
+	r.config.Gossip.Subscribe(zinniamast.TopicLoad, r.receiveLoad)
+	r.config.Gossip.Subscribe(zinniamast.TopicCircuit, r.receiveCircuitReport)
 }
 
 // publishLoad tells the failure domain what this node has in flight, so that
 // nodes that decide at the same time do not all see the same replica idle.
 func (r *Router) publishLoad(now time.Time) {
-	if r.config.Gossip == nil || now.Before(r.nextLoad) {
+	if r.config.Gossip == nil || now.Before(r.nextLoadPublish) {
 		return
 	}
 	value, wide := r.encodeLoad()
-	r.nextLoad = now.Add(r.loadInterval(len(value), wide))
-	if len(value) == 0 && r.saidIdle {
+	r.nextLoadPublish = now.Add(r.loadInterval(len(value), wide))
+	if len(value) == 0 && r.hasPublishedIdle {
 		return
 	}
-	r.saidIdle = len(value) == 0
+	r.hasPublishedIdle = len(value) == 0
 	r.config.Gossip.Publish(zinniamast.News{
 		Topic:   zinniamast.TopicLoad,
 		Key:     loadKey,
 		Value:   value,
-		Expires: now.Add(loadExpires),
+		Expires: now.Add(loadLifetime),
 		Wide:    wide,
 	})
 }
@@ -69,7 +69,7 @@
 			nodes++
 		}
 	}
-	paced := time.Duration(nodes*size) * time.Second / loadBytesASecond
+	paced := time.Duration(nodes*size) * time.Second / maxLoadBytesPerSecond
 	return max(minLoadInterval, paced)
 }
 
@@ -79,30 +79,30 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.fleets {
-		wide = wide || f.spans
+		wide = wide || f.spansFailureDomains
 	}
 	for _, p := range r.replicas {
 		if p.own.running == 0 || len(value) == maxLoadItems*loadItemBytes {
 			continue
 		}
-		value = binary.BigEndian.AppendUint32(value, p.short())
+		value = binary.BigEndian.AppendUint32(value, p.shortID())
 		value = append(value, byte(min(p.own.running, 255)))
-		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.total()/loadQueuedUnit, 65535)))
+		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.queuedTotal()/loadQueuedUnitTokens, 65535)))
 	}
 	return value, wide
 }
 
-// hearLoad puts another node's news in place of what it said before.
-func (r *Router) hearLoad(news zinniamast.News) {
+// receiveLoad puts another node's news in place of what it said before.
+func (r *Router) receiveLoad(news zinniamast.News) {
 	if news.Origin == r.config.Node || len(news.Value)%loadItemBytes != 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.heard[news.Origin]
+	known, ok := r.peerLoads[news.Origin]
 	if !ok {
-		known = &heardLoad{}
-		r.heard[news.Origin] = known
+		known = &peerLoad{}
+		r.peerLoads[news.Origin] = known
 	}
 	now := r.config.Now()
 	known.withdraw()
@@ -112,23 +112,23 @@
 		if !ok {
 			continue
 		}
-		p.remote.heard = now
+		p.remote.receivedAt = now
 		known.add(loadItem{
 			replica: p,
 			running: int(rest[4]),
-			queued:  int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnit,
+			queued:  int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnitTokens,
 		})
 	}
 }
 
-func (h *heardLoad) add(item loadItem) {
+func (h *peerLoad) add(item loadItem) {
 	item.replica.remote.running += item.running
 	item.replica.remote.queued += item.queued
 	h.items = append(h.items, item)
 }
 
 // withdraw takes back all that the node said.
-func (h *heardLoad) withdraw() {
+func (h *peerLoad) withdraw() {
 	for _, item := range h.items {
 		item.replica.remote.running -= item.running
 		item.replica.remote.queued -= item.queued
@@ -136,57 +136,57 @@
 	h.items = h.items[:0]
 }
 
-// sweepHeard forgets nodes that have said nothing for long: their work is
+// sweepPeerLoads forgets nodes that have said nothing for long: their work is
 // over or goes on unseen, and reports of the engines tell of it.
-func (r *Router) sweepHeard(now time.Time) {
+func (r *Router) sweepPeerLoads(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for origin, known := range r.heard {
+	for origin, known := range r.peerLoads {
 		if now.After(known.expires) {
 			known.withdraw()
-			delete(r.heard, origin)
+			delete(r.peerLoads, origin)
 		}
 	}
 }
 
-// publishCircuit tells the failure domain that a replica fails; the caller holds the lock.
-func (r *Router) publishCircuit(p *replica, now time.Time) {
+// queueCircuitReport tells the failure domain that a replica fails; the caller holds the lock.
+func (r *Router) queueCircuitReport(p *replica, now time.Time) {
 	if r.config.Gossip == nil {
 		return
 	}
-	r.circuitNews = append(r.circuitNews, zinniamast.News{
+	r.pendingCircuitReports = append(r.pendingCircuitReports, zinniamast.News{
 		Topic:   zinniamast.TopicCircuit,
 		Key:     p.id,
 		Value:   []byte("open"),
-		Expires: now.Add(max(p.circuit.until.Sub(now), minWord)),
+		Expires: now.Add(max(p.circuit.openUntil.Sub(now), minCircuitReportLifetime)),
 	})
 }
 
-// minWord is how long news of a failing replica counts at least.
-const minWord = 5 * time.Second
+// minCircuitReportLifetime is how long news of a failing replica counts at least.
+const minCircuitReportLifetime = 5 * time.Second
 
-// sendCircuits publishes what was gathered under the lock, without holding it.
-func (r *Router) sendCircuits() {
+// publishCircuitReports publishes what was gathered under the lock, without holding it.
+func (r *Router) publishCircuitReports() {
 	r.mu.Lock()
-	news := r.circuitNews
-	r.circuitNews = nil
+	news := r.pendingCircuitReports
+	r.pendingCircuitReports = nil
 	r.mu.Unlock()
 	for _, item := range news {
 		r.config.Gossip.Publish(item)
 	}
 }
 
-// hearCircuit takes another node's word: it makes one failure seen here
+// receiveCircuitReport takes another node's word: it makes one failure seen here
 // enough, and opens nothing by itself. A node with a broken network would
 // otherwise close a service for everybody.
-func (r *Router) hearCircuit(news zinniamast.News) {
+func (r *Router) receiveCircuitReport(news zinniamast.News) {
 	if news.Origin == r.config.Node {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p, ok := r.replicas[news.Key]; ok {
-		p.circuit.word = news.Expires
-		r.metrics.circuits.WithLabelValues(circuitWord).Inc()
+		p.circuit.peerReportExpires = news.Expires
+		r.metrics.circuits.WithLabelValues(circuitPeerReport).Inc()
 	}
 }
--- a/routing/history.go
+++ b/routing/history.go
@@ -3,38 +3,38 @@
 // history remembers which replicas were sent which prefixes: a set-associative
 // table of fixed size, the least recently used entry of a set making room.
 type history struct {
-	sets  [][ways]entry
+	sets  [][waysPerSet]entry
 	mask  uint64
 	clock uint32
 }
 
 const (
-	ways    = 4
-	holders = 3
+	waysPerSet = 4
+	maxHolders = 3
 )
 
 type entry struct {
-	prefix uint64
-	used   uint32
-	held   [holders]holder
+	prefix   uint64
+	lastUsed uint32
+	holders  [maxHolders]holder
 }
 
 // holder is a replica that probably holds a prefix.
 type holder struct {
 	serial uint32
-	// at is the replica's cache clock when the prefix was last used there.
-	at uint32
+	// usedAt is the replica's cache clock when the prefix was last used there.
+	usedAt uint32
 	// epoch is the cache's, to tell a restarted engine's prefixes from older ones.
 	epoch uint32
 }
 
 func newHistory(blocks int) *history {
 	sets := 1
-	for sets*ways < blocks {
+	for sets*waysPerSet < blocks {
 		sets *= 2
 	}
 	return &history{
-		sets: make([][ways]entry, sets),
+		sets: make([][waysPerSet]entry, sets),
 		mask: uint64(sets - 1),
 	}
 }
@@ -43,7 +43,7 @@
 func (h *history) find(prefix uint64) *entry {
 	set := &h.sets[prefix&h.mask]
 	for i := range set {
-		if set[i].prefix == prefix && set[i].used != 0 {
+		if set[i].prefix == prefix && set[i].lastUsed != 0 {
 			return &set[i]
 		}
 	}
@@ -55,65 +55,65 @@
 	h.clock++
 	e := h.find(prefix)
 	if e == nil {
-		e = h.evict(prefix)
+		e = h.leastRecentlyUsed(prefix)
 		*e = entry{
 			prefix: prefix,
 		}
 	}
-	e.used = h.clock
-	e.hold(p)
+	e.lastUsed = h.clock
+	e.addHolder(p)
 }
 
-// evict returns the least recently used entry of the prefix's set.
-func (h *history) evict(prefix uint64) *entry {
+// leastRecentlyUsed returns the least recently used entry of the prefix's set.
+func (h *history) leastRecentlyUsed(prefix uint64) *entry {
 	set := &h.sets[prefix&h.mask]
 	oldest := 0
 	for i := range set {
-		if set[i].used < set[oldest].used {
+		if set[i].lastUsed < set[oldest].lastUsed {
 			oldest = i
 		}
 	}
 	return &set[oldest]
 }
 
-// hold puts the replica first; the one used longest ago falls out.
-func (e *entry) hold(p *replica) {
+// addHolder puts the replica first; the one used longest ago falls out.
+func (e *entry) addHolder(p *replica) {
 	now := holder{
 		serial: p.serial,
-		at:     p.cache.clock,
+		usedAt: p.cache.insertedTokens,
 		epoch:  p.cache.epoch,
 	}
-	at := holders - 1
-	for i := range e.held {
-		if e.held[i].serial == p.serial {
+	at := maxHolders - 1
+	for i := range e.holders {
+		if e.holders[i].serial == p.serial {
 			at = i
 			break
 		}
 	}
-	copy(e.held[1:at+1], e.held[:at])
-	e.held[0] = now
+	copy(e.holders[1:at+1], e.holders[:at])
+	e.holders[0] = now
 }
 
-// drop forgets that the replica holds the prefix.
-func (e *entry) drop(p *replica) {
+// removeHolder forgets that the replica holds the prefix.
+func (e *entry) removeHolder(p *replica) {
 	kept := 0
-	for _, h := range e.held {
+	for _, h := range e.holders {
 		if h.serial != p.serial && h.serial != 0 {
-			e.held[kept] = h
+			e.holders[kept] = h
 			kept++
 		}
 	}
-	for ; kept < holders; kept++ {
-		e.held[kept] = holder{}
+	for ; kept < maxHolders; kept++ {
+		e.holders[kept] = holder{}
 	}
 }
 
-// age returns how many tokens the replica's cache has taken in since it last
+// ageTokens returns how many tokens the replica's cache has taken in since it last
 // used the prefix; ok is false if it never did.
-func (e *entry) age(p *replica) (age uint32, ok bool) {
-	for _, h := range e.held {
+func (e *entry) ageTokens(p *replica) (age uint32, ok bool) {
+	for _, h := range e.holders {
 		if h.serial == p.serial && h.epoch == p.cache.epoch {
-			return p.cache.clock - h.at, true
+			return p.cache.insertedTokens - h.usedAt, true
 		}
 	}
 	return 0, false
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -13,8 +13,8 @@
 	"zinniamast/routing"
 )
 
-// eightPassing has eight replicas that take requests as they are.
-func eightPassing() *blackboard.Board {
+// eightReplicaBoard has eight replicas that take requests as they are.
+func eightReplicaBoard() *blackboard.Board {
 	board := blackboard.New()
 	for i := range 8 {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -23,7 +23,7 @@
 				FailureDomain: domains[0],
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   16,
 		})
 	}
@@ -37,8 +37,8 @@
 // hold most of the prefix, it is chosen by every node while it meets the target.
 func TestNodesWithoutHistoryAgreeOnAHome(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	board := eightPassing()
+	now := newFakeClock()
+	board := eightReplicaBoard()
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 6000,
@@ -66,7 +66,7 @@
 		})
 	}
 	busy := func(router *routing.Router, replica string) string {
-		now.pass(time.Second)
+		now.advance(time.Second)
 		router.Reported(replica, zinniamast.LoadReport{
 			At:           now.Now(),
 			Running:      5,
@@ -91,7 +91,7 @@
 	check.True(busy(without, home.Upstream) != home.Upstream)
 
 	// A full home is passed over.
-	now.pass(time.Second)
+	now.advance(time.Second)
 	first.Reported(home.Upstream, zinniamast.LoadReport{
 		At:      now.Now(),
 		Running: 16,
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -12,17 +12,17 @@
 	"zinniamast/routing"
 )
 
-// answer runs one attempt to its end with the given times.
-func answer(c *clock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
-	begin(router, need, upstream, attempt)
-	c.pass(first)
+// completeAttempt runs one attempt to its end with the given times.
+func completeAttempt(c *fakeClock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
+	startAttempt(router, need, upstream, attempt)
+	c.advance(first)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
 	const tokens = 50
-	c.pass((tokens - 1) * between)
+	c.advance((tokens - 1) * between)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedEnd,
 		Attempt:  attempt,
@@ -37,7 +37,7 @@
 // serve within the target. What is learned of a class must not hide the replica.
 func TestSpeedIsLearnedPerReplica(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(2), newBus(), "n1")
 	need := newNeed(c.now)
 	need.Prefix = nil
@@ -45,11 +45,11 @@
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 60 {
-		answer(c, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
-		answer(c, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
+		completeAttempt(c, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
+		completeAttempt(c, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
 	}
-	begin(router, need, "engine-0000", "running")
-	c.pass(time.Second)
+	startAttempt(router, need, "engine-0000", "running")
+	c.advance(time.Second)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  "running",
@@ -71,9 +71,9 @@
 // The caller sees steady gaps between tokens. Order: a replica misses the
 // target with twelve sequences running, although its class is believed to take
 // thirty. The limit must come down below what it had.
-func TestLimitFollowsMeasuredGaps(t *testing.T) {
+func TestLimitFollowsTimeBetweenTokens(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(1), newBus(), "n1")
 	need := newNeed(c.now)
 	need.Prefix = nil
@@ -82,15 +82,15 @@
 	is.NoErr(err)
 	is.Equal(router.Limit("engine-0000"), 32)
 	for i := range 12 {
-		begin(router, need, "engine-0000", fmt.Sprint("other", i))
+		startAttempt(router, need, "engine-0000", fmt.Sprint("other", i))
 	}
 	for i := range 5 {
-		answer(c, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
+		completeAttempt(c, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
 	}
 	lowered := router.Limit("engine-0000")
 	is.True(lowered < 12)
 	for i := range 40 {
-		answer(c, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
+		completeAttempt(c, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
 	}
 	is.True(router.Limit("engine-0000") > lowered)
 }
@@ -99,7 +99,7 @@
 // is left empty, to be returned.
 func TestCheaperReplicaIsChosenWithinTheTarget(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	board := newBoard(2)
 	router := newRouter(c, board, newBus(), "n1")
 	router.SetPrices([]zinniamast.Offer{
@@ -123,23 +123,23 @@
 		choice, err := router.Route(need)
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "engine-0001")
-		begin(router, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(router, need, choice.Upstream, fmt.Sprint(i))
 	}
 }
 
 // Other callers see no break. Order: a request that has crashed replicas is
 // tried once more in a fleet where one replica of 400 is idle. It must run
 // there, where it can take no other request with it.
-func TestSuspectRunsAlone(t *testing.T) {
+func TestSuspectRequestRunsOnIdleReplica(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(400), newBus(), "n1")
 	need := newNeed(c.now)
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 400 {
 		if i != 321 {
-			begin(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+			startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 		}
 	}
 	need.Alone = true
@@ -167,7 +167,7 @@
 					return
 				}
 				attempt := fmt.Sprint(worker, i)
-				begin(router, need, choice.Upstream, attempt)
+				startAttempt(router, need, choice.Upstream, attempt)
 				router.Forecast(need)
 				router.Reported(choice.Upstream, zinniamast.LoadReport{At: time.Now()})
 				router.Observe(zinniamast.Observation{
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -7,9 +7,9 @@
 
 // What happened to a circuit, as a metric label.
 const (
-	circuitOpened = "opened"
-	circuitCapped = "capped"
-	circuitWord   = "word"
+	circuitOpened     = "opened"
+	circuitCapped     = "capped"
+	circuitPeerReport = "word"
 )
 
 type metrics struct {
@@ -45,4 +45,4 @@
 	return m
 }
 
-func (m *metrics) chosen(reason string) { m.byReason[reason].Inc() }
+func (m *metrics) countChoice(reason string) { m.byReason[reason].Inc() }
--- a/routing/report.go
+++ b/routing/report.go
@@ -18,51 +18,51 @@
 	if !ok || !report.At.After(p.report.at) {
 		return
 	}
-	p.told.newest = later(p.told.newest, report.At)
-	running, queued := p.own.before(report.At)
-	p.report = reported{
-		at:      report.At,
-		running: max(0, report.Running+report.Waiting-running),
-		queued:  max(0, report.QueuedTokens-queued),
-		missing: len(report.Models) > 0 && !slices.Contains(report.Models, p.upstream.Instance.Service),
+	p.reportGroup.newestReport = later(p.reportGroup.newestReport, report.At)
+	running, queued := p.own.countsAt(report.At)
+	p.report = residualReport{
+		at:           report.At,
+		running:      max(0, report.Running+report.Waiting-running),
+		queued:       max(0, report.QueuedTokens-queued),
+		modelMissing: len(report.Models) > 0 && !slices.Contains(report.Models, p.upstream.Instance.Service),
 	}
 }
 
-// told is when a replica of one service and failure domain last told its load.
-type told struct {
-	newest time.Time
+// reportGroup is when a replica of one service and failure domain last told its load.
+type reportGroup struct {
+	newestReport time.Time
 }
 
-// toldKey names what shares a told.
-type toldKey struct {
+// reportGroupKey names what shares a told.
+type reportGroupKey struct {
 	service       string
 	failureDomain string
 }
 
-func (r *Router) toldOf(instance zinniamast.Instance) *told {
-	key := toldKey{
+func (r *Router) reportGroup(instance zinniamast.Instance) *reportGroup {
+	key := reportGroupKey{
 		service:       instance.Service,
 		failureDomain: instance.FailureDomain,
 	}
-	known, ok := r.told[key]
+	known, ok := r.reportGroups[key]
 	if !ok {
-		known = &told{}
-		r.told[key] = known
+		known = &reportGroup{}
+		r.reportGroups[key] = known
 	}
 	return known
 }
 
-// silent says whether a replica tells its load no more, while others of its
+// isSilent says whether a replica tells its load no more, while others of its
 // failure domain do. Where none does, whoever asks them may be the one that is cut off.
 //
 // Failure: a replica goes dark without a reset. Requests that may not be repeated
 // wait there until their deadline, and until the first of these has passed, no
 // send has failed: a quarter of all prompts went on to be lost for seconds.
-func (r *Router) silent(p *replica) bool {
+func (r *Router) isSilent(p *replica) bool {
 	if r.config.SilentAfter == 0 || p.report.at.IsZero() {
 		return false
 	}
-	return p.told.newest.Sub(p.report.at) > r.config.SilentAfter
+	return p.reportGroup.newestReport.Sub(p.report.at) > r.config.SilentAfter
 }
 
 func later(a, b time.Time) time.Time {
@@ -76,8 +76,8 @@
 // here since then is not believed: it may tell of a time before that use.
 const eventLagTokens = 20_000
 
-// CacheEvents takes in events of an engine's prefix cache, which come late and with gaps.
-func (r *Router) CacheEvents(upstream string, events []zinniamast.CacheEvent) {
+// RecordCacheEvents takes in events of an engine's prefix cache, which come late and with gaps.
+func (r *Router) RecordCacheEvents(upstream string, events []zinniamast.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.replicas[upstream]
@@ -99,21 +99,21 @@
 		if e == nil {
 			return
 		}
-		if age, held := e.age(p); held && age > eventLagTokens {
-			e.drop(p)
+		if age, held := e.ageTokens(p); held && age > eventLagTokens {
+			e.removeHolder(p)
 		}
 		return
 	}
 	if e != nil {
-		if _, held := e.age(p); held {
+		if _, held := e.ageTokens(p); held {
 			return
 		}
 	}
 	r.history.touch(event.Prefix, p)
 }
 
-// Restarted tells that an engine began again with an empty cache.
-func (r *Router) Restarted(upstream string) {
+// RecordRestart tells that an engine began again with an empty cache.
+func (r *Router) RecordRestart(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p, ok := r.replicas[upstream]; ok {
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -15,37 +15,37 @@
 }
 
 type point struct {
-	at      uint64
-	replica *replica
+	position uint64
+	replica  *replica
 }
 
 func newRing(replicas []*replica) ring {
 	points := make([]point, len(replicas))
 	for i, replica := range replicas {
 		points[i] = point{
-			at:      replica.hash,
-			replica: replica,
+			position: replica.hash,
+			replica:  replica,
 		}
 	}
-	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.position, b.position) })
 	return ring{
 		points: points,
 	}
 }
 
-// probes is how many places of the ring a prefix looks at. One point per
+// probesPerPrefix is how many places of the ring a prefix looks at. One point per
 // replica and several probes spread evenly with a small ring, which is cheap
 // to build again when replicas come and go.
-const probes = 5
+const probesPerPrefix = 5
 
 // home returns the replica closest after any of the prefix's probes that may
 // take work, or nil.
 func (g ring) home(prefix uint64, usable func(*replica) bool) *replica {
 	var best *replica
 	nearest := ^uint64(0)
-	for probe := range uint64(probes) {
+	for probe := range uint64(probesPerPrefix) {
 		at := mix(prefix, probe)
-		found := g.after(at, usable)
+		found := g.firstUsable(at, usable)
 		if found == nil {
 			return nil
 		}
@@ -57,12 +57,12 @@
 	return best
 }
 
-// maxSteps bounds how many replicas in a row a probe may pass over.
-const maxSteps = 8
+// maxProbeSteps bounds how many replicas in a row a probe may pass over.
+const maxProbeSteps = 8
 
-func (g ring) after(at uint64, usable func(*replica) bool) *replica {
-	start := sort.Search(len(g.points), func(i int) bool { return g.points[i].at >= at })
-	for step := range min(maxSteps, len(g.points)) {
+func (g ring) firstUsable(at uint64, usable func(*replica) bool) *replica {
+	start := sort.Search(len(g.points), func(i int) bool { return g.points[i].position >= at })
+	for step := range min(maxProbeSteps, len(g.points)) {
 		candidate := g.points[(start+step)%len(g.points)].replica
 		if usable(candidate) {
 			return candidate
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -35,8 +35,8 @@
 	BlockTokens func(index int) int
 	// HistoryBlocks bounds the prefixes remembered, 48 bytes each; 65,536 if zero.
 	HistoryBlocks int
-	// Explained is how many recent decisions Explain knows; 512 if zero.
-	Explained int
+	// ExplainedDecisions is how many recent decisions Explain knows; 512 if zero.
+	ExplainedDecisions int
 	// HomeCost is how much dearer than the cheapest a prefix's home may be and
 	// still be preferred; 1.2 if zero. More spares what other nodes' requests
 	// would read again, where engines do not tell what they keep.
@@ -55,8 +55,8 @@
 	// report must be for it to count as silent, where all are asked alike; zero
 	// where only some are asked now and then, so that silence says nothing.
 	SilentAfter time.Duration
-	// PollsASecond bounds the load reports and cache events read; 8 if zero.
-	PollsASecond int
+	// PollsPerSecond bounds the load reports and cache events read; 8 if zero.
+	PollsPerSecond int
 	// Seed makes choices repeatable; zero draws one.
 	Seed uint64
 	// Logger hears of choices at debug level; nil is silent.
@@ -69,13 +69,13 @@
 
 // Defaults for fields left zero.
 const (
-	defaultDistance      = 3 * time.Millisecond
-	defaultHistoryBlocks = 1 << 16
-	defaultExplained     = 512
-	defaultPollsASecond  = 8
+	defaultDistance           = 3 * time.Millisecond
+	defaultHistoryBlocks      = 1 << 16
+	defaultExplainedDecisions = 512
+	defaultPollsPerSecond     = 8
 )
 
-func (c *Config) fill() {
+func (c *Config) applyDefaults() {
 	if c.Board == nil {
 		c.Board = blackboard.New()
 	}
@@ -85,14 +85,14 @@
 	if c.HistoryBlocks == 0 {
 		c.HistoryBlocks = defaultHistoryBlocks
 	}
-	if c.Explained == 0 {
-		c.Explained = defaultExplained
+	if c.ExplainedDecisions == 0 {
+		c.ExplainedDecisions = defaultExplainedDecisions
 	}
 	if c.HomeCost == 0 {
-		c.HomeCost = costBand
+		c.HomeCost = costTolerance
 	}
-	if c.PollsASecond == 0 {
-		c.PollsASecond = defaultPollsASecond
+	if c.PollsPerSecond == 0 {
+		c.PollsPerSecond = defaultPollsPerSecond
 	}
 	if c.Seed == 0 {
 		c.Seed = rand.Uint64()
@@ -110,63 +110,63 @@
 	config  Config
 	metrics *metrics
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	fleets   map[string]*fleet
-	replicas map[string]*replica
-	bySerial map[uint32]*replica
-	byHash   map[uint32]*replica
-	serial   uint32
-	speeds   map[speedKey]*speed
-	answers  map[answerKey]*average
-	prices   map[priceKey]float64
-	attempts map[string]*attempt
-	spare    []*attempt
-	history  *history
-	heard    map[string]*heardLoad
-	told     map[toldKey]*told
-	targets  targets
-	// circuitNews waits to be published without the lock.
-	circuitNews []zinniamast.News
-	explain     explanations
-	// surprise is, by service, the part of a prompt found cached at its home
+	mu           sync.Mutex
+	random       *rand.Rand
+	fleets       map[string]*fleet
+	replicas     map[string]*replica
+	bySerial     map[uint32]*replica
+	byHash       map[uint32]*replica
+	serial       uint32
+	speeds       map[speedKey]*speed
+	answers      map[answerKey]*average
+	prices       map[priceKey]float64
+	attempts     map[string]*attempt
+	freeAttempts []*attempt
+	history      *history
+	peerLoads    map[string]*peerLoad
+	reportGroups map[reportGroupKey]*reportGroup
+	targets      targets
+	// pendingCircuitReports waits to be published without the lock.
+	pendingCircuitReports []zinniamast.News
+	recentDecisions       decisionRing
+	// homeHits is, by service, the part of a prompt found cached at its home
 	// without any history here: what other nodes have sent there.
-	surprise map[answerKey]*average
-	// deepestHome is the home of the prompt's longest anchor, of the decision that is made.
-	deepestHome *replica
+	homeHits map[answerKey]*average
+	// longestAnchorHome is the home of the prompt's longest anchor, of the decision that is made.
+	longestAnchorHome *replica
 	// lookup and candidates are reused by every decision under the lock.
 	lookup     lookup
 	candidates []candidate
 
-	// nextLoad and saidIdle belong to Run alone.
-	nextLoad time.Time
-	saidIdle bool
+	// nextLoadPublish and saidIdle belong to Run alone.
+	nextLoadPublish  time.Time
+	hasPublishedIdle bool
 }
 
 var _ zinniamast.Router = (*Router)(nil)
 
 // New returns a router that has observed nothing yet.
 func New(config Config) *Router {
-	config.fill()
+	config.applyDefaults()
 	r := &Router{
-		config:   config,
-		metrics:  newMetrics(config.Registerer),
-		random:   rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
-		fleets:   map[string]*fleet{},
-		replicas: map[string]*replica{},
-		bySerial: map[uint32]*replica{},
-		byHash:   map[uint32]*replica{},
-		speeds:   map[speedKey]*speed{},
-		answers:  map[answerKey]*average{},
-		prices:   map[priceKey]float64{},
-		attempts: map[string]*attempt{},
-		history:  newHistory(config.HistoryBlocks),
-		heard:    map[string]*heardLoad{},
-		told:     map[toldKey]*told{},
-		explain: explanations{
-			ring: make([]decision, config.Explained),
+		config:       config,
+		metrics:      newMetrics(config.Registerer),
+		random:       rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
+		fleets:       map[string]*fleet{},
+		replicas:     map[string]*replica{},
+		bySerial:     map[uint32]*replica{},
+		byHash:       map[uint32]*replica{},
+		speeds:       map[speedKey]*speed{},
+		answers:      map[answerKey]*average{},
+		prices:       map[priceKey]float64{},
+		attempts:     map[string]*attempt{},
+		history:      newHistory(config.HistoryBlocks),
+		peerLoads:    map[string]*peerLoad{},
+		reportGroups: map[reportGroupKey]*reportGroup{},
+		recentDecisions: decisionRing{
+			ring: make([]decision, config.ExplainedDecisions),
 		},
-		surprise:   map[answerKey]*average{},
+		homeHits:   map[answerKey]*average{},
 		candidates: make([]candidate, 0, maxCandidates),
 	}
 	r.subscribe()
@@ -182,23 +182,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.fleet(need.Service, now)
-	r.gather(f, need, now)
+	r.gatherCandidates(f, need, now)
 	best, reason := choose(r.candidates, need, r.config.HomeCost)
 	if best < 0 {
 		r.metrics.choices.WithLabelValues(choiceNone).Inc()
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 			"no replica of %s takes work", need.Service).After(noUpstreamRetryAfter)
 	}
-	r.metrics.chosen(reason)
-	r.explain.record(need, now, r.candidates, best, reason)
+	r.metrics.countChoice(reason)
+	r.recentDecisions.record(need, now, r.candidates, best, reason)
 	r.logChoice(need, &r.candidates[best], reason)
 	c := &r.candidates[best]
 	choice := zinniamast.Choice{
 		Upstream:      c.replica.id,
-		FirstToken:    c.first,
-		BetweenTokens: c.between,
-		CachedTokens:  c.cached + c.fetched,
-		Work:          seconds(c.usual),
+		FirstToken:    c.firstToken,
+		BetweenTokens: c.betweenTokens,
+		CachedTokens:  c.cachedTokens + c.fetchedTokens,
+		Work:          seconds(c.typicalWork),
 	}
 	if source := r.fetchSource(c, need); source != nil {
 		choice.FetchFrom = source.id
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,16 +13,16 @@
 	"zinniamast/routing"
 )
 
-// clock is a time that only the test moves.
-type clock struct {
+// fakeClock is a time that only the test moves.
+type fakeClock struct {
 	now time.Time
 }
 
-func newClock() *clock { return &clock{now: time.Unix(1_800_000_000, 0)} }
+func newFakeClock() *fakeClock { return &fakeClock{now: time.Unix(1_800_000_000, 0)} }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
 // bus hands news to every subscriber at once.
 type bus struct {
@@ -32,13 +32,13 @@
 
 func newBus() *bus { return &bus{subscribers: map[zinniamast.Topic][]func(zinniamast.News){}} }
 
-// port is one node's place on a bus.
-type port struct {
+// busEndpoint is one node's place on a bus.
+type busEndpoint struct {
 	bus  *bus
 	node string
 }
 
-func (p port) Publish(news zinniamast.News) {
+func (p busEndpoint) Publish(news zinniamast.News) {
 	p.bus.sequence++
 	news.Origin = p.node
 	news.Sequence = p.bus.sequence
@@ -47,22 +47,22 @@
 	}
 }
 
-func (p port) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
+func (p busEndpoint) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
 	p.bus.subscribers[topic] = append(p.bus.subscribers[topic], f)
 }
 
-func newRouter(c *clock, board *blackboard.Board, b *bus, node string) *routing.Router {
+func newRouter(c *fakeClock, board *blackboard.Board, b *bus, node string) *routing.Router {
 	return routing.New(routing.Config{
 		Board:         board,
 		Node:          node,
 		FailureDomain: domains[0],
-		Gossip:        port{bus: b, node: node},
+		Gossip:        busEndpoint{bus: b, node: node},
 		Seed:          5,
 		Now:           c.Now,
 	})
 }
 
-func begin(router *routing.Router, need *zinniamast.Need, upstream, attempt string) {
+func startAttempt(router *routing.Router, need *zinniamast.Need, upstream, attempt string) {
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
 		Attempt:      attempt,
@@ -73,14 +73,14 @@
 	})
 }
 
-func finish(c *clock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
-	c.pass(100 * time.Millisecond)
+func finishAttempt(c *fakeClock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
+	c.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
-	c.pass(100 * time.Millisecond)
+	c.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedEnd,
 		Attempt:      attempt,
@@ -95,15 +95,15 @@
 // is marked as leaving, its prefix homes and history included, and requests
 // with those very prefixes come. None may go to a replica that leaves, or it
 // would be cut off with it.
-func TestLeavingAndAvoidedReplicasGetNothing(t *testing.T) {
+func TestLeavingAndAvoidedReplicasGetNoRequests(t *testing.T) {
 	for _, replicas := range []int{12, 400} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
 			is := is.New(t)
-			c := newClock()
+			c := newFakeClock()
 			board := newBoard(replicas)
 			router := newRouter(c, board, newBus(), "n1")
 			need := newNeed(c.now)
-			warm(router, need)
+			warmUp(router, need)
 			for _, upstream := range board.Upstreams.All() {
 				if upstream.Instance.FailureDomain == domains[0] {
 					board.Upstreams.MarkLeaving(upstream.Instance.ID, c.now.Add(5*time.Second))
@@ -125,9 +125,9 @@
 
 // The caller sees no_upstream with "not run" and a time to come back. Order:
 // every replica of the service leaves, then a request comes.
-func TestNoReplicaIsAnHonestRefusal(t *testing.T) {
+func TestRouteWithoutReplicasIsRefused(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, blackboard.New(), newBus(), "n1")
 	_, err := router.Route(newNeed(c.now))
 	refusal := zinniamast.AsRefusal(err)
@@ -140,16 +140,16 @@
 // replica; the same prompt comes again and must go there, until the engine
 // tells that the prefix was evicted. A late eviction that may be older than
 // the last use is not believed.
-func TestPrefixGoesWhereItIsCached(t *testing.T) {
+func TestPromptIsRoutedToItsCachedPrefix(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(400), newBus(), "n1")
 	need := newNeed(c.now)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.CachedTokens, 0)
-	begin(router, need, choice.Upstream, "a1")
-	finish(c, router, "a1", choice.Upstream, 0, "")
+	startAttempt(router, need, choice.Upstream, "a1")
+	finishAttempt(c, router, "a1", choice.Upstream, 0, "")
 	again, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(again.Upstream, choice.Upstream)
@@ -163,16 +163,16 @@
 				Evicted:  true,
 			})
 		}
-		router.CacheEvents(choice.Upstream, events)
+		router.RecordCacheEvents(choice.Upstream, events)
 	}
 	evict(1)
 	again, err = router.Route(need)
 	is.NoErr(err)
 	is.True(again.CachedTokens > 27_000)
 	other := *need
-	other.Prefix = prompt(30_000, 'b')
-	begin(router, &other, choice.Upstream, "a2")
-	finish(c, router, "a2", choice.Upstream, 0, "")
+	other.Prefix = promptPrefix(30_000, 'b')
+	startAttempt(router, &other, choice.Upstream, "a2")
+	finishAttempt(c, router, "a2", choice.Upstream, 0, "")
 	evict(1000)
 	again, err = router.Route(need)
 	is.NoErr(err)
@@ -183,9 +183,9 @@
 // breaks and attempts at replica after replica fail. It must not shun more
 // than half, and must still find one to try; another node that hears of it
 // goes on using all of them.
-func TestOneNodeCannotCloseAService(t *testing.T) {
+func TestFailingNodeDoesNotDisableService(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	b := newBus()
 	board := newBoard(12)
 	broken := newRouter(c, board, b, "n1")
@@ -201,7 +201,7 @@
 		is.NoErr(err)
 		tried[choice.Upstream] = true
 		attempt := fmt.Sprint(i)
-		begin(broken, need, choice.Upstream, attempt)
+		startAttempt(broken, need, choice.Upstream, attempt)
 		broken.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedEnd,
 			Attempt:  attempt,
@@ -209,14 +209,14 @@
 			Failure:  zinniamast.FailureDial,
 		})
 		broken.Tick(t.Context())
-		c.pass(10 * time.Millisecond)
+		c.advance(10 * time.Millisecond)
 	}
 	is.True(len(tried) > 6)
 	used := map[string]bool{}
 	for i := range 200 {
 		choice, err := healthy.Route(need)
 		is.NoErr(err)
-		begin(healthy, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(healthy, need, choice.Upstream, fmt.Sprint(i))
 		used[choice.Upstream] = true
 	}
 	is.Equal(len(used), 12)
@@ -227,7 +227,7 @@
 // again after an exchange of load. They must not crowd one replica.
 func TestNodesDoNotHerd(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	b := newBus()
 	board := newBoard(100)
 	var nodes []*routing.Router
@@ -236,7 +236,7 @@
 			Board:         board,
 			Node:          fmt.Sprint(i),
 			FailureDomain: domains[0],
-			Gossip:        port{bus: b, node: fmt.Sprint(i)},
+			Gossip:        busEndpoint{bus: b, node: fmt.Sprint(i)},
 			Seed:          uint64(i + 1),
 			Now:           c.Now,
 		}))
@@ -249,10 +249,10 @@
 		for i, node := range nodes {
 			choice, err := node.Route(need)
 			is.NoErr(err)
-			begin(node, need, choice.Upstream, fmt.Sprint(round, i))
+			startAttempt(node, need, choice.Upstream, fmt.Sprint(round, i))
 			at[choice.Upstream]++
 		}
-		c.pass(time.Second)
+		c.advance(time.Second)
 		for _, node := range nodes {
 			node.Tick(t.Context())
 		}
@@ -270,7 +270,7 @@
 // must not hide that. A report that counts this node's own work must not count it twice.
 func TestLaggingReportIsCorrectedByOwnWork(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	board := newBoard(2)
 	router := newRouter(c, board, newBus(), "n1")
 	need := newNeed(c.now)
@@ -279,11 +279,11 @@
 	_, err := router.Route(need)
 	is.NoErr(err)
 	taken := c.now
-	c.pass(4 * time.Second)
+	c.advance(4 * time.Second)
 	for i := range 6 {
-		begin(router, need, "engine-0000", fmt.Sprint(i))
+		startAttempt(router, need, "engine-0000", fmt.Sprint(i))
 	}
-	c.pass(time.Second)
+	c.advance(time.Second)
 	router.Reported("engine-0000", zinniamast.LoadReport{At: taken})
 	router.Reported("engine-0001", zinniamast.LoadReport{
 		At:           taken,
@@ -312,9 +312,9 @@
 	is.True(choice.FirstToken < 8*before)
 }
 
-func TestExplainTellsTheChoice(t *testing.T) {
+func TestExplainDescribesChoice(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	router := newRouter(c, newBoard(12), newBus(), "n1")
 	need := newNeed(c.now)
 	choice, err := router.Route(need)
--- a/routing/run.go
+++ b/routing/run.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// tick is how often Run looks for something to do.
-	tick = 250 * time.Millisecond
-	// sweepTicks is how many ticks pass between sweeps.
-	sweepTicks = 40
-	// pollAgain is how long an engine is left alone after a poll.
-	pollAgain = 2 * time.Second
+	// tickInterval is how often Run looks for something to do.
+	tickInterval = 250 * time.Millisecond
+	// ticksPerSweep is how many ticks pass between sweeps.
+	ticksPerSweep = 40
+	// minPollInterval is how long an engine is left alone after a poll.
+	minPollInterval = 2 * time.Second
 	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// pollRecent is how long after its last use a replica is polled.
-	pollRecent = 30 * time.Second
+	// pollAfterUse is how long after its last use a replica is polled.
+	pollAfterUse = 30 * time.Second
 )
 
 // Run polls load reports and cache events and shares load until ctx ends.
 func (r *Router) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for count := 1; ; count++ {
 		select {
@@ -34,7 +34,7 @@
 		case <-ticker.C:
 		}
 		r.Tick(ctx)
-		if count%sweepTicks == 0 {
+		if count%ticksPerSweep == 0 {
 			r.sweep()
 		}
 	}
@@ -45,19 +45,19 @@
 func (r *Router) Tick(ctx context.Context) {
 	now := r.config.Now()
 	r.publishLoad(now)
-	r.sendCircuits()
+	r.publishCircuitReports()
 	r.poll(ctx, now)
 }
 
 func (r *Router) sweep() {
 	now := r.config.Now()
-	r.sweepHeard(now)
+	r.sweepPeerLoads(now)
 	r.sweepAttempts(now)
 	r.sweepReplicas()
 }
 
-// polled is what one engine answered.
-type polled struct {
+// pollResult is what one engine answered.
+type pollResult struct {
 	replica *replica
 	report  zinniamast.LoadReport
 	events  []zinniamast.CacheEvent
@@ -70,36 +70,36 @@
 // virtual time can be repeated.
 func (r *Router) poll(ctx context.Context, now time.Time) {
 	var group sync.WaitGroup
-	answers := r.due(now)
+	answers := r.startPolls(now)
 	for i := range answers {
-		after := r.sequence(answers[i].replica)
-		group.Go(func() { answers[i].ask(ctx, after) })
+		after := r.cacheSequence(answers[i].replica)
+		group.Go(func() { answers[i].read(ctx, after) })
 	}
 	group.Wait()
 	for i := range answers {
-		r.answered(&answers[i])
+		r.recordPoll(&answers[i])
 	}
 }
 
-// due picks the replicas to poll in this tick.
-func (r *Router) due(now time.Time) []polled {
+// startPolls picks the replicas to poll in this tick.
+func (r *Router) startPolls(now time.Time) []pollResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	most := max(1, int(float64(r.config.PollsASecond)*tick.Seconds()))
+	most := max(1, int(float64(r.config.PollsPerSecond)*tickInterval.Seconds()))
 	var picked []*replica
 	for _, p := range r.replicas {
-		if p.plain || p.upstream.Engine == nil || p.upstream.Leaving() {
+		if p.servesCalls || p.upstream.Engine == nil || p.upstream.Leaving() {
 			continue
 		}
-		if !p.inUse(now) || now.Sub(p.polled) < pollAgain {
+		if !p.inUse(now) || now.Sub(p.polledAt) < minPollInterval {
 			continue
 		}
-		picked = keepOldest(picked, p, most)
+		picked = keepLeastRecentlyPolled(picked, p, most)
 	}
 	slices.SortFunc(picked, func(a, b *replica) int { return strings.Compare(a.id, b.id) })
-	answers := make([]polled, len(picked))
+	answers := make([]pollResult, len(picked))
 	for i, p := range picked {
-		p.polled = now
+		p.polledAt = now
 		answers[i].replica = p
 	}
 	return answers
@@ -107,29 +107,29 @@
 
 // inUse says whether this node has or recently had work at the replica.
 func (p *replica) inUse(now time.Time) bool {
-	return p.own.running > 0 || now.Sub(p.own.last()) < pollRecent
+	return p.own.running > 0 || now.Sub(p.own.lastChangeAt()) < pollAfterUse
 }
 
-// pollsBefore says whether a replica's turn comes first; names decide between equals.
-func (p *replica) pollsBefore(other *replica) bool {
-	if !p.polled.Equal(other.polled) {
-		return p.polled.Before(other.polled)
+// isPolledBefore says whether a replica's turn comes first; names decide between equals.
+func (p *replica) isPolledBefore(other *replica) bool {
+	if !p.polledAt.Equal(other.polledAt) {
+		return p.polledAt.Before(other.polledAt)
 	}
 	return p.id < other.id
 }
 
-// keepOldest adds a replica to those polled longest ago, at most so many.
-func keepOldest(picked []*replica, p *replica, most int) []*replica {
+// keepLeastRecentlyPolled adds a replica to those polled longest ago, at most so many.
+func keepLeastRecentlyPolled(picked []*replica, p *replica, most int) []*replica {
 	if len(picked) < most {
 		return append(picked, p)
 	}
 	newest := 0
 	for i := range picked {
-		if picked[newest].pollsBefore(picked[i]) {
+		if picked[newest].isPolledBefore(picked[i]) {
 			newest = i
 		}
 	}
-	if p.pollsBefore(picked[newest]) {
+	if p.isPolledBefore(picked[newest]) {
 		picked[newest] = p
 	}
 	return picked
@@ -141,8 +141,8 @@
 	pollFailed = "failed"
 )
 
-// ask reads one engine's report and its cache events after a sequence number.
-func (a *polled) ask(ctx context.Context, after uint64) {
+// read reads one engine's report and its cache events after a sequence number.
+func (a *pollResult) read(ctx context.Context, after uint64) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	engine := a.replica.upstream.Engine
@@ -152,20 +152,20 @@
 	}
 }
 
-// answered takes in what an engine answered.
-func (r *Router) answered(a *polled) {
+// recordPoll takes in what an engine answered.
+func (r *Router) recordPoll(a *pollResult) {
 	if a.err != nil {
-		r.pollError(a.replica, a.err)
+		r.recordPollError(a.replica, a.err)
 		return
 	}
 	r.metrics.polls.WithLabelValues(pollRead).Inc()
 	r.Reported(a.replica.id, a.report)
-	r.CacheEvents(a.replica.id, a.events)
+	r.RecordCacheEvents(a.replica.id, a.events)
 }
 
-// pollError counts a failed poll. It is not held against the replica: a slow
+// recordPollError counts a failed poll. It is not held against the replica: a slow
 // report says nothing of the answers.
-func (r *Router) pollError(p *replica, err error) {
+func (r *Router) recordPollError(p *replica, err error) {
 	r.metrics.polls.WithLabelValues(pollFailed).Inc()
 	upstream := zinniamast.AsUpstreamError(err)
 	if upstream != nil && upstream.Leaving {
@@ -174,7 +174,7 @@
 	r.config.Logger.Debug("poll failed", "upstream", p.id, "error", err.Error())
 }
 
-func (r *Router) sequence(p *replica) uint64 {
+func (r *Router) cacheSequence(p *replica) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return p.cache.sequence
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -18,7 +18,7 @@
 // both are silent, whoever reads their load may be cut off, and both are used.
 func TestSilentReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
+	now := newFakeClock()
 	board := blackboard.New()
 	for _, id := range []string{"dark", "well"} {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -27,7 +27,7 @@
 				FailureDomain: domains[0],
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   16,
 		})
 	}
@@ -52,7 +52,7 @@
 	check.NoErr(err)
 	report("dark", 0)
 	for range 4 {
-		now.pass(300 * time.Millisecond)
+		now.advance(300 * time.Millisecond)
 		report("well", 8)
 	}
 	for range 20 {
@@ -64,7 +64,7 @@
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
-	now.pass(5 * time.Second)
+	now.advance(5 * time.Second)
 	choice, err = router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -14,17 +14,17 @@
 	"zinniamast/routing"
 )
 
-// passing is a replica that takes requests as they are; nothing is sent to it.
-type passing struct{}
+// passthroughReplica is a replica that takes requests as they are; nothing is sent to it.
+type passthroughReplica struct{}
 
-func (passing) Send(context.Context, *http.Request) (*http.Response, error) {
+func (passthroughReplica) Send(context.Context, *http.Request) (*http.Response, error) {
 	return nil, fmt.Errorf("nothing is sent")
 }
 
-func (passing) Close() {}
+func (passthroughReplica) Close() {}
 
-// passingBoard has one replica in the node's failure domain and one in another.
-func passingBoard(slots int) *blackboard.Board {
+// twoReplicaBoard has one replica in the node's failure domain and one in another.
+func twoReplicaBoard(slots int) *blackboard.Board {
 	board := blackboard.New()
 	for i, domain := range domains[:2] {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -33,7 +33,7 @@
 				FailureDomain: domain,
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   slots,
 		})
 	}
@@ -43,10 +43,10 @@
 // Callers see first events seconds late while replicas stand idle: a replica
 // runs four requests at once and says so, and the node goes on sending to it
 // since it trusts every replica with 32. The fifth waits for a slot there.
-func TestFullSlotsSendRequestsElsewhere(t *testing.T) {
+func TestFullReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	router := newRouter(now, passingBoard(4), newBus(), "node")
+	now := newFakeClock()
+	router := newRouter(now, twoReplicaBoard(4), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:          "service",
 		PromptTokens:     500,
@@ -56,7 +56,7 @@
 	check.NoErr(err)
 	for i := range 4 {
 		attempt := fmt.Sprint(i)
-		begin(router, need, "near", attempt)
+		startAttempt(router, need, "near", attempt)
 		router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedFirstToken,
 			Attempt:  attempt,
@@ -64,7 +64,7 @@
 		})
 	}
 	// Its prompt is yet to be read, which makes the other replica the slower one.
-	begin(router, need, "far", "long")
+	startAttempt(router, need, "far", "long")
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "far")
@@ -74,11 +74,11 @@
 // Callers of a service without prompts miss their latency target at one replica
 // while others have room: its calls carry no tokens, so that by tokens the next
 // one is predicted to take as long as the first, however many run there.
-func TestCallsArePredictedByTheirNumber(t *testing.T) {
+func TestCallsArePredictedByCallsInProgress(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
+	now := newFakeClock()
 	router := routing.New(routing.Config{
-		Board:         passingBoard(6),
+		Board:         twoReplicaBoard(6),
 		Node:          "node",
 		FailureDomain: domains[0],
 		Plain:         func(string) bool { return true },
@@ -93,7 +93,7 @@
 	alone, err := router.Route(need)
 	check.NoErr(err)
 	for i := range 4 {
-		begin(router, need, "near", fmt.Sprint(i))
+		startAttempt(router, need, "near", fmt.Sprint(i))
 	}
 	fifth, err := router.Route(need)
 	check.NoErr(err)
@@ -103,10 +103,10 @@
 // A caller that allows long pauses is no reason to send fewer requests to a
 // replica: events come each 100 ms, far within the 250 ms that its route
 // allows, though above what the configuration says for models.
-func TestPausesAreJudgedByTheRequestsTarget(t *testing.T) {
+func TestLimitUsesTargetOfRequest(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	router := newRouter(now, passingBoard(16), newBus(), "node")
+	now := newFakeClock()
+	router := newRouter(now, twoReplicaBoard(16), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 500,
@@ -127,7 +127,7 @@
 			Attempt:  attempt,
 			Upstream: "near",
 		})
-		now.pass(2 * time.Second)
+		now.advance(2 * time.Second)
 		router.Observe(zinniamast.Observation{
 			Kind:         zinniamast.ObservedEnd,
 			Attempt:      attempt,
--- a/routing/speed.go
+++ b/routing/speed.go
@@ -24,12 +24,12 @@
 
 // What is believed of a machine class before any observation.
 const (
-	priorFirst        = 0.02
-	priorFirstSlope   = 0.0001
-	priorBetween      = 0.015
-	priorBetweenSlope = 0.001
-	priorCall         = 0.02
-	priorCallSlope    = 0.002
+	priorFirstSeconds              = 0.02
+	priorFirstSecondsPerToken      = 0.0001
+	priorBetweenSeconds            = 0.015
+	priorBetweenSecondsPerSequence = 0.001
+	priorCallSeconds               = 0.02
+	priorCallSecondsPerCall        = 0.002
 )
 
 func (r *Router) speed(upstream *blackboard.Upstream, plain bool) *speed {
@@ -42,11 +42,11 @@
 		return known
 	}
 	fresh := &speed{
-		first:   newCurve(priorFirst, priorFirstSlope, 100, 4000),
-		between: newCurve(priorBetween, priorBetweenSlope, 1, 16),
+		first:   newCurve(priorFirstSeconds, priorFirstSecondsPerToken, 100, 4000),
+		between: newCurve(priorBetweenSeconds, priorBetweenSecondsPerSequence, 1, 16),
 	}
 	if plain {
-		fresh.first = newCurve(priorCall, priorCallSlope, 1, 16)
+		fresh.first = newCurve(priorCallSeconds, priorCallSecondsPerCall, 1, 16)
 	}
 	r.speeds[key] = fresh
 	return fresh
@@ -59,8 +59,8 @@
 }
 
 const (
-	// unknownAnswer is the length believed of answers before any was seen.
-	unknownAnswer = 256
+	// defaultAnswerTokens is the length believed of answers before any was seen.
+	defaultAnswerTokens = 256
 	// answerWeight is how fast the expected length follows.
 	answerWeight = 0.05
 	// answerMargin is what is added to the mean length: answers vary, and one
@@ -68,9 +68,9 @@
 	answerMargin = 1.5
 )
 
-// expectedAnswer is the length that a whole answer will probably not exceed.
-func (r *Router) expectedAnswer(need *zinniamast.Need) int {
-	expected := float64(unknownAnswer)
+// expectedAnswerTokens is the length that a whole answer will probably not exceed.
+func (r *Router) expectedAnswerTokens(need *zinniamast.Need) int {
+	expected := float64(defaultAnswerTokens)
 	known, ok := r.answers[answerKey{
 		service:  need.Service,
 		priority: need.Priority,
@@ -104,8 +104,8 @@
 	domain string
 }
 
-// defaultPrice stands where no offer was seen.
-const defaultPrice = 1
+// defaultHourlyPrice stands where no offer was seen.
+const defaultHourlyPrice = 1
 
 // SetPrices tells what instances cost now; the last price of an offer stays until the next.
 func (r *Router) SetPrices(offers []zinniamast.Offer) {
@@ -119,7 +119,7 @@
 		}] = offer.Price
 	}
 	for _, replica := range r.replicas {
-		replica.price = r.price(replica.upstream)
+		replica.pricePerSecond = r.price(replica.upstream)
 	}
 }
 
@@ -131,7 +131,7 @@
 		domain: upstream.Instance.FailureDomain,
 	}]
 	if !ok {
-		hour = defaultPrice
+		hour = defaultHourlyPrice
 	}
 	return hour / time.Hour.Seconds()
 }
