--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -232,14 +232,14 @@
 
 // BenchmarkObserve measures what an attempt with a prompt of 30,000 tokens costs beside its decision.
 func BenchmarkObserve(b *testing.B) {
-	c := newFakeClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	if _, err := router.Route(need); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		completeAttempt(c, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
 	}
 }
--- a/routing/cache.go
+++ b/routing/cache.go
@@ -1,16 +1,17 @@
 package routing
 
-// cacheState is what is believed of a replica's limited prefix cache.
+// cacheState estimates the state of a replica's prefix cache, whose size is limited.
 type cacheState struct {
-	// insertedTokens counts the tokens this node made the cache take in.
+	// insertedTokens counts the tokens that this node's requests added to the cache.
+	// It serves as the clock of the history's entries.
 	insertedTokens uint32
-	// epoch rises when the engine starts again with an empty cache.
+	// epoch increases when the engine restarts with an empty cache.
 	epoch uint32
-	// retentionTokens is how many tokens may be taken in before a prefix is probably
-	// evicted. Other nodes' tokens evict too, unseen; reach is learned in this
-	// node's own tokens, so it shrinks by their part.
+	// retentionTokens is the number of tokens that can be added before a prefix is
+	// probably evicted. Tokens of other nodes evict as well and are not counted here;
+	// since it is learned in this node's own tokens, it shrinks by their share.
 	retentionTokens float64
-	// sequence is the last cache event's.
+	// sequence is the sequence number of the last cache event.
 	sequence uint64
 }
 
@@ -18,20 +19,20 @@
 	initialRetentionTokens = 400_000
 	minRetentionTokens     = 4_000
 	maxRetentionTokens     = 50_000_000
-	// retentionWeight is how fast the reach follows a hit or miss.
+	// retentionWeight is the weight of one hit or miss in retentionTokens.
 	retentionWeight = 0.2
 )
 
-// match is what the history says of a need at one replica.
+// match is the history's record of a prompt at one replica.
 type match struct {
-	// tokens is the length of the longest prefix ever used there.
+	// tokens is the length of the longest prefix that was sent there.
 	tokens int
-	// ageTokens is how many tokens came since.
+	// ageTokens is the number of tokens added to the cache since then.
 	ageTokens uint32
 }
 
-// lookup holds the history's entries for the prompt of one decision; each is
-// looked up at most once, whatever the number of candidates.
+// lookup caches the history's entries for the prompt of one decision; each entry
+// is looked up at most once, regardless of the number of candidates.
 type lookup struct {
 	history *history
 	hashes  []uint64
@@ -39,7 +40,7 @@
 	entries [maxHashes]*entry
 }
 
-// maxHashes bounds how many prefixes of a prompt are used; the rest are ignored.
+// maxHashes bounds the prefixes of a prompt that are used; the rest are ignored.
 const maxHashes = 64
 
 func (l *lookup) reset(h *history, hashes []uint64) {
@@ -56,9 +57,9 @@
 	return l.entries[i]
 }
 
-// longest returns the index of the longest prefix that any replica was sent,
-// or -1. All prefixes of a prompt are recorded together, so the known ones
-// come first and a binary search finds the last.
+// longest returns the index of the longest prefix that was sent to any replica,
+// or -1. All prefixes of a prompt are recorded together, so the recorded ones
+// come first and a binary search finds the last of them.
 func (l *lookup) longest() int {
 	low, high := 0, len(l.hashes)
 	for low < high {
@@ -72,8 +73,8 @@
 	return low - 1
 }
 
-// match returns the index of the longest prefix that the replica was sent, or
-// -1, and the tokens its cache has taken in since.
+// match returns the index of the longest prefix that was sent to the replica, or
+// -1, and the tokens added to the replica's cache since.
 func (l *lookup) match(p *replica) (index int, age uint32) {
 	low, high := 0, len(l.hashes)
 	for low < high {
@@ -93,7 +94,7 @@
 	return low - 1, age
 }
 
-// matchHistory says what the history knows of the prompt at a replica.
+// matchHistory returns the history's record of the prompt at a replica.
 func (r *Router) matchHistory(p *replica) match {
 	index, age := r.lookup.match(p)
 	if index < 0 {
@@ -105,15 +106,15 @@
 	}
 }
 
-// cachedTokens returns how many of a match's tokens the replica probably still holds.
-func (c *cacheState) cachedTokens(known match, prompt int) int {
+// cachedTokens returns how many tokens of a match the replica probably still has cached.
+func (c *cacheState) cachedTokens(known match, promptTokens int) int {
 	if float64(known.ageTokens) > c.retentionTokens {
 		return 0
 	}
-	return min(known.tokens, prompt)
+	return min(known.tokens, promptTokens)
 }
 
-// learn corrects the reach by what the engine said it had cached.
+// learn adjusts retentionTokens to the cached tokens that the engine reported.
 func (c *cacheState) learn(known match, cached int) {
 	if known.tokens == 0 {
 		return
@@ -129,5 +130,5 @@
 	c.retentionTokens = clip(c.retentionTokens, minRetentionTokens, maxRetentionTokens)
 }
 
-// insert counts tokens that enter the cache.
+// insert counts tokens that are added to the cache.
 func (c *cacheState) insert(tokens int) { c.insertedTokens += uint32(max(0, tokens)) }
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -6,50 +6,51 @@
 	"zinniamast"
 )
 
-// candidate is a replica that a decision considers, with what is predicted there.
+// candidate is a replica considered in a decision, with the predictions for it.
 type candidate struct {
 	replica *replica
-	// wait is the time before anything is computed for the need.
+	// wait is the time before the replica computes anything for the request.
 	wait time.Duration
-	// firstToken, between and completion are waits from now.
+	// firstToken and completion are durations from now; betweenTokens is the mean interval.
 	firstToken    time.Duration
 	betweenTokens time.Duration
 	completion    time.Duration
-	// cachedTokens and uncached split the tokens to have before the first new one.
+	// cachedTokens, fetchedTokens and uncachedTokens divide the tokens needed before
+	// the first new one.
 	cachedTokens   int
 	uncachedTokens int
-	// fetchSource is the replica from which fetched tokens more come, in the time
-	// fetching; nil where none do.
+	// fetchSource is the replica from which fetchedTokens are transferred within
+	// fetchTime; nil if none are.
 	fetchSource   *replica
 	fetchedTokens int
 	fetchTime     time.Duration
-	// work is the machine time that the attempt takes, in seconds, and cost its price.
+	// work is the instance time that the attempt takes, in seconds, and cost its price.
 	work float64
 	cost float64
-	// typicalWork is the work at a replica of the usual speed.
+	// typicalWork is the work at a replica of its class's typical speed, in seconds.
 	typicalWork float64
-	// running are the sequences there now.
+	// running is the estimated number of sequences at the replica.
 	running float64
-	// isHome means that consistent hashing places a long prefix here.
+	// isHome means that consistent hashing places a long prefix at the replica.
 	isHome bool
 	rank   rank
 }
 
 const (
-	// smallFleetSize is how many replicas are all considered.
+	// smallFleetSize is the largest fleet of which every replica is considered.
 	smallFleetSize = 12
-	// sampleSize is how many are drawn by lot: two or more of them are likely to be
-	// little loaded, and nodes that decide at once draw different ones.
+	// sampleSize is the number of replicas sampled at random: two or more of them are
+	// likely to be lightly loaded, and nodes that decide at once sample different ones.
 	sampleSize = 4
-	// resampleSize is how many more are drawn if none of the first meets the target.
+	// resampleSize is how many more are sampled if no candidate meets the target.
 	resampleSize = 8
-	// longPromptSampleSize is how many of those kept for long prompts are drawn for one.
+	// longPromptSampleSize is how many of the replicas for long prompts are sampled for one.
 	longPromptSampleSize = 3
-	// maxCandidates bounds a decision's cost whatever the fleet's size.
+	// maxCandidates bounds the cost of a decision regardless of the fleet's size.
 	maxCandidates = 28
 )
 
-// gatherCandidates fills the candidates of one decision.
+// gatherCandidates fills r.candidates for one decision.
 func (r *Router) gatherCandidates(f *fleet, need *zinniamast.Need, now time.Time) {
 	r.candidates = r.candidates[:0]
 	r.lookup.reset(r.history, need.Prefix)
@@ -57,8 +58,8 @@
 	r.planFetches(need, now)
 }
 
-// pickCandidates takes in replicas that probably hold the prefix, the prefix's
-// homes, and some by lot.
+// pickCandidates considers replicas that probably have the prefix cached, the
+// prefix's homes, and a random sample.
 func (r *Router) pickCandidates(f *fleet, need *zinniamast.Need, now time.Time) {
 	if len(f.replicas) <= smallFleetSize {
 		for _, p := range f.replicas {
@@ -95,8 +96,9 @@
 	return false
 }
 
-// considerIdle looks through the whole fleet for the replicas with the fewest
-// sequences: suspects are rare, and what they crash must be empty.
+// considerIdle searches the whole fleet for the replicas with the fewest
+// sequences: suspect requests are rare, and a replica that they crash must not be
+// running others.
 func (r *Router) considerIdle(f *fleet, need *zinniamast.Need, now time.Time) {
 	start := r.random.IntN(len(f.replicas))
 	least := -1.0
@@ -117,7 +119,7 @@
 	}
 }
 
-// considerAny finds replicas in a fleet of which most are leaving.
+// considerAny considers the first usable replicas of a fleet of which most are leaving.
 func (r *Router) considerAny(f *fleet, need *zinniamast.Need, now time.Time) {
 	for _, p := range f.replicas {
 		r.consider(p, need, now)
@@ -127,7 +129,7 @@
 	}
 }
 
-// considerHolders takes in the replicas that were sent the longest known
+// considerHolders considers the replicas that were sent the longest recorded
 // prefix, and those that were sent half of it.
 func (r *Router) considerHolders(need *zinniamast.Need, now time.Time) {
 	longest := r.lookup.longest()
@@ -151,15 +153,15 @@
 	}
 }
 
-// anchors are the indexes of a prompt's prefixes that have homes: some 512,
-// 2,000 and 8,000 tokens. Short prefixes have none, since what all prompts
-// share would bring them all to one place.
+// anchors are the indexes of a prompt's prefixes that have homes, longest first:
+// some 8,000, 2,000 and 512 tokens. Shorter prefixes have none, since a beginning
+// that all prompts share would route them all to one replica.
 var anchors = [...]int{13, 7, 1}
 
-// isLongPrompt says whether a prompt is long enough to empty a cache.
+// isLongPrompt reports whether a prompt is long enough to flush a cache.
 func isLongPrompt(need *zinniamast.Need) bool { return len(need.Prefix) > anchors[0] }
 
-// homes returns the homes of the two longest anchors; nil where there is none.
+// homes returns the homes of the prompt's two longest anchors; nil for a missing one.
 func (r *Router) homes(f *fleet, need *zinniamast.Need) (found [2]*replica) {
 	usable := func(p *replica) bool { return p.usable(need) }
 	next := 0
@@ -173,7 +175,7 @@
 	return found
 }
 
-// markHomes takes in the homes of the prompt.
+// markHomes considers the homes of the prompt and marks their candidates.
 func (r *Router) markHomes(f *fleet, need *zinniamast.Need, now time.Time) {
 	homes := r.homes(f, need)
 	r.longestAnchorHome = homes[0]
@@ -188,10 +190,10 @@
 	}
 }
 
-// unrestrictedNeed avoids nothing.
+// unrestrictedNeed excludes no replica.
 var unrestrictedNeed = &zinniamast.Need{}
 
-// isHome says whether a replica is a home of the prompt that was looked up.
+// isHome reports whether a replica is a home of the prompt in r.lookup.
 func (r *Router) isHome(p *replica) bool {
 	f, ok := r.fleets[p.upstream.Instance.Service]
 	if !ok {
@@ -201,7 +203,7 @@
 	return found[0] == p || found[1] == p
 }
 
-// sample considers some replicas by lot.
+// sample considers replicas chosen at random.
 func (r *Router) sample(from []*replica, count int, need *zinniamast.Need, now time.Time) {
 	if len(from) == 0 {
 		return
@@ -211,7 +213,8 @@
 	}
 }
 
-// consider predicts for a replica and returns its candidate; nil if it takes no work.
+// consider returns the candidate of a replica with its predictions; nil if the replica
+// is not usable or there are too many candidates.
 func (r *Router) consider(p *replica, need *zinniamast.Need, now time.Time) *candidate {
 	for i := range r.candidates {
 		if r.candidates[i].replica == p {
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -4,7 +4,7 @@
 	"zinniamast"
 )
 
-// Why a candidate was chosen, as a metric label and in explanations.
+// Reasons for a choice, used as a metric label and in explanations.
 const (
 	choiceCheapest = "cheapest_on_target"
 	choiceHome     = "prefix_home"
@@ -16,23 +16,24 @@
 )
 
 const (
-	// costTolerance is how much dearer than the cheapest a candidate may be and still
-	// count as equal: predictions are not exact enough to tell them apart.
+	// costTolerance is the cost, as a multiple of the cheapest candidate's, up to
+	// which a candidate counts as equally cheap: predictions are not exact enough to
+	// distinguish them.
 	costTolerance = 1.2
-	// homeTolerance is how much later than the soonest a home may finish and still
-	// be preferred for the sake of later requests with the same prefix.
+	// homeTolerance is the completion time, as a multiple of the soonest, up to which
+	// a home is preferred for the benefit of later requests with the same prefix.
 	homeTolerance = 1.25
-	// soonestTolerance is how much later than the soonest still counts as equal where
-	// no candidate meets the target.
+	// soonestTolerance is the completion time, as a multiple of the soonest, up to
+	// which candidates count as equal if none meets the target.
 	soonestTolerance = 1.3
-	// longPromptTolerance is how much later than elsewhere a long prompt may be whole on
-	// the part of the replicas that long prompts are kept to.
+	// longPromptTolerance is the completion time, as a multiple of the best other
+	// candidate's, up to which a long prompt is sent to a replica for long prompts.
 	longPromptTolerance = 2.0
 )
 
-// choose returns the index of the best candidate, or -1, and why. It compares
-// one thing after the other, so that a choice can be told in a sentence: first
-// the rank, then the price, then the prefix's home, then the completion.
+// choose returns the index of the best candidate, or -1, and the reason. It applies
+// the criteria one after the other, so that a choice can be explained in a sentence:
+// the rank, the cost, the prefix's home and the completion time.
 func choose(candidates []candidate, need *zinniamast.Need, homeCost float64) (best int, reason string) {
 	if len(candidates) == 0 {
 		return -1, choiceNone
@@ -40,43 +41,43 @@
 	if need.Alone {
 		return leastLoaded(candidates), choiceAlone
 	}
-	top := candidates[0].rank
+	bestRank := candidates[0].rank
 	for i := range candidates {
-		top = min(top, candidates[i].rank)
+		bestRank = min(bestRank, candidates[i].rank)
 	}
-	switch top {
+	switch bestRank {
 	case rankOnTarget:
 		return cheapest(candidates, homeCost)
 	case rankCircuitOpen:
 		return oldestOpenCircuit(candidates), choiceProbe
 	default:
-		return soonest(candidates, top, isLongPrompt(need)), choiceNoTarget
+		return soonest(candidates, bestRank, isLongPrompt(need)), choiceNoTarget
 	}
 }
 
-// cheapest picks among those that meet the target: of the cheapest ones the
-// prefix's home, or else the soonest.
+// cheapest picks among the candidates that meet the target: the prefix's home if it
+// is one of the cheapest, or else the soonest of the cheapest.
 func cheapest(candidates []candidate, homeCost float64) (best int, reason string) {
-	lowest, least := -1.0, -1
+	lowestCost, lowestIndex := -1.0, -1
 	for i := range candidates {
 		c := &candidates[i]
-		if c.rank == rankOnTarget && (least < 0 || c.cost < lowest) {
-			lowest, least = c.cost, i
+		if c.rank == rankOnTarget && (lowestIndex < 0 || c.cost < lowestCost) {
+			lowestCost, lowestIndex = c.cost, i
 		}
 	}
-	best, home, equals := -1, -1, 0
+	best, home, equallyCheap := -1, -1, 0
 	for i := range candidates {
 		c := &candidates[i]
-		if c.rank != rankOnTarget || c.cost > max(costTolerance, homeCost)*lowest {
+		if c.rank != rankOnTarget || c.cost > max(costTolerance, homeCost)*lowestCost {
 			continue
 		}
-		if c.isHome && c.cost <= homeCost*lowest && (home < 0 || c.completion < candidates[home].completion) {
+		if c.isHome && c.cost <= homeCost*lowestCost && (home < 0 || c.completion < candidates[home].completion) {
 			home = i
 		}
-		if c.cost > costTolerance*lowest {
+		if c.cost > costTolerance*lowestCost {
 			continue
 		}
-		equals++
+		equallyCheap++
 		if best < 0 || c.completion < candidates[best].completion {
 			best = i
 		}
@@ -84,53 +85,53 @@
 	if home >= 0 && float64(candidates[home].completion) <= homeTolerance*float64(candidates[best].completion) {
 		return home, choiceHome
 	}
-	if equals == 1 {
+	if equallyCheap == 1 {
 		return best, choiceCheapest
 	}
 	return best, choiceSoonest
 }
 
-// soonest picks among those of one rank: the cheapest of the soonest. A long
-// prompt is kept to its part of the replicas where that delays it little.
-func soonest(candidates []candidate, of rank, long bool) int {
-	best := cheapestOfSoonest(candidates, of, false)
+// soonest picks among the candidates of one rank: the cheapest of the soonest. A
+// long prompt is sent to a replica for long prompts if that delays it little.
+func soonest(candidates []candidate, wanted rank, long bool) int {
+	best := cheapestOfSoonest(candidates, wanted, false)
 	if !long {
 		return best
 	}
-	kept := cheapestOfSoonest(candidates, of, true)
-	if kept >= 0 && float64(candidates[kept].completion) <= longPromptTolerance*float64(candidates[best].completion) {
-		return kept
+	preferred := cheapestOfSoonest(candidates, wanted, true)
+	if preferred >= 0 && float64(candidates[preferred].completion) <= longPromptTolerance*float64(candidates[best].completion) {
+		return preferred
 	}
 	return best
 }
 
-// cheapestOfSoonest looks at the candidates of one rank, or at those of them
-// that long prompts are kept to; it returns -1 if there are none.
-func cheapestOfSoonest(candidates []candidate, of rank, longs bool) int {
-	first := -1
+// cheapestOfSoonest picks among the candidates of one rank, optionally only those
+// for long prompts; it returns -1 if there are none.
+func cheapestOfSoonest(candidates []candidate, wanted rank, longPromptsOnly bool) int {
+	earliest := -1
 	for i := range candidates {
 		c := &candidates[i]
-		if c.matches(of, longs) && (first < 0 || c.completion < candidates[first].completion) {
-			first = i
+		if c.matches(wanted, longPromptsOnly) && (earliest < 0 || c.completion < candidates[earliest].completion) {
+			earliest = i
 		}
 	}
-	best := first
+	best := earliest
 	for i := range candidates {
 		c := &candidates[i]
-		if c.matches(of, longs) && c.cost < candidates[best].cost &&
-			float64(c.completion) <= soonestTolerance*float64(candidates[first].completion) {
+		if c.matches(wanted, longPromptsOnly) && c.cost < candidates[best].cost &&
+			float64(c.completion) <= soonestTolerance*float64(candidates[earliest].completion) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (c *candidate) matches(of rank, longs bool) bool {
-	return c.rank == of && (c.replica.takesLongPrompts || !longs)
+func (c *candidate) matches(wanted rank, longPromptsOnly bool) bool {
+	return c.rank == wanted && (c.replica.takesLongPrompts || !longPromptsOnly)
 }
 
-// leastLoaded picks the replica with the least at stake: what a suspect request
-// crashes must take no other request with it.
+// leastLoaded picks the replica with the fewest sequences: if a suspect request
+// crashes its replica, no other request should fail with it.
 func leastLoaded(candidates []candidate) int {
 	best := 0
 	for i := range candidates {
@@ -145,8 +146,8 @@
 	return best
 }
 
-// oldestOpenCircuit picks the replica that has been shunned longest. There is always
-// one to probe: circuits never close a whole service.
+// oldestOpenCircuit picks the replica whose circuit allows a probe soonest. There is
+// always one to probe: circuits never make a whole service unavailable.
 func oldestOpenCircuit(candidates []candidate) int {
 	best := 0
 	for i := range candidates {
--- a/routing/circuit.go
+++ b/routing/circuit.go
@@ -6,35 +6,35 @@
 	"zinniamast"
 )
 
-// circuit is the health of one replica as this node sees it.
+// circuit is this node's circuit breaker for one replica.
 type circuit struct {
-	// blameScore counts recent blame; it opens the circuit at openAt.
+	// blameScore sums the blame of recent failures; the circuit opens at openThreshold.
 	blameScore int
-	// openUntil is when an open circuit lets a probe through; zero while closed.
+	// openUntil is when an open circuit allows a probe; zero while closed.
 	openUntil time.Time
-	// consecutiveOpenings counts openings in a row and lengthens the next.
+	// consecutiveOpenings counts openings without a success; each doubles the next duration.
 	consecutiveOpenings int
-	// peerReportExpires is when news of another node's failures expires.
+	// peerReportExpires is when another node's report of failures expires.
 	peerReportExpires time.Time
 }
 
 const (
-	// openThreshold is the blame that opens a circuit.
+	// openThreshold is the blame score that opens a circuit.
 	openThreshold = 3
-	// openThresholdWithPeerReport is enough if another node reports failures as well.
+	// openThresholdWithPeerReport applies while another node reports failures as well.
 	openThresholdWithPeerReport = 1
-	// minOpenDuration and longestOpen bound how long a replica is shunned before a probe.
+	// minOpenDuration and maxOpenDuration bound how long a circuit stays open before a probe.
 	minOpenDuration = time.Second
 	maxOpenDuration = 30 * time.Second
-	// maxOpenCircuitShare is the share of a service's replicas that a node may shun. If
-	// more seem to fail, the fault is more likely the node's own or the
-	// service's, and crowding the rest would make it worse.
+	// maxOpenCircuitShare is the share of a service's replicas whose circuits may be
+	// open at a node. If more seem to fail, the fault is more likely the node's own or
+	// the service's, and sending all requests to the rest would make it worse.
 	maxOpenCircuitShare = 0.5
 )
 
-// blame is how much a failure counts. A connection that is not even taken
-// means that the process is gone: each further try would cost a request its
-// retry. A death in the middle may be the request's own doing.
+// blame returns the weight of a failure. A refused connection means that the
+// process has ended, and each further try would use up a request's retry. A reset
+// during a request may have been caused by the request itself.
 func blame(failure zinniamast.Failure) int {
 	outcome, ok := zinniamast.FailureOutcomes[failure]
 	switch {
@@ -49,7 +49,7 @@
 	}
 }
 
-// isOpen says whether the replica is shunned now.
+// isOpen reports whether the circuit is open at a time.
 func (c *circuit) isOpen(now time.Time) bool { return now.Before(c.openUntil) }
 
 func (c *circuit) close() {
@@ -58,14 +58,14 @@
 	c.openUntil = time.Time{}
 }
 
-// recordFailure counts blame of a send that began at a time, and reports whether the
-// circuit opens.
+// recordFailure adds the weight of a failed attempt that began at the given time, and
+// reports whether the circuit opens.
 //
-// Failure: a failure domain is cut off for five seconds. Sends that were on their
-// way to one of its replicas fail one after the other, each opens the circuit
-// anew for twice as long, and the replica stays shunned for half a minute after
-// it is reached again. An opening answers all sends that began before it ended;
-// only a probe after it tells something new.
+// Failures of attempts that began before the last opening ended are ignored; only a
+// probe after it is new evidence. Otherwise, if a failure domain is unreachable for
+// five seconds, the attempts in flight to one of its replicas fail one after the
+// other, each opens the circuit again for twice as long, and the replica stays
+// excluded for half a minute after it is reachable again.
 func (c *circuit) recordFailure(weight int, began, now time.Time) bool {
 	if began.Before(c.openUntil) {
 		return false
@@ -85,8 +85,8 @@
 	return true
 }
 
-// recordFailure counts a failure against the replica, and shuns it unless the node
-// shuns too many already.
+// recordFailure counts a failure of an attempt at the replica. If its circuit opens
+// while too many others are open, the circuit is closed again.
 func (r *Router) recordFailure(p *replica, failure zinniamast.Failure, began, now time.Time) {
 	weight := blame(failure)
 	if weight == 0 {
@@ -106,7 +106,8 @@
 		"until", p.circuit.openUntil.Sub(now).String())
 }
 
-// mayOpenCircuit says whether the share of shunned replicas, the newest included, is within bounds.
+// mayOpenCircuit reports whether the share of replicas with open circuits, including
+// the latest, is within maxOpenCircuitShare.
 func (r *Router) mayOpenCircuit(service string, now time.Time) bool {
 	f, ok := r.fleets[service]
 	if !ok {
--- a/routing/circuit_test.go
+++ b/routing/circuit_test.go
@@ -16,8 +16,8 @@
 // the replica was shunned for 30 s though it was reached again after one.
 func TestConcurrentFailuresOpenCircuitOnce(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
-	router := newRouter(now, twoReplicaBoard(64), newBus(), "node")
+	clock := newFakeClock()
+	router := newRouter(clock, twoReplicaBoard(64), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 500,
@@ -28,7 +28,7 @@
 		startAttempt(router, need, first.Upstream, fmt.Sprint(i))
 	}
 	for i := range 8 {
-		now.advance(10 * time.Millisecond)
+		clock.advance(10 * time.Millisecond)
 		router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedEnd,
 			Attempt:  fmt.Sprint(i),
@@ -39,7 +39,7 @@
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.True(choice.Upstream != first.Upstream)
-	now.advance(1100 * time.Millisecond)
+	clock.advance(1100 * time.Millisecond)
 	choice, err = router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, first.Upstream)
--- a/routing/curve.go
+++ b/routing/curve.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// curve learns a line y = base + slope*x from noisy points, the recent ones
-// counting most.
+// curve learns a line y = base + slope*x from noisy points by least squares, with
+// weights that decay with each new point.
 type curve struct {
 	base, slope float64
-	// Decayed sums of the points; the prior counts as a few of them.
+	// n, x, y, xx and xy are the decayed sums of the points, the prior included.
 	n, x, y, xx, xy float64
-	// points is how many points were learned.
+	// points is the number of points learned, without the prior.
 	points int
 }
 
 const (
-	// curveDecay is the part of their weight that points keep with each new one.
+	// curveDecay is the factor applied to the weight of earlier points with each new one.
 	curveDecay = 0.99
-	// curveClipRatio bounds a point to this many times the prediction either way: one
-	// paused replica or one dropped packet must not bend the line of a class.
+	// curveClipRatio bounds the ratio of a point to its prediction in both directions:
+	// one paused replica or one dropped packet must not distort the line of a class.
 	curveClipRatio = 4
-	// curvePriorWeight is the weight of the prior.
+	// curvePriorWeight is the weight of the prior, in points.
 	curvePriorWeight = 4
 )
 
-// newCurve returns a curve that believes a line between two places until it has learned better.
+// newCurve returns a curve with a prior line, given at two values of x.
 func newCurve(base, slope, near, far float64) curve {
 	c := curve{}
 	for _, x := range []float64{near, far} {
@@ -41,10 +41,10 @@
 	c.xy += weight * x * y
 }
 
-// at returns the line's value.
+// at returns the line's value at x.
 func (c *curve) at(x float64) float64 { return c.base + c.slope*x }
 
-// learn takes in one point.
+// learn adds one point and fits the line again.
 func (c *curve) learn(x, y float64) {
 	c.points++
 	expected := c.at(x)
@@ -58,7 +58,7 @@
 	c.solve()
 }
 
-// solve fits the line; a slope or base below zero makes no sense and is held at zero.
+// solve fits the line; times cannot be negative, so slope and base are at least zero.
 func (c *curve) solve() {
 	spread := c.n*c.xx - c.x*c.x
 	if spread <= 1e-9*c.n*c.xx {
@@ -79,21 +79,23 @@
 	count int
 }
 
-// add takes in a value with the given weight, or a plain mean's until there are enough.
+// add updates the mean with the given weight. While there are few values, it
+// computes the arithmetic mean.
 func (a *average) add(value, weight float64) {
 	a.count++
 	a.value += (value - a.value) * max(weight, 1/float64(a.count))
 }
 
 const (
-	// factorWeight is how fast one replica's speed follows its observations.
+	// factorWeight is the weight of one observation in a replica's factor.
 	factorWeight = 0.1
-	// factorClipRatio bounds one observation, and factorBound the whole factor.
+	// factorClipRatio bounds the ratio of one observation to the present factor, and
+	// maxFactor bounds the factor and its inverse.
 	factorClipRatio = 3
 	maxFactor       = 16
 )
 
-// factor is one replica's speed against its class; above 1 is slower.
+// factor is the ratio of one replica's times to its class's; above 1 is slower.
 type factor struct {
 	logRatio float64
 }
@@ -105,14 +107,14 @@
 	return math.Exp(f.logRatio)
 }
 
-// learn takes in an observed value against the class's prediction.
+// learn updates the factor with an observed value and the class's prediction.
 func (f *factor) learn(observed, predicted float64) {
 	if observed <= 0 || predicted <= 0 {
 		return
 	}
-	seen := math.Log(observed / predicted)
-	seen = clip(seen, f.logRatio-math.Log(factorClipRatio), f.logRatio+math.Log(factorClipRatio))
-	f.logRatio = clip(f.logRatio+factorWeight*(seen-f.logRatio), -math.Log(maxFactor), math.Log(maxFactor))
+	observedLog := math.Log(observed / predicted)
+	observedLog = clip(observedLog, f.logRatio-math.Log(factorClipRatio), f.logRatio+math.Log(factorClipRatio))
+	f.logRatio = clip(f.logRatio+factorWeight*(observedLog-f.logRatio), -math.Log(maxFactor), math.Log(maxFactor))
 }
 
 func clip(value, low, high float64) float64 { return min(max(value, low), high) }
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -10,13 +10,13 @@
 	"zinniamast"
 )
 
-// decisionRing is a bounded ring of recent decisions.
+// decisionRing is a ring buffer of recent decisions.
 type decisionRing struct {
 	ring []decision
 	next int
 }
 
-// maxExplainedCandidates is how many candidates of a decision are remembered.
+// maxExplainedCandidates bounds the other candidates recorded per decision.
 const maxExplainedCandidates = 8
 
 type decision struct {
@@ -30,7 +30,7 @@
 	candidateCount int
 }
 
-// candidateSnapshot is a candidate as it looked when the decision was made.
+// candidateSnapshot is a copy of a candidate's predictions at the time of the decision.
 type candidateSnapshot struct {
 	id             string
 	rank           rank
@@ -59,7 +59,7 @@
 	}
 }
 
-// record remembers a decision in place of the oldest.
+// record overwrites the oldest decision with a new one.
 func (e *decisionRing) record(need *zinniamast.Need, now time.Time, candidates []candidate, best int, reason string) {
 	if need.Request == "" {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// rankNames are for people.
+// rankNames describe the ranks in explanations and log messages.
 var rankNames = [...]string{
 	rankOnTarget:       "meets the target",
 	rankWithinDeadline: "misses the target, meets the deadline",
@@ -92,7 +92,7 @@
 	rankCircuitOpen:    "circuit open",
 }
 
-// reasonNames are for people.
+// reasonNames describe the reasons in explanations.
 var reasonNames = map[string]string{
 	choiceCheapest: "it is the cheapest that meets the target",
 	choiceHome:     "it meets the target at the lowest price and is the prefix's home",
@@ -111,11 +111,11 @@
 	return text.String()
 }
 
-// maxExplainedDecisions bounds what is told of one request.
+// maxExplainedDecisions bounds the decisions in the explanation of one request.
 const maxExplainedDecisions = 8
 
-// decisions copies the last decisions about a request, oldest first, so that
-// no text is written while requests wait for the lock.
+// decisions copies the last decisions about a request, oldest first, so that the
+// explanation is formatted without holding the lock.
 func (r *Router) decisions(request string) []decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,9 +138,9 @@
 	}
 }
 
-func (s *candidateSnapshot) write(text *strings.Builder, word string) {
+func (s *candidateSnapshot) write(text *strings.Builder, role string) {
 	fmt.Fprintf(text, "  %s %s: %s; first token %s, between tokens %s, whole %s; cached %d, to compute %d; running %.0f; cost %.3g",
-		word, s.id, rankNames[s.rank], s.firstToken.Round(time.Millisecond), s.betweenTokens.Round(100*time.Microsecond),
+		role, s.id, rankNames[s.rank], s.firstToken.Round(time.Millisecond), s.betweenTokens.Round(100*time.Microsecond),
 		s.completion.Round(time.Millisecond), s.cachedTokens, s.uncachedTokens, s.running, s.cost)
 	if s.isHome {
 		text.WriteString("; prefix home")
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// fetchSetupTime is what a transfer takes before its first byte; some three
-	// milliseconds, and as much for one that is before it.
+	// fetchSetupTime is the time before the first byte of a transfer: some three
+	// milliseconds, and as much again for another transfer queued before it.
 	fetchSetupTime = 6 * time.Millisecond
-	// minFetchTokens is the fewest tokens that are worth a transfer: 1,000 are read in
-	// some ten milliseconds.
+	// minFetchTokens is the fewest tokens worth a transfer: the prefill of 1,000 tokens
+	// takes some ten milliseconds.
 	minFetchTokens = 1000
-	// maxFetchTimePerToken is the longest time of a token that is worth a transfer: half
-	// of what reading one takes, some ten microseconds. Over slow links a prefix
-	// comes later than it is read; the deployments measured take 0.5.
+	// maxFetchTimePerToken is the longest transfer time per token worth a transfer: half
+	// the prefill time per token, which is some ten microseconds. Over slow links a
+	// prefix would arrive later than it is recomputed; usual links take 0.5 µs.
 	maxFetchTimePerToken = 5 * time.Microsecond
 )
 
-// planFetches lets each candidate fetch what another one holds of the prompt
-// beyond its own, where replicas can, from the one that holds the most.
+// planFetches predicts, if replicas can fetch prefixes, that each candidate fetches
+// the missing part of the prompt's prefix from the candidate that has most of it cached.
 //
-// Load: sessions share their prompts' first thousands of tokens. A replica that
-// takes a request of a busy home read them again, a tenth of all that was read.
+// The requests of a session share the first thousands of tokens of their prompts.
+// Without fetching, a replica that receives a request because the home is busy
+// recomputes them, which came to a tenth of all prefill tokens.
 func (r *Router) planFetches(need *zinniamast.Need, now time.Time) {
 	perToken, ok := r.fetchTimePerToken(need)
 	if !ok {
@@ -41,20 +42,21 @@
 	}
 	for i := range r.candidates {
 		c := &r.candidates[i]
-		more := r.candidates[source].cachedTokens - c.cachedTokens
-		if more < minFetchTokens {
+		missing := r.candidates[source].cachedTokens - c.cachedTokens
+		if missing < minFetchTokens {
 			continue
 		}
 		c.fetchSource = r.candidates[source].replica
-		c.fetchedTokens = more
-		c.fetchTime = fetchSetupTime + time.Duration(more)*perToken
+		c.fetchedTokens = missing
+		c.fetchTime = fetchSetupTime + time.Duration(missing)*perToken
 		r.predict(c, need, now)
 	}
 }
 
-// fetchSource returns where the chosen candidate fetches from; nil from nowhere.
-// What it is believed to hold itself it may have lost, or never had: where it
-// keeps all that the source keeps, nothing is transferred.
+// fetchSource returns the replica that the chosen candidate fetches from, or nil. A
+// source is named even if the candidate is assumed to have the prefix cached, since
+// it may have been evicted or never been there; if the candidate has all that the
+// source has, nothing is transferred.
 func (r *Router) fetchSource(chosen *candidate, need *zinniamast.Need) *replica {
 	if chosen.fetchSource != nil {
 		return chosen.fetchSource
@@ -78,8 +80,8 @@
 	return best.replica
 }
 
-// fetchTimePerToken returns how long a token of the prompt's prefix takes to fetch;
-// false where the prefix is not worth a transfer.
+// fetchTimePerToken returns the transfer time per token of the prompt's prefix; false
+// if the prefix is not worth a transfer.
 func (r *Router) fetchTimePerToken(need *zinniamast.Need) (time.Duration, bool) {
 	blocks := len(r.lookup.hashes)
 	if blocks == 0 || r.config.FetchTime == nil || r.config.BlockTokens(blocks-1) < minFetchTokens {
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -18,7 +18,7 @@
 // replicas cannot or their links are slower than reading, or of a short prefix.
 func TestPrefixOfAFullHomeIsFetched(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
+	clock := newFakeClock()
 	board := eightReplicaBoard()
 	need := func(shared int) *zinniamast.Need {
 		return &zinniamast.Need{
@@ -39,7 +39,7 @@
 			HomeHolds:     0.7,
 			Seed:          1,
 			FetchTime:     func(string) time.Duration { return perToken },
-			Now:           now.Now,
+			Now:           clock.Now,
 		})
 	}
 	route := func(router *routing.Router, of *zinniamast.Need) zinniamast.Choice {
@@ -48,9 +48,9 @@
 		return choice
 	}
 	fill := func(router *routing.Router, replica string) {
-		now.advance(time.Second)
+		clock.advance(time.Second)
 		router.Reported(replica, zinniamast.LoadReport{
-			At:      now.Now(),
+			At:      clock.Now(),
 			Running: 16,
 		})
 	}
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -10,32 +10,33 @@
 	"zinniamast/blackboard"
 )
 
-// fleet is the replicas of one service, ready for bounded candidate sets.
+// fleet is an index of the replicas of one service, from which candidates are taken.
 type fleet struct {
 	// source is the blackboard's snapshot that the fleet was built from.
 	source  []*blackboard.Upstream
 	builtAt time.Time
-	// replicas are all of them, near ones first.
+	// replicas are sorted by distance, nearest first.
 	replicas []*replica
-	// nearCount is how many of them are drawn from by default.
+	// nearCount is the length of the leading part that is sampled by default.
 	nearCount int
-	// spansFailureDomains means that the near ones run in more than one failure domain.
+	// spansFailureDomains means that the near replicas run in more than one failure domain.
 	spansFailureDomains bool
 	ring                ring
-	// longPromptReplicas are the near ones that long prompts are kept to.
+	// longPromptReplicas are the near replicas that long prompts prefer.
 	longPromptReplicas []*replica
 }
 
 const (
-	// minNearReplicas is how many replicas a node draws from at least: with fewer, all
-	// nodes of a small failure domain would crowd the same few.
+	// minNearReplicas is the minimum number of near replicas: with fewer, all nodes of
+	// a small failure domain would overload the same few.
 	minNearReplicas = 24
-	// minRebuildInterval bounds the work of a wave of changes; leaving replicas are
-	// recognised at once all the same.
+	// minRebuildInterval bounds the work during a burst of changes. Leaving replicas
+	// are still recognised at once.
 	minRebuildInterval = 50 * time.Millisecond
 )
 
-// fleet returns the service's replicas as the blackboard has them now.
+// fleet returns the fleet of a service, and rebuilds it if the blackboard's snapshot
+// has changed.
 func (r *Router) fleet(service string, now time.Time) *fleet {
 	source := r.config.Board.Upstreams.Of(service)
 	f, ok := r.fleets[service]
@@ -50,7 +51,7 @@
 	return f
 }
 
-// isSameSnapshot says whether two snapshots are the same slice.
+// isSameSnapshot reports whether two snapshots are the same slice.
 func isSameSnapshot(a, b []*blackboard.Upstream) bool {
 	if len(a) != len(b) {
 		return false
@@ -80,8 +81,8 @@
 	return f
 }
 
-// countNear returns the length of the shortest leading part with whole
-// distances that holds minNear replicas.
+// countNear returns the length of the shortest leading part that has at least
+// minNearReplicas replicas and does not split replicas of equal distance.
 func countNear(replicas []*replica) int {
 	if len(replicas) <= minNearReplicas {
 		return len(replicas)
@@ -93,17 +94,17 @@
 	return end
 }
 
-// longPromptShare is the part of the near replicas that long prompts are kept to
-// where that delays them little. A long prompt evicts a dozen short ones, which
-// are asked for more often: spread evenly, a flood of long prompts empties
-// every cache.
+// longPromptShare is the share of the near replicas to which long prompts are sent if
+// that delays them little. A long prompt evicts a dozen short ones, which are reused
+// more often: spread evenly, a burst of long prompts would flush every cache.
 const longPromptShare = 0.4
 
-// markLongPromptReplicas marks that part, the same on every node.
+// markLongPromptReplicas marks and returns the replicas for long prompts. It selects
+// them by hash, so that all nodes agree.
 func markLongPromptReplicas(near []*replica) []*replica {
-	order := slices.Clone(near)
-	slices.SortFunc(order, func(a, b *replica) int { return cmp.Compare(mix(a.hash, 1), mix(b.hash, 1)) })
-	marked := order[:int(math.Ceil(longPromptShare*float64(len(order))))]
+	ordered := slices.Clone(near)
+	slices.SortFunc(ordered, func(a, b *replica) int { return cmp.Compare(mix(a.hash, 1), mix(b.hash, 1)) })
+	marked := ordered[:int(math.Ceil(longPromptShare*float64(len(ordered))))]
 	for _, p := range near {
 		p.takesLongPrompts = false
 	}
@@ -122,8 +123,8 @@
 	return false
 }
 
-// replica returns the router's state of an upstream. A new start under the
-// same ID begins with an empty cache and a closed circuit.
+// replica returns the router's state of an upstream. An upstream that is added again
+// under the same ID starts with an empty cache and a closed circuit.
 func (r *Router) replica(upstream *blackboard.Upstream) *replica {
 	id := upstream.Instance.ID
 	known, ok := r.replicas[id]
@@ -134,9 +135,9 @@
 		r.forget(known)
 	}
 	r.serial++
-	plain := r.servesCalls(upstream)
-	fresh := newReplica(upstream, r.serial, r.distance(upstream.Instance.FailureDomain), plain)
-	fresh.speed = r.speed(upstream, plain)
+	servesCalls := r.servesCalls(upstream)
+	fresh := newReplica(upstream, r.serial, r.distance(upstream.Instance.FailureDomain), servesCalls)
+	fresh.speed = r.speed(upstream, servesCalls)
 	fresh.pricePerSecond = r.price(upstream)
 	fresh.reportGroup = r.reportGroup(upstream.Instance)
 	r.replicas[id] = fresh
@@ -145,8 +146,8 @@
 	return fresh
 }
 
-// servesCalls says whether a replica answers calls, whose time depends on how many
-// run there, and not prompts.
+// servesCalls reports whether a replica answers calls instead of prompts. The time of
+// a call depends on the number of calls in progress.
 func (r *Router) servesCalls(upstream *blackboard.Upstream) bool {
 	if upstream.Engine != nil {
 		return false
@@ -157,7 +158,7 @@
 	return r.config.Plain != nil && r.config.Plain(upstream.Instance.Service)
 }
 
-// forget drops a replica that the blackboard no longer has.
+// forget removes the state of a replica that is no longer on the blackboard.
 func (r *Router) forget(old *replica) {
 	delete(r.replicas, old.id)
 	delete(r.bySerial, old.serial)
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -7,14 +7,14 @@
 
 var _ limits.Predictor = (*Router)(nil)
 
-// minForecastPoints is how many answers a machine class must have given before a
-// request is refused on its predicted speed. Priors may be wrong by far, and a
-// refusal teaches nothing.
+// minForecastPoints is the number of answers observed from a machine class before a
+// request may be refused because of its predicted speed. Priors may be far off, and
+// a refused request yields no observation to correct them.
 const minForecastPoints = 20
 
-// Forecast implements limits.Predictor: the best that any candidate offers
-// now. The shortest wait need not be the chosen candidate's, which may wait
-// within the target because it is cheaper.
+// Forecast implements limits.Predictor. It returns the earliest completion that any
+// candidate offers now and the wait there. This need not be the chosen candidate,
+// which may be later, within the target, because it is cheaper.
 func (r *Router) Forecast(need *zinniamast.Need) limits.Forecast {
 	now := r.config.Now()
 	r.mu.Lock()
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -7,8 +7,9 @@
 	"zinniamast"
 )
 
-// Load news is a list of items of loadItemBytes: the replica's short name,
-// the sequences this node has there, and its queued prompt tokens.
+// A load report is a list of items of loadItemBytes: the replica's short ID, the
+// number of this node's sequences there, and its queued prompt tokens in units of
+// loadQueuedUnitTokens.
 const (
 	loadItemBytes        = 7
 	loadQueuedUnitTokens = 64
@@ -16,11 +17,11 @@
 	loadLifetime         = 10 * time.Second
 	maxLoadItems         = zinniamast.MaxNews / loadItemBytes
 	minLoadInterval      = 500 * time.Millisecond
-	// maxLoadBytesPerSecond bounds what a node hears of load from all others together.
+	// maxLoadBytesPerSecond bounds the load reports that a node receives from all others.
 	maxLoadBytesPerSecond = 1500
 )
 
-// peerLoad is what one other node said last.
+// peerLoad is the last load report of one other node.
 type peerLoad struct {
 	items   []loadItem
 	expires time.Time
@@ -40,8 +41,8 @@
 	r.config.Gossip.Subscribe(zinniamast.TopicCircuit, r.receiveCircuitReport)
 }
 
-// publishLoad tells the failure domain what this node has in flight, so that
-// nodes that decide at the same time do not all see the same replica idle.
+// publishLoad reports this node's in-flight requests to the failure domain, so that
+// nodes that decide at the same time do not all choose the same idle replica.
 func (r *Router) publishLoad(now time.Time) {
 	if r.config.Gossip == nil || now.Before(r.nextLoadPublish) {
 		return
@@ -61,7 +62,8 @@
 	})
 }
 
-// loadInterval grows with the number of nodes, so that the traffic does not.
+// loadInterval returns the time to the next load report. It grows with the number of
+// nodes, so that the traffic per node does not.
 func (r *Router) loadInterval(size int, wide bool) time.Duration {
 	nodes := 0
 	for _, member := range r.config.Board.Members.All() {
@@ -69,12 +71,12 @@
 			nodes++
 		}
 	}
-	paced := time.Duration(nodes*size) * time.Second / maxLoadBytesPerSecond
-	return max(minLoadInterval, paced)
+	interval := time.Duration(nodes*size) * time.Second / maxLoadBytesPerSecond
+	return max(minLoadInterval, interval)
 }
 
-// encodeLoad also says whether other failure domains have to hear: at a small
-// site all of them draw from the same replicas.
+// encodeLoad returns the load report and whether it goes to other failure domains as
+// well: at a small site the nodes of all failure domains use the same replicas.
 func (r *Router) encodeLoad() (value []byte, wide bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +94,7 @@
 	return value, wide
 }
 
-// receiveLoad puts another node's news in place of what it said before.
+// receiveLoad replaces another node's last load report.
 func (r *Router) receiveLoad(news zinniamast.News) {
 	if news.Origin == r.config.Node || len(news.Value)%loadItemBytes != 0 {
 		return
@@ -127,7 +129,7 @@
 	h.items = append(h.items, item)
 }
 
-// withdraw takes back all that the node said.
+// withdraw subtracts the node's last load report from the replicas' remote load.
 func (h *peerLoad) withdraw() {
 	for _, item := range h.items {
 		item.replica.remote.running -= item.running
@@ -136,8 +138,8 @@
 	h.items = h.items[:0]
 }
 
-// sweepPeerLoads forgets nodes that have said nothing for long: their work is
-// over or goes on unseen, and reports of the engines tell of it.
+// sweepPeerLoads removes expired load reports. Work of their nodes that is still
+// running shows in the engines' reports.
 func (r *Router) sweepPeerLoads(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +151,8 @@
 	}
 }
 
-// queueCircuitReport tells the failure domain that a replica fails; the caller holds the lock.
+// queueCircuitReport queues a report that a replica fails, to be published to the
+// failure domain; the caller holds the lock.
 func (r *Router) queueCircuitReport(p *replica, now time.Time) {
 	if r.config.Gossip == nil {
 		return
@@ -162,10 +165,10 @@
 	})
 }
 
-// minCircuitReportLifetime is how long news of a failing replica counts at least.
+// minCircuitReportLifetime is the minimum lifetime of a report of a failing replica.
 const minCircuitReportLifetime = 5 * time.Second
 
-// publishCircuitReports publishes what was gathered under the lock, without holding it.
+// publishCircuitReports publishes the queued reports without holding the lock.
 func (r *Router) publishCircuitReports() {
 	r.mu.Lock()
 	news := r.pendingCircuitReports
@@ -176,9 +179,10 @@
 	}
 }
 
-// receiveCircuitReport takes another node's word: it makes one failure seen here
-// enough, and opens nothing by itself. A node with a broken network would
-// otherwise close a service for everybody.
+// receiveCircuitReport records another node's report of a failing replica. The report
+// lowers the threshold, so that one local failure opens the circuit, but does not
+// open it by itself: a node with a broken network could otherwise make a service
+// unavailable to all nodes.
 func (r *Router) receiveCircuitReport(news zinniamast.News) {
 	if news.Origin == r.config.Node {
 		return
--- a/routing/history.go
+++ b/routing/history.go
@@ -1,7 +1,7 @@
 package routing
 
-// history remembers which replicas were sent which prefixes: a set-associative
-// table of fixed size, the least recently used entry of a set making room.
+// history records which prefixes were sent to which replicas. It is a set-associative
+// table of fixed size; a new entry replaces the least recently used one of its set.
 type history struct {
 	sets  [][waysPerSet]entry
 	mask  uint64
@@ -19,12 +19,12 @@
 	holders  [maxHolders]holder
 }
 
-// holder is a replica that probably holds a prefix.
+// holder is a replica that probably has a prefix cached.
 type holder struct {
 	serial uint32
-	// usedAt is the replica's cache clock when the prefix was last used there.
+	// usedAt is the replica's insertedTokens when the prefix was last used there.
 	usedAt uint32
-	// epoch is the cache's, to tell a restarted engine's prefixes from older ones.
+	// epoch is the cache's epoch at that time; entries of earlier epochs are invalid.
 	epoch uint32
 }
 
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// touch records that a replica holds the prefix as of its cache clock.
+// touch records that a replica uses the prefix now.
 func (h *history) touch(prefix uint64, p *replica) {
 	h.clock++
 	e := h.find(prefix)
@@ -76,7 +76,8 @@
 	return &set[oldest]
 }
 
-// addHolder puts the replica first; the one used longest ago falls out.
+// addHolder puts the replica first and removes the least recently used one if there
+// are too many.
 func (e *entry) addHolder(p *replica) {
 	now := holder{
 		serial: p.serial,
@@ -94,22 +95,22 @@
 	e.holders[0] = now
 }
 
-// removeHolder forgets that the replica holds the prefix.
+// removeHolder removes the replica from the prefix's holders.
 func (e *entry) removeHolder(p *replica) {
-	kept := 0
+	remaining := 0
 	for _, h := range e.holders {
 		if h.serial != p.serial && h.serial != 0 {
-			e.holders[kept] = h
-			kept++
+			e.holders[remaining] = h
+			remaining++
 		}
 	}
-	for ; kept < maxHolders; kept++ {
-		e.holders[kept] = holder{}
+	for ; remaining < maxHolders; remaining++ {
+		e.holders[remaining] = holder{}
 	}
 }
 
-// ageTokens returns how many tokens the replica's cache has taken in since it last
-// used the prefix; ok is false if it never did.
+// ageTokens returns the tokens added to the replica's cache since it last used the
+// prefix; ok is false if it has not used it in this epoch.
 func (e *entry) ageTokens(p *replica) (age uint32, ok bool) {
 	for _, h := range e.holders {
 		if h.serial == p.serial && h.epoch == p.cache.epoch {
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -37,7 +37,7 @@
 // hold most of the prefix, it is chosen by every node while it meets the target.
 func TestNodesWithoutHistoryAgreeOnAHome(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
+	clock := newFakeClock()
 	board := eightReplicaBoard()
 	need := &zinniamast.Need{
 		Service:      "service",
@@ -54,21 +54,21 @@
 		}),
 		FirstTokenTarget: time.Second,
 	}
-	node := func(name string, holds float64) *routing.Router {
+	node := func(name string, homeHolds float64) *routing.Router {
 		return routing.New(routing.Config{
 			Board:         board,
 			Node:          name,
 			FailureDomain: domains[0],
 			HomeCost:      1.6,
-			HomeHolds:     holds,
+			HomeHolds:     homeHolds,
 			Seed:          uint64(len(name)),
-			Now:           now.Now,
+			Now:           clock.Now,
 		})
 	}
-	busy := func(router *routing.Router, replica string) string {
-		now.advance(time.Second)
+	routeWithBusyHome := func(router *routing.Router, replica string) string {
+		clock.advance(time.Second)
 		router.Reported(replica, zinniamast.LoadReport{
-			At:           now.Now(),
+			At:           clock.Now(),
 			Running:      5,
 			QueuedTokens: 1500,
 		})
@@ -79,21 +79,21 @@
 	first := node("first", 0.7)
 	home, err := first.Route(need)
 	check.NoErr(err)
-	check.Equal(busy(first, home.Upstream), home.Upstream)
+	check.Equal(routeWithBusyHome(first, home.Upstream), home.Upstream)
 	other := node("another", 0.7)
 	_, err = other.Route(need)
 	check.NoErr(err)
-	check.Equal(busy(other, home.Upstream), home.Upstream)
+	check.Equal(routeWithBusyHome(other, home.Upstream), home.Upstream)
 
 	without := node("without", 0)
 	_, err = without.Route(need)
 	check.NoErr(err)
-	check.True(busy(without, home.Upstream) != home.Upstream)
+	check.True(routeWithBusyHome(without, home.Upstream) != home.Upstream)
 
 	// A full home is passed over.
-	now.advance(time.Second)
+	clock.advance(time.Second)
 	first.Reported(home.Upstream, zinniamast.LoadReport{
-		At:      now.Now(),
+		At:      clock.Now(),
 		Running: 16,
 	})
 	choice, err := first.Route(need)
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -13,16 +13,16 @@
 )
 
 // completeAttempt runs one attempt to its end with the given times.
-func completeAttempt(c *fakeClock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
+func completeAttempt(clock *fakeClock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
 	startAttempt(router, need, upstream, attempt)
-	c.advance(first)
+	clock.advance(first)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
 	const tokens = 50
-	c.advance((tokens - 1) * between)
+	clock.advance((tokens - 1) * between)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedEnd,
 		Attempt:  attempt,
@@ -37,25 +37,25 @@
 // serve within the target. What is learned of a class must not hide the replica.
 func TestSpeedIsLearnedPerReplica(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, newBoard(2), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(2), newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 1000
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 60 {
-		completeAttempt(c, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
-		completeAttempt(c, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
 	}
 	startAttempt(router, need, "engine-0000", "running")
-	c.advance(time.Second)
+	clock.advance(time.Second)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  "running",
 		Upstream: "engine-0000",
 	})
-	need.Deadline = c.now.Add(time.Minute)
+	need.Deadline = clock.now.Add(time.Minute)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
@@ -73,9 +73,9 @@
 // thirty. The limit must come down below what it had.
 func TestLimitFollowsTimeBetweenTokens(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, newBoard(1), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(1), newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	_, err := router.Route(need)
@@ -85,12 +85,12 @@
 		startAttempt(router, need, "engine-0000", fmt.Sprint("other", i))
 	}
 	for i := range 5 {
-		completeAttempt(c, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
 	}
 	lowered := router.Limit("engine-0000")
 	is.True(lowered < 12)
 	for i := range 40 {
-		completeAttempt(c, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
 	}
 	is.True(router.Limit("engine-0000") > lowered)
 }
@@ -99,9 +99,9 @@
 // is left empty, to be returned.
 func TestCheaperReplicaIsChosenWithinTheTarget(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
+	clock := newFakeClock()
 	board := newBoard(2)
-	router := newRouter(c, board, newBus(), "n1")
+	router := newRouter(clock, board, newBus(), "n1")
 	router.SetPrices([]zinniamast.Offer{
 		{
 			FailureDomain: domains[0],
@@ -116,7 +116,7 @@
 			Price:         1,
 		},
 	})
-	need := newNeed(c.now)
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	for i := range 5 {
@@ -132,9 +132,9 @@
 // there, where it can take no other request with it.
 func TestSuspectRequestRunsOnIdleReplica(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 400 {
--- a/routing/limit.go
+++ b/routing/limit.go
@@ -3,21 +3,22 @@
 import "time"
 
 // concurrencyLimit bounds the sequences at a replica. It follows the measured time
-// between tokens: additive increase while the target holds with the batch
-// nearly full, multiplicative decrease when it does not. The learned curve
-// says the same sooner; this guards against a curve that is wrong.
+// between tokens: additive increase while the target is met with the batch nearly
+// full, multiplicative decrease when it is missed. The learned curve reacts sooner;
+// the limit guards against a curve that is wrong.
 type concurrencyLimit struct {
 	current float64
-	// slots is the most that the replica runs at once; the rest waits there.
+	// slots is the number of requests that the replica runs at once; others queue there.
 	slots     float64
 	loweredAt time.Time
 }
 
-// newConcurrencyLimit returns the limit of a replica that runs so many requests at once;
-// zero where it does not say.
+// newConcurrencyLimit returns the limit of a replica with the given number of slots;
+// zero means that the number is unknown.
 //
-// Failure: a replica of sixteen slots is trusted with 32 sequences; half of them
-// wait there past their latency target while other replicas have free slots.
+// The limit starts at no more than the slots: if a replica of sixteen slots were sent
+// 32 sequences, half of them would wait there past their latency target while other
+// replicas have free slots.
 func newConcurrencyLimit(slots int) concurrencyLimit {
 	l := concurrencyLimit{
 		current: initialLimit,
@@ -34,15 +35,17 @@
 	initialLimit = 32
 	minLimit     = 2
 	maxLimit     = 512
-	// limitDecreaseFactor is the part kept when the target is missed.
+	// limitDecreaseFactor is the factor of the decrease when the target is missed.
 	limitDecreaseFactor = 0.9
-	// limitDecreaseInterval is how long one decrease has to show its effect.
+	// limitDecreaseInterval is the minimum time between decreases, so that one can take
+	// effect before the next.
 	limitDecreaseInterval = time.Second
-	// limitUsedShare is the part of the limit that must be in use for it to rise.
+	// limitUsedShare is the share of the limit that must be in use for an increase.
 	limitUsedShare = 0.8
 )
 
-// learn takes in a measured time between tokens with the given sequences running.
+// learn adjusts the limit to a measured time between tokens, with the given number of
+// sequences running.
 func (l *concurrencyLimit) learn(between, target, running float64, now time.Time) {
 	if target <= 0 {
 		return
@@ -60,7 +63,7 @@
 	l.current = max(minLimit, limitDecreaseFactor*min(l.current, running))
 }
 
-// Limit returns how many sequences a replica is trusted with now; zero if it is unknown.
+// Limit returns the current limit of sequences at a replica; zero if it is unknown.
 func (r *Router) Limit(upstream string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +74,7 @@
 	return int(p.limit.current)
 }
 
-// Running returns how many attempts of this node are in progress.
+// Running returns the number of this node's attempts in progress.
 func (r *Router) Running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// What happened to a circuit, as a metric label.
+// Circuit events, used as a metric label.
 const (
 	circuitOpened     = "opened"
 	circuitCapped     = "capped"
@@ -16,7 +16,7 @@
 	choices  *prometheus.CounterVec
 	circuits *prometheus.CounterVec
 	polls    *prometheus.CounterVec
-	// byReason saves the lookup of a label on each decision.
+	// byReason avoids a label lookup in each decision.
 	byReason map[string]prometheus.Counter
 }
 
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -11,21 +11,22 @@
 	replica      *replica
 	startedAt    time.Time
 	firstTokenAt time.Time
-	// service and priority name the expected length of the answer.
+	// service and priority determine the expected length of the answer.
 	service      string
 	priority     int
 	promptTokens int
-	// queuedTokens is counted in the replica's queue until the first token.
+	// queuedTokens are counted in the replica's queue until the first token.
 	queuedTokens int
-	// tokensAhead is what was to compute before this attempt's own tokens.
+	// tokensAhead are the prompt tokens to compute before this attempt's own.
 	tokensAhead float64
-	// running were the sequences at the start, this one included.
+	// running is the number of sequences at the start, this attempt's included.
 	running float64
 	match   match
-	// betweenTarget is the request's own, in seconds; zero means the service's.
+	// betweenTarget is the request's target for the time between tokens, in seconds; zero
+	// means the service's target.
 	betweenTarget float64
-	// cachedTokens is what the history made believe to be cached, and home means that
-	// the replica is a home of the prompt.
+	// cachedTokens are the tokens predicted to be cached, and isHome means that the
+	// replica is a home of the prompt.
 	cachedTokens int
 	isHome       bool
 }
@@ -55,8 +56,8 @@
 		p = r.replica(upstream)
 	}
 	r.lookup.reset(r.history, o.Prefix)
-	known := r.matchHistory(p)
-	held := max(p.cache.cachedTokens(known, o.PromptTokens), o.CachedTokens)
+	history := r.matchHistory(p)
+	cachedTokens := max(p.cache.cachedTokens(history, o.PromptTokens), o.CachedTokens)
 	priority := min(max(o.Priority, 0), priorityCount-1)
 	l := p.load(priority, now)
 	a := r.newAttempt()
@@ -66,11 +67,11 @@
 		service:      p.upstream.Instance.Service,
 		priority:     o.Priority,
 		promptTokens: o.PromptTokens,
-		queuedTokens: max(0, o.PromptTokens-held),
+		queuedTokens: max(0, o.PromptTokens-cachedTokens),
 		tokensAhead:  l.tokensAhead,
 		running:      l.running + 1,
-		match:        known,
-		cachedTokens: held,
+		match:        history,
+		cachedTokens: cachedTokens,
 		isHome:       r.isHome(p),
 
 		betweenTarget: o.BetweenTokensTarget.Seconds(),
@@ -94,7 +95,7 @@
 	a.dequeue(now)
 }
 
-// dequeue takes the attempt's prompt out of the replica's queue.
+// dequeue removes the attempt's prompt from the replica's queue.
 func (a *attempt) dequeue(now time.Time) {
 	priority := min(max(a.priority, 0), priorityCount-1)
 	a.replica.own.queued[priority] -= a.queuedTokens
@@ -124,7 +125,7 @@
 	r.freeAttempts = append(r.freeAttempts, a)
 }
 
-// learn takes in what a whole answer showed.
+// learn updates the predictions with a completed answer.
 func (r *Router) learn(a *attempt, o *zinniamast.Observation, running float64, now time.Time) {
 	p := a.replica
 	if p.servesCalls {
@@ -138,7 +139,7 @@
 	wait := a.firstTokenAt.Sub(a.startedAt) - p.distance
 	cached := o.CachedTokens
 	if cached == zinniamast.UnknownCached {
-		// The history's belief stands; nothing confirms or refutes it.
+		// The prediction is used, since no report confirms or refutes it.
 		cached = a.cachedTokens
 	} else {
 		p.cache.learn(a.match, cached)
@@ -159,11 +160,10 @@
 	p.limit.learn(between, target, batch, now)
 }
 
-// learnStopped takes in the time of a call that this node stopped, if that is
-// already longer than expected.
-//
-// Failure: a slow replica's calls are overtaken by hedges before they end, so
-// nothing is ever learned of it, and it gets as many calls as a quick one.
+// learnStopped updates the predictions with the time of a call that this node
+// cancelled, if that is already longer than predicted. Otherwise nothing would be
+// learned of a slow replica, since hedges complete before its calls do, and it would
+// receive as many calls as a fast one.
 func (a *attempt) learnStopped(o *zinniamast.Observation, now time.Time) {
 	p := a.replica
 	if o.Failure != zinniamast.FailureStopped || !p.servesCalls {
@@ -186,7 +186,7 @@
 	p.speed.between.learn(batch, between)
 }
 
-// homeHitsWeight is how fast the expectation for unknown prefixes follows.
+// homeHitsWeight is the weight of one answer in the mean of homeHits.
 const homeHitsWeight = 0.05
 
 func (r *Router) learnHomeHits(a *attempt, o *zinniamast.Observation) {
@@ -206,7 +206,8 @@
 	hits.add(float64(max(0, o.CachedTokens-a.cachedTokens))/float64(rest), homeHitsWeight)
 }
 
-// newAttempt takes a spare one, so that the request path allocates none when it is warm.
+// newAttempt reuses a free attempt, so that the request path does not allocate once it
+// is warm.
 func (r *Router) newAttempt() *attempt {
 	last := len(r.freeAttempts) - 1
 	if last < 0 {
@@ -217,11 +218,11 @@
 	return a
 }
 
-// maxAttemptAge is when an attempt that never ended is taken for lost.
+// maxAttemptAge is the age at which an attempt without an end is considered lost.
 const maxAttemptAge = time.Hour
 
-// sweepAttempts forgets attempts whose end was never told, so that they do
-// not make a replica look loaded for good.
+// sweepAttempts removes attempts whose end was never observed, so that they do not
+// count as a replica's load permanently.
 func (r *Router) sweepAttempts(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/routing/predict.go
+++ b/routing/predict.go
@@ -6,26 +6,27 @@
 	"zinniamast"
 )
 
-// rank orders candidates by what they can still do; lower is better.
+// rank classifies candidates by the targets that they meet; lower is better.
 type rank int
 
 const (
-	// rankOnTarget: the latency target and the deadline are met.
+	// rankOnTarget means that the latency target and the deadline are met.
 	rankOnTarget rank = iota
-	// rankWithinDeadline: the deadline is met, the latency target is not.
+	// rankWithinDeadline means that the deadline is met, but not the latency target.
 	rankWithinDeadline
-	// rankLate: the answer would come after the deadline.
+	// rankLate means that the answer would complete after the deadline.
 	rankLate
-	// rankUnfit: the replica leaves before the answer would end, or has not
-	// loaded the model.
+	// rankUnfit means that the replica leaves before the answer would complete, or has
+	// not loaded the model.
 	rankUnfit
-	// rankSilent: it tells no load, while others of its failure domain do.
+	// rankSilent means that the replica's load report is outdated, while those of other
+	// replicas in its failure domain are not.
 	rankSilent
-	// rankCircuitOpen: the circuit is open.
+	// rankCircuitOpen means that the replica's circuit is open.
 	rankCircuitOpen
 )
 
-// predict fills in what the replica would do with the need.
+// predict fills in the candidate's predictions for the request.
 func (r *Router) predict(c *candidate, need *zinniamast.Need, now time.Time) {
 	p := c.replica
 	l := p.load(need.Priority, now)
@@ -35,8 +36,8 @@
 	if p.servesCalls {
 		work = l.running
 	}
-	slow := p.firstFactor.value()
-	first := p.speed.first.at(work) * slow
+	slowness := p.firstFactor.value()
+	first := p.speed.first.at(work) * slowness
 	between := p.speed.between.at(l.running+1) * p.betweenFactor.value()
 	remaining := float64(max(1, r.expectedAnswerTokens(need)-need.Produced))
 	if p.servesCalls {
@@ -45,11 +46,11 @@
 	}
 	slot := p.slotWait(l, remaining*between)
 	first += slot + c.fetchTime.Seconds()
-	c.wait = seconds(slot + p.speed.first.slope*slow*l.tokensAhead)
+	c.wait = seconds(slot + p.speed.first.slope*slowness*l.tokensAhead)
 	c.firstToken = seconds(first) + p.distance
 	c.betweenTokens = seconds(between)
 	c.completion = c.firstToken + seconds(remaining*between)
-	c.work = p.speed.first.slope*slow*float64(c.uncachedTokens) +
+	c.work = p.speed.first.slope*slowness*float64(c.uncachedTokens) +
 		remaining*p.speed.between.slope*p.betweenFactor.value()
 	c.typicalWork = p.typicalWork(c.uncachedTokens)
 	if p.servesCalls {
@@ -60,9 +61,10 @@
 	c.rank = r.rank(c, need, now)
 }
 
-// typicalWork is the machine time that a prompt takes at a replica of the usual
-// speed, in seconds; zero while the machine class is not known: the prior may be
-// wrong by a factor of ten, and replicas are ordered by this.
+// typicalWork returns the instance time that a prompt takes at a replica of its class's
+// typical speed, in seconds. It is zero until enough answers of the machine class have
+// been observed: the prior may be wrong by a factor of ten, and the number of replicas
+// to start depends on this value.
 func (p *replica) typicalWork(uncached int) float64 {
 	if p.speed.first.points < minTypicalWorkPoints {
 		return 0
@@ -70,17 +72,18 @@
 	return p.speed.first.slope * float64(uncached)
 }
 
-// minTypicalWorkPoints is how many answers a machine class must have given before the
-// work of requests there is told.
+// minTypicalWorkPoints is the number of answers observed from a machine class before
+// typicalWork returns an estimate.
 const minTypicalWorkPoints = 10
 
-// slotWait is how long a request waits for a place in a full batch.
-func (p *replica) slotWait(l load, answer float64) float64 {
-	over := l.running + 1 - p.limit.current
-	if over <= 0 {
+// slotWait returns how long a request waits for a place in a full batch, in seconds;
+// answerSeconds is the time from an answer's first token to its last.
+func (p *replica) slotWait(l load, answerSeconds float64) float64 {
+	excess := l.running + 1 - p.limit.current
+	if excess <= 0 {
 		return 0
 	}
-	return over * answer / p.limit.current
+	return excess * answerSeconds / p.limit.current
 }
 
 func (r *Router) rank(c *candidate, need *zinniamast.Need, now time.Time) rank {
@@ -106,7 +109,7 @@
 	}
 }
 
-// leavesBefore says whether a stop is announced that comes before the given time.
+// leavesBefore reports whether the replica is announced to stop before the given time.
 func (p *replica) leavesBefore(end time.Time) bool {
 	at := p.upstream.LeavesAt()
 	if at.IsZero() {
@@ -115,14 +118,15 @@
 	return !at.IsZero() && at.Before(end)
 }
 
-// exceeds says whether a prediction misses a target; no target is always met.
+// exceeds reports whether a prediction misses a target; a zero target is always met.
 func exceeds(predicted, target time.Duration) bool { return target > 0 && predicted > target }
 
-// minHomeHitsSamples is how many homes without history must have been seen before
-// their hits are counted on.
+// minHomeHitsSamples is the number of answers from homes before homeHits is used in
+// predictions.
 const minHomeHitsSamples = 5
 
-// expectHomeHits counts on what other nodes have probably sent to a home.
+// expectHomeHits adds the tokens that are probably cached at a home because other nodes
+// sent them there.
 func (r *Router) expectHomeHits(c *candidate, need *zinniamast.Need, now time.Time) {
 	if r.config.HomeHolds > 0 {
 		r.expectHomePrefix(c, need, now)
@@ -139,15 +143,15 @@
 	r.predict(c, need, now)
 }
 
-// expectHomePrefix counts on what other nodes have probably sent to a home: the whole
-// prefix at the home of its longest anchor.
+// expectHomePrefix assumes that other nodes have sent the prefix to the home of its
+// longest anchor, and that the fraction HomeHolds of it is cached there.
 func (r *Router) expectHomePrefix(c *candidate, need *zinniamast.Need, now time.Time) {
 	if len(r.lookup.hashes) == 0 || c.replica != r.longestAnchorHome {
 		return
 	}
-	held := int(r.config.HomeHolds * float64(r.config.BlockTokens(len(r.lookup.hashes)-1)))
-	if held > c.cachedTokens {
-		c.cachedTokens = min(held, need.PromptTokens)
+	homeTokens := int(r.config.HomeHolds * float64(r.config.BlockTokens(len(r.lookup.hashes)-1)))
+	if homeTokens > c.cachedTokens {
+		c.cachedTokens = min(homeTokens, need.PromptTokens)
 		r.predict(c, need, now)
 	}
 }
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -7,10 +7,10 @@
 	"zinniamast/blackboard"
 )
 
-// priorityCount is how many priority classes a queue tells apart.
+// priorityCount is the number of priority classes that a queue distinguishes.
 const priorityCount = 3
 
-// replica is what the router knows of one upstream.
+// replica is the router's state of one upstream.
 type replica struct {
 	id          string
 	serial      uint32
@@ -18,9 +18,9 @@
 	upstream    *blackboard.Upstream
 	servesCalls bool
 	distance    time.Duration
-	// takesLongPrompts means that long prompts are kept to it.
+	// takesLongPrompts means that the replica is one of those that long prompts prefer.
 	takesLongPrompts bool
-	// pricePerSecond is per second of the machine.
+	// pricePerSecond is the price of a second of the instance.
 	pricePerSecond float64
 
 	speed         *speed
@@ -30,24 +30,24 @@
 	own    ownLoad
 	remote remoteLoad
 	report residualReport
-	// reportGroup is shared with the other replicas of its failure domain.
+	// reportGroup is shared with the service's other replicas in the failure domain.
 	reportGroup *reportGroup
 
 	cache   cacheState
 	circuit circuit
 	limit   concurrencyLimit
-	// polledAt is when the engine was last asked for its report.
+	// polledAt is when the engine was last polled.
 	polledAt time.Time
 }
 
-func newReplica(upstream *blackboard.Upstream, serial uint32, distance time.Duration, plain bool) *replica {
+func newReplica(upstream *blackboard.Upstream, serial uint32, distance time.Duration, servesCalls bool) *replica {
 	id := upstream.Instance.ID
 	return &replica{
 		id:          id,
 		serial:      serial,
 		hash:        hashID(id),
 		upstream:    upstream,
-		servesCalls: plain,
+		servesCalls: servesCalls,
 		distance:    distance,
 		cache: cacheState{
 			retentionTokens: initialRetentionTokens,
@@ -56,21 +56,21 @@
 	}
 }
 
-// shortID names the replica in gossip, where bytes are scarce.
+// shortID identifies the replica in gossip, where messages are small.
 func (p *replica) shortID() uint32 { return uint32(p.hash) }
 
-// ownLoad is this node's own work at a replica, counted at once.
+// ownLoad is this node's own work in progress at a replica; it is always up to date.
 type ownLoad struct {
 	running int
-	// queued are prompt tokens sent whose first token has not come, by priority.
+	// queued are the prompt tokens of attempts without a first token yet, by priority.
 	queued [priorityCount]int
-	// changes remembers recent counts, to read lagging reports against; it is
-	// allocated with the first use, since a node uses few of a large fleet.
+	// changes is a ring of recent counts, needed to interpret lagging reports. It is
+	// allocated on first use, since a node uses few replicas of a large fleet.
 	changes []loadChange
 	next    int
 }
 
-// maxLoadChanges is how many changes are kept.
+// maxLoadChanges is the capacity of the ring of changes.
 const maxLoadChanges = 32
 
 type loadChange struct {
@@ -95,7 +95,7 @@
 	return sum
 }
 
-// recordChange remembers the counts from now on.
+// recordChange stores the present counts in the ring.
 func (o *ownLoad) recordChange(now time.Time) {
 	if o.changes == nil {
 		o.changes = make([]loadChange, maxLoadChanges)
@@ -108,7 +108,7 @@
 	o.next++
 }
 
-// countsAt returns the counts that held at an earlier time, as far back as remembered.
+// countsAt returns the counts at an earlier time, as far back as the ring reaches.
 func (o *ownLoad) countsAt(at time.Time) (running, queued int) {
 	oldest := max(0, o.next-maxLoadChanges)
 	for i := o.next - 1; i >= oldest; i-- {
@@ -120,37 +120,37 @@
 	return 0, 0
 }
 
-// remoteLoad is the sum of what other nodes say they have at a replica.
+// remoteLoad is the sum of the work that other nodes report to have at a replica.
 type remoteLoad struct {
 	running int
 	queued  int
-	// receivedAt is when the last of them spoke.
+	// receivedAt is when the latest of their reports was received.
 	receivedAt time.Time
 }
 
-// residualReport is what is left of an engine's report after this node's own work
-// at that time is taken off.
+// residualReport is an engine's report minus this node's own work at the time of
+// the report.
 type residualReport struct {
 	at      time.Time
 	running int
 	queued  int
-	// modelMissing means that the engine did not have the service's model loaded.
+	// modelMissing means that the engine has not loaded the service's model.
 	modelMissing bool
 }
 
 const (
-	// reportCurrentAge is how long a report tells more than what other nodes say:
-	// requests run for a second or two, and at some ninety nodes what they say of
-	// theirs is four seconds old.
+	// reportCurrentAge is how long an engine's report is more accurate than the load
+	// reports of other nodes: requests run for a second or two, and with some ninety
+	// nodes those load reports are four seconds old.
 	reportCurrentAge = time.Second
-	// reportFreshAge is how long a report counts in full: reports lag by seconds,
-	// and what others run lasts for seconds too.
+	// reportFreshAge is how long a report has full weight: reports lag by seconds,
+	// and the requests of other nodes run for seconds too.
 	reportFreshAge = 8 * time.Second
-	// reportStaleAge is when a report counts no more.
+	// reportStaleAge is the age from which a report has no weight.
 	reportStaleAge = 24 * time.Second
 )
 
-// weight is how much the report still says about now.
+// weight returns the weight of the report at a time, between 0 and 1.
 func (e *residualReport) weight(now time.Time) float64 {
 	age := now.Sub(e.at)
 	if e.at.IsZero() || age >= reportStaleAge {
@@ -162,17 +162,17 @@
 	return float64(reportStaleAge-age) / float64(reportStaleAge-reportFreshAge)
 }
 
-// load is what is believed to be at a replica now.
+// load is the estimated present load of a replica.
 type load struct {
-	// running are sequences, the queued ones included.
+	// running is the number of sequences, including queued ones.
 	running float64
-	// tokensAhead are prompt tokens to compute before a new request of the priority.
+	// tokensAhead are the prompt tokens to compute before a new request of the priority.
 	tokensAhead float64
 }
 
-// load adds the node's own work, which is exact, to what the engine's report
-// leaves unexplained, or what other nodes say where that is more and the report
-// is not current.
+// load adds the node's own work, which is exact, to the residual of the engine's
+// report. If the report is not current and other nodes report more work, their
+// reports are used instead.
 func (p *replica) load(priority int, now time.Time) load {
 	weight := p.report.weight(now)
 	others := weight * float64(p.report.running)
@@ -192,21 +192,21 @@
 	}
 }
 
-// remainingQueue is what is left of a queue that was seen some time ago. Queues of
-// prompts last for less than the news of them takes: counted in full, they
-// would drive work away from replicas that are idle again.
+// remainingQueue returns the tokens that remain of a queue reported some time ago.
+// Queues of prompts drain faster than reports of them arrive: without this
+// correction they would divert work from replicas that are idle again.
 func (p *replica) remainingQueue(queued int, age time.Duration) float64 {
 	if queued == 0 {
 		return 0
 	}
-	perToken := p.speed.first.slope * p.firstFactor.value()
-	return max(0, float64(queued)-age.Seconds()/max(perToken, minSecondsPerToken))
+	secondsPerToken := p.speed.first.slope * p.firstFactor.value()
+	return max(0, float64(queued)-age.Seconds()/max(secondsPerToken, minSecondsPerToken))
 }
 
-// minSecondsPerToken stands for a speed that is not to be believed, in seconds.
+// minSecondsPerToken bounds an implausibly fast learned speed.
 const minSecondsPerToken = 1e-6
 
-// usable says whether the replica takes new work at all.
+// usable reports whether the replica may receive the request at all.
 func (p *replica) usable(need *zinniamast.Need) bool {
 	if p.upstream.Leaving() {
 		return false
--- a/routing/report.go
+++ b/routing/report.go
@@ -7,7 +7,7 @@
 	"zinniamast"
 )
 
-// Reported takes in an engine's load report.
+// Reported records an engine's load report.
 func (r *Router) Reported(upstream string, report zinniamast.LoadReport) {
 	if report.Leaving {
 		r.config.Board.Upstreams.MarkLeaving(upstream, time.Time{})
@@ -28,12 +28,13 @@
 	}
 }
 
-// reportGroup is when a replica of one service and failure domain last told its load.
+// reportGroup is the replicas of one service in one failure domain, whose load reports
+// are compared by age.
 type reportGroup struct {
 	newestReport time.Time
 }
 
-// reportGroupKey names what shares a told.
+// reportGroupKey identifies a reportGroup.
 type reportGroupKey struct {
 	service       string
 	failureDomain string
@@ -52,12 +53,12 @@
 	return known
 }
 
-// isSilent says whether a replica tells its load no more, while others of its
-// failure domain do. Where none does, whoever asks them may be the one that is cut off.
+// isSilent reports whether a replica's load reports have stopped while others of its
+// failure domain continue. If all have stopped, the poller itself may be unreachable.
 //
-// Failure: a replica goes dark without a reset. Requests that may not be repeated
-// wait there until their deadline, and until the first of these has passed, no
-// send has failed: a quarter of all prompts went on to be lost for seconds.
+// A replica can stop responding without a connection reset. Requests that may not be
+// repeated then wait there until their deadlines, and no attempt fails before the first
+// of these; without this check, a quarter of all prompts were lost for seconds.
 func (r *Router) isSilent(p *replica) bool {
 	if r.config.SilentAfter == 0 || p.report.at.IsZero() {
 		return false
@@ -72,11 +73,13 @@
 	return b
 }
 
-// eventLag is how late a cache event may come. An eviction of a prefix used
-// here since then is not believed: it may tell of a time before that use.
+// eventLagTokens is the maximum delay of a cache event, in tokens added to the cache.
+// An eviction of a prefix that was used within it is ignored, since it may have
+// happened before that use.
 const eventLagTokens = 20_000
 
-// RecordCacheEvents takes in events of an engine's prefix cache, which come late and with gaps.
+// RecordCacheEvents records events of an engine's prefix cache. Events may be late and
+// some may be missing.
 func (r *Router) RecordCacheEvents(upstream string, events []zinniamast.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,20 +102,20 @@
 		if e == nil {
 			return
 		}
-		if age, held := e.ageTokens(p); held && age > eventLagTokens {
+		if age, ok := e.ageTokens(p); ok && age > eventLagTokens {
 			e.removeHolder(p)
 		}
 		return
 	}
 	if e != nil {
-		if _, held := e.ageTokens(p); held {
+		if _, ok := e.ageTokens(p); ok {
 			return
 		}
 	}
 	r.history.touch(event.Prefix, p)
 }
 
-// RecordRestart tells that an engine began again with an empty cache.
+// RecordRestart records that an engine has restarted with an empty cache.
 func (r *Router) RecordRestart(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -8,8 +8,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// ring places prefixes on replicas by consistent hashing, so that nodes that
-// know nothing of each other's history still send a prefix to the same place.
+// ring places prefixes on replicas by consistent hashing, so that nodes without a
+// shared history still send a prefix to the same replica.
 type ring struct {
 	points []point
 }
@@ -33,13 +33,13 @@
 	}
 }
 
-// probesPerPrefix is how many places of the ring a prefix looks at. One point per
-// replica and several probes spread evenly with a small ring, which is cheap
-// to build again when replicas come and go.
+// probesPerPrefix is the number of ring positions tried per prefix. One point per
+// replica and several probes spread prefixes evenly over a small ring, which is cheap
+// to rebuild when replicas are added or removed.
 const probesPerPrefix = 5
 
-// home returns the replica closest after any of the prefix's probes that may
-// take work, or nil.
+// home returns the usable replica with the smallest distance after any of the prefix's
+// probes, or nil.
 func (g ring) home(prefix uint64, usable func(*replica) bool) *replica {
 	var best *replica
 	nearest := ^uint64(0)
@@ -57,7 +57,7 @@
 	return best
 }
 
-// maxProbeSteps bounds how many replicas in a row a probe may pass over.
+// maxProbeSteps bounds the number of consecutive points that a probe tries.
 const maxProbeSteps = 8
 
 func (g ring) firstUsable(at uint64, usable func(*replica) bool) *replica {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// mix derives a probe's place from a prefix.
+// mix derives the ring position of a probe from a prefix.
 func mix(prefix, probe uint64) uint64 {
 	x := prefix + probe*0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -2,8 +2,8 @@
 // completion, price and recomputed tokens.
 //
 // One lock guards the router's own tables. It is taken after the
-// blackboard's, is held for microseconds and never during a call to another
-// process.
+// blackboard's lock, held for microseconds, and never held during a call to
+// another process.
 package routing
 
 import (
@@ -19,55 +19,59 @@
 	"zinniamast/prefix"
 )
 
-// Config says what the router works from.
+// Config holds the router's dependencies and settings.
 type Config struct {
-	// Board holds the replicas.
+	// Board lists the replicas, the members and the configuration in force.
 	Board *blackboard.Board
 	// Node is this instance's name.
 	Node string
-	// FailureDomain is where the node runs.
+	// FailureDomain is the failure domain that the node runs in.
 	FailureDomain string
-	// Gossip carries load and circuits between nodes; nil means a node on its own.
+	// Gossip carries load and circuit reports between nodes; nil means a single node.
 	Gossip zinniamast.Gossip
-	// Distances are round trips to other failure domains; 3 ms where none is given.
+	// Distances are the round-trip times to other failure domains; 3 ms for those not listed.
 	Distances map[string]time.Duration
-	// BlockTokens is the length of the prefix at an index of Need.Prefix; nil is prefix.Tokens.
+	// BlockTokens returns the length in tokens of the prefix at an index of Need.Prefix;
+	// nil means prefix.Tokens.
 	BlockTokens func(index int) int
-	// HistoryBlocks bounds the prefixes remembered, 48 bytes each; 65,536 if zero.
+	// HistoryBlocks bounds the number of prefixes in the history, 48 bytes each;
+	// 65,536 if zero.
 	HistoryBlocks int
-	// ExplainedDecisions is how many recent decisions Explain knows; 512 if zero.
+	// ExplainedDecisions is the number of recent decisions that Explain can describe;
+	// 512 if zero.
 	ExplainedDecisions int
-	// HomeCost is how much dearer than the cheapest a prefix's home may be and
-	// still be preferred; 1.2 if zero. More spares what other nodes' requests
-	// would read again, where engines do not tell what they keep.
+	// HomeCost is the highest cost of a prefix's home, as a multiple of the cheapest
+	// candidate's cost, at which the home is still preferred; 1.2 if zero. A higher
+	// value avoids recomputing prefixes that other nodes' requests have cached there,
+	// for engines that do not report the contents of their caches.
 	HomeCost float64
-	// HomeHolds is the part of a prompt's prefix that its home is believed to hold
-	// where engines do not tell and this node has not sent it there; zero where
-	// they do.
+	// HomeHolds is the fraction of a prompt's prefix that its home is assumed to have
+	// cached although this node has not sent it there, for engines that do not report
+	// the contents of their caches; zero for engines that do.
 	HomeHolds float64
-	// FetchTime returns how long a service's replicas take to fetch a token that
-	// another one keeps; zero where they cannot, nil means that none can.
+	// FetchTime returns how long a service's replicas take per token to fetch a prefix
+	// that another replica has cached; zero if they cannot. Nil means that none can.
 	FetchTime func(service string) time.Duration
-	// Plain says whether a service answers calls and not prompts, where its
-	// replicas take requests as they are; nil means that none does.
+	// Plain reports whether a service whose replicas receive requests unchanged
+	// answers calls instead of prompts; nil means that none does.
 	Plain func(service string) bool
-	// SilentAfter is how much older than another's of its failure domain a replica's
-	// report must be for it to count as silent, where all are asked alike; zero
-	// where only some are asked now and then, so that silence says nothing.
+	// SilentAfter is the age difference to the newest report of its failure domain
+	// beyond which a replica counts as silent, if all replicas are polled alike. Zero
+	// if only some are polled occasionally: a missing report then indicates no fault.
 	SilentAfter time.Duration
-	// PollsPerSecond bounds the load reports and cache events read; 8 if zero.
+	// PollsPerSecond bounds the engines polled for load reports and cache events; 8 if zero.
 	PollsPerSecond int
-	// Seed makes choices repeatable; zero draws one.
+	// Seed makes choices reproducible; zero means a random seed.
 	Seed uint64
-	// Logger hears of choices at debug level; nil is silent.
+	// Logger receives choices at debug level; nil discards them.
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Defaults for fields left zero.
+// Defaults for zero fields of Config.
 const (
 	defaultDistance           = 3 * time.Millisecond
 	defaultHistoryBlocks      = 1 << 16
@@ -126,26 +130,26 @@
 	peerLoads    map[string]*peerLoad
 	reportGroups map[reportGroupKey]*reportGroup
 	targets      targets
-	// pendingCircuitReports waits to be published without the lock.
+	// pendingCircuitReports are published later, without holding the lock.
 	pendingCircuitReports []zinniamast.News
 	recentDecisions       decisionRing
-	// homeHits is, by service, the part of a prompt found cached at its home
-	// without any history here: what other nodes have sent there.
+	// homeHits is the mean fraction of the prompt tokens without a local history that
+	// were found cached at a home, by service and priority: other nodes sent them there.
 	homeHits map[answerKey]*average
-	// longestAnchorHome is the home of the prompt's longest anchor, of the decision that is made.
+	// longestAnchorHome is the home of the longest anchor of the current decision's prompt.
 	longestAnchorHome *replica
-	// lookup and candidates are reused by every decision under the lock.
+	// lookup and candidates are reused by all decisions, under the lock.
 	lookup     lookup
 	candidates []candidate
 
-	// nextLoadPublish and saidIdle belong to Run alone.
+	// nextLoadPublish and hasPublishedIdle are used only by the goroutine that runs Tick.
 	nextLoadPublish  time.Time
 	hasPublishedIdle bool
 }
 
 var _ zinniamast.Router = (*Router)(nil)
 
-// New returns a router that has observed nothing yet.
+// New returns a router without observations and subscribes it to Gossip.
 func New(config Config) *Router {
 	config.applyDefaults()
 	r := &Router{
@@ -173,7 +177,7 @@
 	return r
 }
 
-// noUpstreamRetryAfter is when a service without replicas may have one again.
+// noUpstreamRetryAfter is the time after which a service without replicas may have one again.
 const noUpstreamRetryAfter = 5 * time.Second
 
 // Route implements zinniamast.Router.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -51,14 +51,14 @@
 	p.bus.subscribers[topic] = append(p.bus.subscribers[topic], f)
 }
 
-func newRouter(c *fakeClock, board *blackboard.Board, b *bus, node string) *routing.Router {
+func newRouter(clock *fakeClock, board *blackboard.Board, b *bus, node string) *routing.Router {
 	return routing.New(routing.Config{
 		Board:         board,
 		Node:          node,
 		FailureDomain: domains[0],
 		Gossip:        busEndpoint{bus: b, node: node},
 		Seed:          5,
-		Now:           c.Now,
+		Now:           clock.Now,
 	})
 }
 
@@ -73,14 +73,14 @@
 	})
 }
 
-func finishAttempt(c *fakeClock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
-	c.advance(100 * time.Millisecond)
+func finishAttempt(clock *fakeClock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
+	clock.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
-	c.advance(100 * time.Millisecond)
+	clock.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedEnd,
 		Attempt:      attempt,
@@ -99,14 +99,14 @@
 	for _, replicas := range []int{12, 400} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
 			is := is.New(t)
-			c := newFakeClock()
+			clock := newFakeClock()
 			board := newBoard(replicas)
-			router := newRouter(c, board, newBus(), "n1")
-			need := newNeed(c.now)
+			router := newRouter(clock, board, newBus(), "n1")
+			need := newNeed(clock.now)
 			warmUp(router, need)
 			for _, upstream := range board.Upstreams.All() {
 				if upstream.Instance.FailureDomain == domains[0] {
-					board.Upstreams.MarkLeaving(upstream.Instance.ID, c.now.Add(5*time.Second))
+					board.Upstreams.MarkLeaving(upstream.Instance.ID, clock.now.Add(5*time.Second))
 				}
 			}
 			need.Avoid = nil
@@ -127,9 +127,9 @@
 // every replica of the service leaves, then a request comes.
 func TestRouteWithoutReplicasIsRefused(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, blackboard.New(), newBus(), "n1")
-	_, err := router.Route(newNeed(c.now))
+	clock := newFakeClock()
+	router := newRouter(clock, blackboard.New(), newBus(), "n1")
+	_, err := router.Route(newNeed(clock.now))
 	refusal := zinniamast.AsRefusal(err)
 	is.Equal(refusal.Reason, zinniamast.ReasonNoUpstream)
 	is.Equal(refusal.Ran, zinniamast.NotRun)
@@ -142,14 +142,14 @@
 // the last use is not believed.
 func TestPromptIsRoutedToItsCachedPrefix(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.CachedTokens, 0)
 	startAttempt(router, need, choice.Upstream, "a1")
-	finishAttempt(c, router, "a1", choice.Upstream, 0, "")
+	finishAttempt(clock, router, "a1", choice.Upstream, 0, "")
 	again, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(again.Upstream, choice.Upstream)
@@ -172,7 +172,7 @@
 	other := *need
 	other.Prefix = promptPrefix(30_000, 'b')
 	startAttempt(router, &other, choice.Upstream, "a2")
-	finishAttempt(c, router, "a2", choice.Upstream, 0, "")
+	finishAttempt(clock, router, "a2", choice.Upstream, 0, "")
 	evict(1000)
 	again, err = router.Route(need)
 	is.NoErr(err)
@@ -185,12 +185,12 @@
 // goes on using all of them.
 func TestFailingNodeDoesNotDisableService(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
+	clock := newFakeClock()
 	b := newBus()
 	board := newBoard(12)
-	broken := newRouter(c, board, b, "n1")
-	healthy := newRouter(c, board, b, "n2")
-	need := newNeed(c.now)
+	broken := newRouter(clock, board, b, "n1")
+	healthy := newRouter(clock, board, b, "n2")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	_, err := healthy.Route(need)
@@ -209,7 +209,7 @@
 			Failure:  zinniamast.FailureDial,
 		})
 		broken.Tick(t.Context())
-		c.advance(10 * time.Millisecond)
+		clock.advance(10 * time.Millisecond)
 	}
 	is.True(len(tried) > 6)
 	used := map[string]bool{}
@@ -227,7 +227,7 @@
 // again after an exchange of load. They must not crowd one replica.
 func TestNodesDoNotHerd(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
+	clock := newFakeClock()
 	b := newBus()
 	board := newBoard(100)
 	var nodes []*routing.Router
@@ -238,10 +238,10 @@
 			FailureDomain: domains[0],
 			Gossip:        busEndpoint{bus: b, node: fmt.Sprint(i)},
 			Seed:          uint64(i + 1),
-			Now:           c.Now,
+			Now:           clock.Now,
 		}))
 	}
-	need := newNeed(c.now)
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	at := map[string]int{}
@@ -252,7 +252,7 @@
 			startAttempt(node, need, choice.Upstream, fmt.Sprint(round, i))
 			at[choice.Upstream]++
 		}
-		c.advance(time.Second)
+		clock.advance(time.Second)
 		for _, node := range nodes {
 			node.Tick(t.Context())
 		}
@@ -270,20 +270,20 @@
 // must not hide that. A report that counts this node's own work must not count it twice.
 func TestLaggingReportIsCorrectedByOwnWork(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
+	clock := newFakeClock()
 	board := newBoard(2)
-	router := newRouter(c, board, newBus(), "n1")
-	need := newNeed(c.now)
+	router := newRouter(clock, board, newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 4000
 	_, err := router.Route(need)
 	is.NoErr(err)
-	taken := c.now
-	c.advance(4 * time.Second)
+	taken := clock.now
+	clock.advance(4 * time.Second)
 	for i := range 6 {
 		startAttempt(router, need, "engine-0000", fmt.Sprint(i))
 	}
-	c.advance(time.Second)
+	clock.advance(time.Second)
 	router.Reported("engine-0000", zinniamast.LoadReport{At: taken})
 	router.Reported("engine-0001", zinniamast.LoadReport{
 		At:           taken,
@@ -295,12 +295,12 @@
 	is.Equal(choice.Upstream, "engine-0001")
 	before := choice.FirstToken
 	router.Reported("engine-0000", zinniamast.LoadReport{
-		At:           c.now,
+		At:           clock.now,
 		Running:      6,
 		QueuedTokens: 24_000,
 	})
 	router.Reported("engine-0001", zinniamast.LoadReport{
-		At:           c.now,
+		At:           clock.now,
 		Running:      40,
 		QueuedTokens: 100_000,
 	})
@@ -314,9 +314,9 @@
 
 func TestExplainDescribesChoice(t *testing.T) {
 	is := is.New(t)
-	c := newFakeClock()
-	router := newRouter(c, newBoard(12), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(12), newBus(), "n1")
+	need := newNeed(clock.now)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	text := router.Explain("r1")
--- a/routing/run.go
+++ b/routing/run.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// tickInterval is how often Run looks for something to do.
+	// tickInterval is the time between ticks of Run.
 	tickInterval = 250 * time.Millisecond
-	// ticksPerSweep is how many ticks pass between sweeps.
+	// ticksPerSweep is the number of ticks between sweeps.
 	ticksPerSweep = 40
-	// minPollInterval is how long an engine is left alone after a poll.
+	// minPollInterval is the minimum time between polls of one engine.
 	minPollInterval = 2 * time.Second
-	// pollTimeout bounds one poll.
+	// pollTimeout bounds the duration of one poll.
 	pollTimeout = time.Second
-	// pollAfterUse is how long after its last use a replica is polled.
+	// pollAfterUse is how long a replica is still polled after its last use.
 	pollAfterUse = 30 * time.Second
 )
 
-// Run polls load reports and cache events and shares load until ctx ends.
+// Run polls load reports and cache events and publishes this node's load until ctx ends.
 func (r *Router) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -40,8 +40,8 @@
 	}
 }
 
-// Tick does what Run does each quarter of a second: it shares what is due and
-// polls some engines.
+// Tick runs one round of Run, every quarter of a second: it publishes due load and
+// circuit reports and polls some engines.
 func (r *Router) Tick(ctx context.Context) {
 	now := r.config.Now()
 	r.publishLoad(now)
@@ -56,7 +56,7 @@
 	r.sweepReplicas()
 }
 
-// pollResult is what one engine answered.
+// pollResult is the outcome of polling one engine.
 type pollResult struct {
 	replica *replica
 	report  zinniamast.LoadReport
@@ -64,28 +64,27 @@
 	err     error
 }
 
-// poll reads reports and events of some replicas in use, those first that
-// were not read for longest. The number is bounded a second, whatever the
-// fleet's size. Answers are taken in in a fixed order, so that a run in
-// virtual time can be repeated.
+// poll reads the reports and events of some replicas in use, the least recently polled
+// first. The number per second is bounded regardless of the fleet's size. Results are
+// recorded in a fixed order, so that a run in virtual time is reproducible.
 func (r *Router) poll(ctx context.Context, now time.Time) {
 	var group sync.WaitGroup
-	answers := r.startPolls(now)
-	for i := range answers {
-		after := r.cacheSequence(answers[i].replica)
-		group.Go(func() { answers[i].read(ctx, after) })
+	results := r.startPolls(now)
+	for i := range results {
+		after := r.cacheSequence(results[i].replica)
+		group.Go(func() { results[i].read(ctx, after) })
 	}
 	group.Wait()
-	for i := range answers {
-		r.recordPoll(&answers[i])
+	for i := range results {
+		r.recordPoll(&results[i])
 	}
 }
 
-// startPolls picks the replicas to poll in this tick.
+// startPolls selects the replicas to poll in this tick and marks them as polled.
 func (r *Router) startPolls(now time.Time) []pollResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	most := max(1, int(float64(r.config.PollsPerSecond)*tickInterval.Seconds()))
+	limit := max(1, int(float64(r.config.PollsPerSecond)*tickInterval.Seconds()))
 	var picked []*replica
 	for _, p := range r.replicas {
 		if p.servesCalls || p.upstream.Engine == nil || p.upstream.Leaving() {
@@ -94,23 +93,24 @@
 		if !p.inUse(now) || now.Sub(p.polledAt) < minPollInterval {
 			continue
 		}
-		picked = keepLeastRecentlyPolled(picked, p, most)
+		picked = keepLeastRecentlyPolled(picked, p, limit)
 	}
 	slices.SortFunc(picked, func(a, b *replica) int { return strings.Compare(a.id, b.id) })
-	answers := make([]pollResult, len(picked))
+	results := make([]pollResult, len(picked))
 	for i, p := range picked {
 		p.polledAt = now
-		answers[i].replica = p
+		results[i].replica = p
 	}
-	return answers
+	return results
 }
 
-// inUse says whether this node has or recently had work at the replica.
+// inUse reports whether this node has or recently had work at the replica.
 func (p *replica) inUse(now time.Time) bool {
 	return p.own.running > 0 || now.Sub(p.own.lastChangeAt()) < pollAfterUse
 }
 
-// isPolledBefore says whether a replica's turn comes first; names decide between equals.
+// isPolledBefore reports whether a replica is polled before another: the least recently
+// polled first, and by ID if both were polled at the same time.
 func (p *replica) isPolledBefore(other *replica) bool {
 	if !p.polledAt.Equal(other.polledAt) {
 		return p.polledAt.Before(other.polledAt)
@@ -118,9 +118,10 @@
 	return p.id < other.id
 }
 
-// keepLeastRecentlyPolled adds a replica to those polled longest ago, at most so many.
-func keepLeastRecentlyPolled(picked []*replica, p *replica, most int) []*replica {
-	if len(picked) < most {
+// keepLeastRecentlyPolled adds a replica to the list and keeps the least recently polled
+// ones, up to the given number.
+func keepLeastRecentlyPolled(picked []*replica, p *replica, limit int) []*replica {
+	if len(picked) < limit {
 		return append(picked, p)
 	}
 	newest := 0
@@ -135,7 +136,7 @@
 	return picked
 }
 
-// Poll outcomes as a metric label.
+// Poll outcomes, used as a metric label.
 const (
 	pollRead   = "read"
 	pollFailed = "failed"
@@ -152,7 +153,7 @@
 	}
 }
 
-// recordPoll takes in what an engine answered.
+// recordPoll records the result of a poll.
 func (r *Router) recordPoll(a *pollResult) {
 	if a.err != nil {
 		r.recordPollError(a.replica, a.err)
@@ -163,15 +164,15 @@
 	r.RecordCacheEvents(a.replica.id, a.events)
 }
 
-// recordPollError counts a failed poll. It is not held against the replica: a slow
-// report says nothing of the answers.
+// recordPollError counts a failed poll. It does not affect the replica's circuit, since
+// a slow report does not imply slow answers.
 func (r *Router) recordPollError(p *replica, err error) {
 	r.metrics.polls.WithLabelValues(pollFailed).Inc()
 	upstream := zinniamast.AsUpstreamError(err)
 	if upstream != nil && upstream.Leaving {
 		r.config.Board.Upstreams.MarkLeaving(p.id, time.Time{})
 	}
-	r.config.Logger.Debug("poll failed", "upstream", p.id, "error", err.Error())
+	r.config.Logger.Debug("engine poll failed", "upstream", p.id, "error", err.Error())
 }
 
 func (r *Router) cacheSequence(p *replica) uint64 {
@@ -180,16 +181,16 @@
 	return p.cache.sequence
 }
 
-// sweepReplicas forgets what the blackboard no longer has.
+// sweepReplicas removes idle replicas that are no longer on the blackboard.
 func (r *Router) sweepReplicas() {
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, upstream := range r.config.Board.Upstreams.All() {
-		known[upstream.Instance.ID] = true
+		listed[upstream.Instance.ID] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, p := range r.replicas {
-		if !known[id] && p.own.running == 0 {
+		if !listed[id] && p.own.running == 0 {
 			r.forget(p)
 		}
 	}
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -18,7 +18,7 @@
 // both are silent, whoever reads their load may be cut off, and both are used.
 func TestSilentReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
+	clock := newFakeClock()
 	board := blackboard.New()
 	for _, id := range []string{"dark", "well"} {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -36,7 +36,7 @@
 		Node:          "node",
 		FailureDomain: domains[0],
 		SilentAfter:   time.Second,
-		Now:           now.Now,
+		Now:           clock.Now,
 	})
 	need := &zinniamast.Need{
 		Service:      "service",
@@ -44,7 +44,7 @@
 	}
 	report := func(id string, running int) {
 		router.Reported(id, zinniamast.LoadReport{
-			At:      now.Now(),
+			At:      clock.Now(),
 			Running: running,
 		})
 	}
@@ -52,7 +52,7 @@
 	check.NoErr(err)
 	report("dark", 0)
 	for range 4 {
-		now.advance(300 * time.Millisecond)
+		clock.advance(300 * time.Millisecond)
 		report("well", 8)
 	}
 	for range 20 {
@@ -64,7 +64,7 @@
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
-	now.advance(5 * time.Second)
+	clock.advance(5 * time.Second)
 	choice, err = router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -45,8 +45,8 @@
 // since it trusts every replica with 32. The fifth waits for a slot there.
 func TestFullReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
-	router := newRouter(now, twoReplicaBoard(4), newBus(), "node")
+	clock := newFakeClock()
+	router := newRouter(clock, twoReplicaBoard(4), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:          "service",
 		PromptTokens:     500,
@@ -76,14 +76,14 @@
 // one is predicted to take as long as the first, however many run there.
 func TestCallsArePredictedByCallsInProgress(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
+	clock := newFakeClock()
 	router := routing.New(routing.Config{
 		Board:         twoReplicaBoard(6),
 		Node:          "node",
 		FailureDomain: domains[0],
 		Plain:         func(string) bool { return true },
 		Seed:          5,
-		Now:           now.Now,
+		Now:           clock.Now,
 	})
 	need := &zinniamast.Need{
 		Service:          "service",
@@ -105,8 +105,8 @@
 // allows, though above what the configuration says for models.
 func TestLimitUsesTargetOfRequest(t *testing.T) {
 	check := is.New(t)
-	now := newFakeClock()
-	router := newRouter(now, twoReplicaBoard(16), newBus(), "node")
+	clock := newFakeClock()
+	router := newRouter(clock, twoReplicaBoard(16), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 500,
@@ -127,7 +127,7 @@
 			Attempt:  attempt,
 			Upstream: "near",
 		})
-		now.advance(2 * time.Second)
+		clock.advance(2 * time.Second)
 		router.Observe(zinniamast.Observation{
 			Kind:         zinniamast.ObservedEnd,
 			Attempt:      attempt,
--- a/routing/speed.go
+++ b/routing/speed.go
@@ -7,22 +7,22 @@
 	"zinniamast/blackboard"
 )
 
-// speedKey names what shares a speed: one service on one machine class.
+// speedKey identifies a speed: the replicas of one service on one machine class share it.
 type speedKey struct {
 	service string
 	class   string
 }
 
-// speed is what is learned of a machine class.
+// speed is the learned speed of a service on a machine class.
 type speed struct {
-	// first predicts seconds to the first token from the tokens to compute
-	// before it, or from the calls in progress at a plain service.
+	// first predicts the seconds to the first token from the tokens to compute before
+	// it, or the seconds of a call from the calls in progress.
 	first curve
-	// between predicts seconds between tokens from the sequences in the batch.
+	// between predicts the seconds between tokens from the sequences in the batch.
 	between curve
 }
 
-// What is believed of a machine class before any observation.
+// Predictions for a machine class before any observation.
 const (
 	priorFirstSeconds              = 0.02
 	priorFirstSecondsPerToken      = 0.0001
@@ -32,7 +32,7 @@
 	priorCallSecondsPerCall        = 0.002
 )
 
-func (r *Router) speed(upstream *blackboard.Upstream, plain bool) *speed {
+func (r *Router) speed(upstream *blackboard.Upstream, servesCalls bool) *speed {
 	key := speedKey{
 		service: upstream.Instance.Service,
 		class:   upstream.Instance.Class,
@@ -45,30 +45,30 @@
 		first:   newCurve(priorFirstSeconds, priorFirstSecondsPerToken, 100, 4000),
 		between: newCurve(priorBetweenSeconds, priorBetweenSecondsPerSequence, 1, 16),
 	}
-	if plain {
+	if servesCalls {
 		fresh.first = newCurve(priorCallSeconds, priorCallSecondsPerCall, 1, 16)
 	}
 	r.speeds[key] = fresh
 	return fresh
 }
 
-// answerKey names requests that are expected to answer at like length.
+// answerKey identifies requests whose answers are expected to have similar lengths.
 type answerKey struct {
 	service  string
 	priority int
 }
 
 const (
-	// defaultAnswerTokens is the length believed of answers before any was seen.
+	// defaultAnswerTokens is the expected length of answers before any observation.
 	defaultAnswerTokens = 256
-	// answerWeight is how fast the expected length follows.
+	// answerWeight is the weight of one answer in the mean length.
 	answerWeight = 0.05
-	// answerMargin is what is added to the mean length: answers vary, and one
-	// that is longer than expected must still arrive on time.
+	// answerMargin multiplies the mean length: answers vary, and one that is longer
+	// than the mean must still arrive on time.
 	answerMargin = 1.5
 )
 
-// expectedAnswerTokens is the length that a whole answer will probably not exceed.
+// expectedAnswerTokens returns a length that a whole answer will probably not exceed.
 func (r *Router) expectedAnswerTokens(need *zinniamast.Need) int {
 	expected := float64(defaultAnswerTokens)
 	known, ok := r.answers[answerKey{
@@ -97,17 +97,17 @@
 	known.add(float64(tokens), answerWeight)
 }
 
-// priceKey names what has one price.
+// priceKey identifies instances that have the same price.
 type priceKey struct {
 	class  string
 	market zinniamast.Market
 	domain string
 }
 
-// defaultHourlyPrice stands where no offer was seen.
+// defaultHourlyPrice applies to instances without an offer.
 const defaultHourlyPrice = 1
 
-// SetPrices tells what instances cost now; the last price of an offer stays until the next.
+// SetPrices updates the prices of instances; prices without a new offer stay in force.
 func (r *Router) SetPrices(offers []zinniamast.Offer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,15 +123,15 @@
 	}
 }
 
-// price returns what a second of the upstream costs.
+// price returns the price of a second of the upstream's instance.
 func (r *Router) price(upstream *blackboard.Upstream) float64 {
-	hour, ok := r.prices[priceKey{
+	perHour, ok := r.prices[priceKey{
 		class:  upstream.Instance.Class,
 		market: upstream.Instance.Market,
 		domain: upstream.Instance.FailureDomain,
 	}]
 	if !ok {
-		hour = defaultHourlyPrice
+		perHour = defaultHourlyPrice
 	}
-	return hour / time.Hour.Seconds()
+	return perHour / time.Hour.Seconds()
 }
--- a/routing/target.go
+++ b/routing/target.go
@@ -5,14 +5,15 @@
 	"zinniamast/config"
 )
 
-// targets remembers the time between tokens that each service aims at, in
-// seconds, under one version of the configuration.
+// targets caches the target for the time between tokens of each service, in seconds,
+// under one version of the configuration.
 type targets struct {
 	version *blackboard.Version
 	between map[string]float64
 }
 
-// betweenTarget returns the service's target in force, in seconds.
+// betweenTarget returns the service's current target for the time between tokens, in
+// seconds.
 func (r *Router) betweenTarget(service string) float64 {
 	version := r.config.Board.Configuration.Current()
 	if r.targets.between == nil || r.targets.version != version {
