--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -16,10 +16,10 @@
 	"zinniamast/routing"
 )
 
-// domains are where test fleets run.
+// domains are the failure domains of the test fleets.
 var domains = [...]string{"burnaby-a", "surrey-b", "richmond-c", "coquitlam-d"}
 
-// fakeEngine stands for a replica whose reports are never there.
+// fakeEngine is an engine whose load reports always fail.
 type fakeEngine struct {
 	zinniamast.Engine
 }
@@ -28,7 +28,7 @@
 	return zinniamast.LoadReport{}, errors.New("no report")
 }
 
-// newBoard returns a board with a fleet of one service.
+// newBoard returns a board with the given number of replicas of one service.
 func newBoard(replicas int) *blackboard.Board {
 	board := blackboard.New()
 	for i := range replicas {
@@ -50,7 +50,7 @@
 	}
 }
 
-// promptPrefix returns the prefix hashes of a prompt of so many tokens.
+// promptPrefix returns the prefix hashes of a prompt of the given length, filled with mark.
 func promptPrefix(tokens int, mark byte) []uint64 {
 	text := make([]byte, tokens*prefix.BytesPerToken)
 	for i := range text {
@@ -75,7 +75,7 @@
 	}
 }
 
-// warmUp gives the router some work in progress and some history.
+// warmUp gives the router some attempts in progress and some history.
 func warmUp(router *routing.Router, need *zinniamast.Need) {
 	for i := range 64 {
 		choice, err := router.Route(need)
@@ -92,8 +92,8 @@
 	}
 }
 
-// interfaceConfigs are how the two faces choose: on the platform replicas tell nothing of
-// their caches and fetch prefixes from each other.
+// interfaceConfigs returns the router's settings for the two interfaces. On the platform,
+// replicas do not report the contents of their caches and fetch prefixes from each other.
 func interfaceConfigs(replicas int) map[string]routing.Config {
 	own := routing.Config{
 		Board:         newBoard(replicas),
@@ -110,9 +110,9 @@
 	}
 }
 
-// BenchmarkRoute measures a decision. Beside seven busy processes on eight cores:
-// 2.8, 6.0 and 7.0 us on the own interface and 4.7, 7.6 and 8.6 us on the platform
-// before 12, 400 and 5,700 replicas.
+// BenchmarkRoute measures a decision. With seven other busy processes on eight cores, it
+// takes 2.8, 6.0 and 7.0 µs on the own interface and 4.7, 7.6 and 8.6 µs on the platform
+// for 12, 400 and 5,700 replicas.
 func BenchmarkRoute(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
 		for face, config := range interfaceConfigs(replicas) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// A decision that allocates, or whose work grows with the fleet, is paid two
-// thousand times a second; the bound is on counts, not on the clock.
+// Guards against allocations in Route, which runs two thousand times a second, at any size
+// of the fleet. The test counts allocations instead of measuring time.
 func TestRouteAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	for _, replicas := range []int{12, 400, 5700} {
@@ -177,8 +177,8 @@
 	}
 }
 
-// BenchmarkMemory reports what the router holds, in all and for each replica
-// that it knows, half of them in use.
+// BenchmarkMemory reports the memory of a new router, and that of each replica with half
+// of the replicas in use.
 func BenchmarkMemory(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -207,7 +207,7 @@
 	}
 }
 
-// heapBytes returns the bytes in use after a collection.
+// heapBytes returns the heap bytes in use after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -215,7 +215,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkTick measures what sharing and choosing whom to poll costs, four times a second.
+// BenchmarkTick measures a tick, which runs four times a second: publishing load and
+// selecting the engines to poll.
 func BenchmarkTick(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -230,7 +231,7 @@
 	}
 }
 
-// BenchmarkObserve measures what an attempt with a prompt of 30,000 tokens costs beside its decision.
+// BenchmarkObserve measures the observations of an attempt with a prompt of 30,000 tokens.
 func BenchmarkObserve(b *testing.B) {
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(400), newBus(), "n1")
--- a/routing/circuit_test.go
+++ b/routing/circuit_test.go
@@ -10,10 +10,10 @@
 	"zinniamast"
 )
 
-// Callers wait beside idle replicas for half a minute after a cut has healed.
-// Eight requests were on their way to a replica when its failure domain was cut
-// off. Each that failed opened the circuit again, for twice as long as before:
-// the replica was shunned for 30 s though it was reached again after one.
+// Guards against a circuit that stays open long after a network partition has healed.
+// Eight requests are in flight to a replica when its failure domain becomes unreachable.
+// If each failure opened the circuit again for twice as long, the replica would be
+// excluded for 30 s although it is reachable again after one.
 func TestConcurrentFailuresOpenCircuitOnce(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -11,11 +11,10 @@
 	"zinniamast/routing"
 )
 
-// Callers wait for a long shared text to be read again: the home of their
-// prompt's prefix is full, and the replica that takes the request in its place
-// has nothing of it. It now fetches the prefix from the home, and is predicted
-// to answer sooner for it. Nothing is fetched from a replica that fails, where
-// replicas cannot or their links are slower than reading, or of a short prefix.
+// Guards against a repeated prefill of a long shared prefix whose home is full. The
+// replica that receives the request instead fetches the prefix from the home, and is
+// predicted to answer sooner. Nothing is fetched from a failing replica, for a short
+// prefix, if replicas cannot fetch, or if their links are slower than the prefill.
 func TestPrefixOfAFullHomeIsFetched(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
@@ -69,7 +68,7 @@
 	check.True(with.FirstToken < without.FirstToken)
 
 	check.Equal(route(fetching, need(600)).FetchFrom, "")
-	slow := node(20 * time.Microsecond) // reading takes half of that
+	slow := node(20 * time.Microsecond) // the prefill takes half of that
 	check.Equal(route(slow, long).Upstream, home)
 	fill(slow, home)
 	check.Equal(route(slow, long).FetchFrom, "")
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -13,7 +13,7 @@
 	"zinniamast/routing"
 )
 
-// eightReplicaBoard has eight replicas that take requests as they are.
+// eightReplicaBoard returns a board with eight replicas that receive requests unchanged.
 func eightReplicaBoard() *blackboard.Board {
 	board := blackboard.New()
 	for i := range 8 {
@@ -30,11 +30,11 @@
 	return board
 }
 
-// Callers of a session wait for the same shared text to be read again at one
-// replica after the other: ninety nodes send a session's requests, each knows
-// only its own few, and where engines do not tell what they keep the home of a
-// prefix looks no better than any replica that is a little emptier. Believed to
-// hold most of the prefix, it is chosen by every node while it meets the target.
+// Guards against a repeated prefill of a session's shared prefix at one replica after the
+// other. Ninety nodes send the session's requests and each has a history of only its own.
+// If engines do not report the contents of their caches, the home of a prefix looks no
+// better than any replica with slightly less load. With HomeHolds it is assumed to have
+// most of the prefix cached, and every node chooses it while it meets the target.
 func TestNodesWithoutHistoryAgreeOnAHome(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
@@ -90,7 +90,7 @@
 	check.NoErr(err)
 	check.True(routeWithBusyHome(without, home.Upstream) != home.Upstream)
 
-	// A full home is passed over.
+	// A full home is not chosen.
 	clock.advance(time.Second)
 	first.Reported(home.Upstream, zinniamast.LoadReport{
 		At:      clock.Now(),
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -12,7 +12,7 @@
 	"zinniamast/routing"
 )
 
-// completeAttempt runs one attempt to its end with the given times.
+// completeAttempt observes one attempt from start to end with the given times.
 func completeAttempt(clock *fakeClock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
 	startAttempt(router, need, upstream, attempt)
 	clock.advance(first)
@@ -31,10 +31,9 @@
 	})
 }
 
-// The caller sees steady gaps between tokens. Order: two replicas of one
-// class, of which one is four times as slow, answer for a while; the slow one
-// is empty and the other busy, and a request comes that only the fast one can
-// serve within the target. What is learned of a class must not hide the replica.
+// Guards against a class's learned speed that hides a slow replica. Of two replicas of one
+// class, one is four times as slow. While the slow one is empty and the fast one busy, a
+// request arrives that only the fast one can serve within the target.
 func TestSpeedIsLearnedPerReplica(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -68,9 +67,9 @@
 	is.True(choice.FirstToken > 300*time.Millisecond)
 }
 
-// The caller sees steady gaps between tokens. Order: a replica misses the
-// target with twelve sequences running, although its class is believed to take
-// thirty. The limit must come down below what it had.
+// Guards against a replica that keeps missing the target for the time between tokens. It
+// misses it with twelve sequences running, although the initial limit is higher. The limit
+// must fall below twelve, and rise again once the target is met.
 func TestLimitFollowsTimeBetweenTokens(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -95,8 +94,8 @@
 	is.True(router.Limit("engine-0000") > lowered)
 }
 
-// The price decides between replicas that both meet the target: the dear one
-// is left empty, to be returned.
+// Of two replicas that meet the target, the cheaper one is chosen; the expensive one
+// stays empty, so that it can be returned.
 func TestCheaperReplicaIsChosenWithinTheTarget(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -127,9 +126,9 @@
 	}
 }
 
-// Other callers see no break. Order: a request that has crashed replicas is
-// tried once more in a fleet where one replica of 400 is idle. It must run
-// there, where it can take no other request with it.
+// Guards other requests against a request that crashes replicas. It is retried in a fleet
+// in which one replica of 400 is idle, and must run there, where no other request would
+// fail with it.
 func TestSuspectRequestRunsOnIdleReplica(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -148,7 +147,7 @@
 	is.Equal(choice.Upstream, "engine-0321")
 }
 
-// Many requests decide, observe and hear at once; run with -race.
+// Route, Observe, Forecast, Reported, Explain and Tick run concurrently; run with -race.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	board := newBoard(50)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,7 +13,7 @@
 	"zinniamast/routing"
 )
 
-// fakeClock is a time that only the test moves.
+// fakeClock is a clock that only the test advances.
 type fakeClock struct {
 	now time.Time
 }
@@ -24,7 +24,7 @@
 
 func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// bus hands news to every subscriber at once.
+// bus delivers news to all subscribers synchronously.
 type bus struct {
 	subscribers map[zinniamast.Topic][]func(zinniamast.News)
 	sequence    uint64
@@ -32,7 +32,7 @@
 
 func newBus() *bus { return &bus{subscribers: map[zinniamast.Topic][]func(zinniamast.News){}} }
 
-// busEndpoint is one node's place on a bus.
+// busEndpoint is one node's connection to a bus.
 type busEndpoint struct {
 	bus  *bus
 	node string
@@ -91,10 +91,10 @@
 	})
 }
 
-// The caller sees an answer from a live replica. Order: a whole failure domain
-// is marked as leaving, its prefix homes and history included, and requests
-// with those very prefixes come. None may go to a replica that leaves, or it
-// would be cut off with it.
+// Guards against requests that are cut off because their replica leaves. A whole
+// failure domain is marked as leaving, including replicas that are prefix homes or
+// have a history, and requests with those prefixes arrive. None may be routed to a
+// leaving replica, nor to one that the request avoids.
 func TestLeavingAndAvoidedReplicasGetNoRequests(t *testing.T) {
 	for _, replicas := range []int{12, 400} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// The caller sees no_upstream with "not run" and a time to come back. Order:
-// every replica of the service leaves, then a request comes.
+// A request for a service without replicas is refused as no_upstream and "not run",
+// with a time to retry after.
 func TestRouteWithoutReplicasIsRefused(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -136,10 +136,9 @@
 	is.True(refusal.RetryAfter > 0)
 }
 
-// The caller sees a short wait. Order: a long prompt was computed at one
-// replica; the same prompt comes again and must go there, until the engine
-// tells that the prefix was evicted. A late eviction that may be older than
-// the last use is not believed.
+// Guards against a repeated prefill of a cached prompt. A repeated long prompt is routed
+// to the replica that computed it, until the engine reports that the prefix was evicted.
+// A late eviction event that may be older than the last use is ignored.
 func TestPromptIsRoutedToItsCachedPrefix(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -179,10 +178,10 @@
 	is.Equal(again.CachedTokens, 0)
 }
 
-// The caller sees no refusal and no crowding. Order: this node's network
-// breaks and attempts at replica after replica fail. It must not shun more
-// than half, and must still find one to try; another node that hears of it
-// goes on using all of them.
+// Guards against a node with a broken network that makes a service unavailable. Its
+// attempts at one replica after the other fail. It must not open the circuits of more
+// than half of them and must still route requests; another node that receives its
+// circuit reports continues to use all replicas.
 func TestFailingNodeDoesNotDisableService(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -222,9 +221,9 @@
 	is.Equal(len(used), 12)
 }
 
-// The caller sees no queue while replicas idle. Order: four nodes that have
-// not heard of each other yet decide at the same moment over one fleet, and
-// again after an exchange of load. They must not crowd one replica.
+// Guards against queues at one replica while others are idle. Four nodes decide at the
+// same time over one fleet, first without load reports from each other and then after
+// exchanging them. They must not overload one replica.
 func TestNodesDoNotHerd(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -265,9 +264,9 @@
 	is.True(most <= 4)
 }
 
-// The caller sees a short wait. Order: a report taken five seconds ago says
-// that a replica idles; since then this node has sent it much, and the report
-// must not hide that. A report that counts this node's own work must not count it twice.
+// Guards against wrong load estimates from lagging reports. A report that is five seconds
+// old shows an idle replica to which this node has sent many requests since; the report
+// must not hide them. A report that includes this node's own work must not count it twice.
 func TestLaggingReportIsCorrectedByOwnWork(t *testing.T) {
 	is := is.New(t)
 	clock := newFakeClock()
@@ -307,7 +306,7 @@
 	choice, err = router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
-	// Seven prompts are to compute instead of one; counted twice it would be thirteen.
+	// Seven prompts are ahead of the first token instead of one; thirteen if counted twice.
 	is.True(choice.FirstToken > before)
 	is.True(choice.FirstToken < 8*before)
 }
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -11,11 +11,11 @@
 	"zinniamast/routing"
 )
 
-// Callers of streams that may not be repeated get nothing until their deadline.
-// One of two replicas goes dark without a reset, and since its requests do not
-// end, none has failed yet; it looks as idle as before. It tells no load any
-// more while its neighbour does, so that new requests go to the neighbour. Once
-// both are silent, whoever reads their load may be cut off, and both are used.
+// Guards against requests that wait until their deadline at an unresponsive replica. One of
+// two replicas stops responding without a connection reset. Since its requests do not end,
+// none has failed yet, and it looks as idle as before. Its load reports stop while the
+// other's continue, so that new requests go to the other. Once both are silent, the poller
+// may be the one that is unreachable, and both are used.
 func TestSilentReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -14,16 +14,17 @@
 	"zinniamast/routing"
 )
 
-// passthroughReplica is a replica that takes requests as they are; nothing is sent to it.
+// passthroughReplica is a replica that receives requests unchanged; the tests send none.
 type passthroughReplica struct{}
 
 func (passthroughReplica) Send(context.Context, *http.Request) (*http.Response, error) {
-	return nil, fmt.Errorf("nothing is sent")
+	return nil, fmt.Errorf("unexpected request")
 }
 
 func (passthroughReplica) Close() {}
 
-// twoReplicaBoard has one replica in the node's failure domain and one in another.
+// twoReplicaBoard returns a board with one replica in the node's failure domain and one
+// in another.
 func twoReplicaBoard(slots int) *blackboard.Board {
 	board := blackboard.New()
 	for i, domain := range domains[:2] {
@@ -40,9 +41,9 @@
 	return board
 }
 
-// Callers see first events seconds late while replicas stand idle: a replica
-// runs four requests at once and says so, and the node goes on sending to it
-// since it trusts every replica with 32. The fifth waits for a slot there.
+// Guards against requests that queue at a full replica while others are idle. A replica
+// advertises four slots. If the initial limit of 32 sequences applied to it, a fifth
+// request would be sent to it and wait for a slot, seconds before its first event.
 func TestFullReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
@@ -63,7 +64,7 @@
 			Upstream: "near",
 		})
 	}
-	// Its prompt is yet to be read, which makes the other replica the slower one.
+	// The prefill of this prompt is still to do, which makes far the slower replica.
 	startAttempt(router, need, "far", "long")
 	choice, err := router.Route(need)
 	check.NoErr(err)
@@ -71,9 +72,9 @@
 	check.Equal(router.Limit("near"), 4)
 }
 
-// Callers of a service without prompts miss their latency target at one replica
-// while others have room: its calls carry no tokens, so that by tokens the next
-// one is predicted to take as long as the first, however many run there.
+// Guards against calls that miss their latency target at one replica while others have
+// capacity. Calls have no tokens: predicted by tokens, the next call would take as long as
+// the first, regardless of how many are in progress.
 func TestCallsArePredictedByCallsInProgress(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
@@ -100,9 +101,9 @@
 	check.True(fifth.FirstToken > alone.FirstToken)
 }
 
-// A caller that allows long pauses is no reason to send fewer requests to a
-// replica: events come each 100 ms, far within the 250 ms that its route
-// allows, though above what the configuration says for models.
+// Guards against a limit that is lowered although the request's own target is met. Events
+// arrive every 100 ms, well within the 250 ms target of the request's route, but above the
+// configuration's target for models.
 func TestLimitUsesTargetOfRequest(t *testing.T) {
 	check := is.New(t)
 	clock := newFakeClock()
