--- a/routing/cache.go
+++ b/routing/cache.go
@@ -11,8 +11,8 @@
 	// probably evicted. Tokens of other nodes evict as well and are not counted here;
 	// since it is learned in this node's own tokens, it shrinks by their share.
 	retentionTokens float64
-	// sequence is the sequence number of the last cache event.
-	sequence uint64
+	// lastSequence is the sequence number of the last cache event.
+	lastSequence uint64
 }
 
 const (
@@ -34,10 +34,10 @@
 // lookup caches the history's entries for the prompt of one decision; each entry
 // is looked up at most once, regardless of the number of candidates.
 type lookup struct {
-	history *history
-	hashes  []uint64
-	done    [maxHashes]bool
-	entries [maxHashes]*entry
+	history    *history
+	hashes     []uint64
+	isResolved [maxHashes]bool
+	entries    [maxHashes]*entry
 }
 
 // maxHashes bounds the prefixes of a prompt that are used; the rest are ignored.
@@ -46,12 +46,12 @@
 func (l *lookup) reset(h *history, hashes []uint64) {
 	l.history = h
 	l.hashes = hashes[:min(len(hashes), maxHashes)]
-	clear(l.done[:len(l.hashes)])
+	clear(l.isResolved[:len(l.hashes)])
 }
 
 func (l *lookup) entry(i int) *entry {
-	if !l.done[i] {
-		l.done[i] = true
+	if !l.isResolved[i] {
+		l.isResolved[i] = true
 		l.entries[i] = l.history.find(l.hashes[i])
 	}
 	return l.entries[i]
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -11,7 +11,8 @@
 	replica *replica
 	// wait is the time before the replica computes anything for the request.
 	wait time.Duration
-	// firstToken and completion are durations from now; betweenTokens is the mean interval.
+	// firstToken and completion are durations from now; betweenTokens is the mean time
+	// between tokens.
 	firstToken    time.Duration
 	betweenTokens time.Duration
 	completion    time.Duration
@@ -24,11 +25,11 @@
 	fetchSource   *replica
 	fetchedTokens int
 	fetchTime     time.Duration
-	// work is the instance time that the attempt takes, in seconds, and cost its price.
-	work float64
-	cost float64
-	// typicalWork is the work at a replica of its class's typical speed, in seconds.
-	typicalWork float64
+	// workSeconds is the instance time that the attempt takes, and cost its price.
+	workSeconds float64
+	cost        float64
+	// typicalWorkSeconds is the instance time at a replica of its class's typical speed.
+	typicalWorkSeconds float64
 	// running is the estimated number of sequences at the replica.
 	running float64
 	// isHome means that consistent hashing places a long prefix at the replica.
--- a/routing/circuit.go
+++ b/routing/circuit.go
@@ -58,7 +58,7 @@
 	c.openUntil = time.Time{}
 }
 
-// recordFailure adds the weight of a failed attempt that began at the given time, and
+// addBlame adds the weight of a failed attempt that began at the given time, and
 // reports whether the circuit opens.
 //
 // Failures of attempts that began before the last opening ended are ignored; only a
@@ -66,16 +66,16 @@
 // five seconds, the attempts in flight to one of its replicas fail one after the
 // other, each opens the circuit again for twice as long, and the replica stays
 // excluded for half a minute after it is reachable again.
-func (c *circuit) recordFailure(weight int, began, now time.Time) bool {
+func (c *circuit) addBlame(weight int, began, now time.Time) bool {
 	if began.Before(c.openUntil) {
 		return false
 	}
 	c.blameScore += weight
-	enough := openThreshold
+	threshold := openThreshold
 	if now.Before(c.peerReportExpires) {
-		enough = openThresholdWithPeerReport
+		threshold = openThresholdWithPeerReport
 	}
-	if c.consecutiveOpenings == 0 && c.blameScore < enough {
+	if c.consecutiveOpenings == 0 && c.blameScore < threshold {
 		return false
 	}
 	wait := min(minOpenDuration<<min(c.consecutiveOpenings, 5), maxOpenDuration)
@@ -92,7 +92,7 @@
 	if weight == 0 {
 		return
 	}
-	if !p.circuit.recordFailure(weight, began, now) {
+	if !p.circuit.addBlame(weight, began, now) {
 		return
 	}
 	if !r.mayOpenCircuit(p.upstream.Instance.Service, now) {
@@ -113,11 +113,11 @@
 	if !ok {
 		return true
 	}
-	shunned := 0
+	openCount := 0
 	for _, p := range f.replicas {
 		if p.circuit.isOpen(now) {
-			shunned++
+			openCount++
 		}
 	}
-	return float64(shunned) <= maxOpenCircuitShare*float64(len(f.replicas))
+	return float64(openCount) <= maxOpenCircuitShare*float64(len(f.replicas))
 }
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -69,8 +69,8 @@
 		f.replicas = append(f.replicas, r.replica(upstream))
 	}
 	slices.SortFunc(f.replicas, func(a, b *replica) int {
-		if a.distance != b.distance {
-			return int(a.distance - b.distance)
+		if a.roundTrip != b.roundTrip {
+			return int(a.roundTrip - b.roundTrip)
 		}
 		return strings.Compare(a.id, b.id)
 	})
@@ -88,7 +88,7 @@
 		return len(replicas)
 	}
 	end := minNearReplicas
-	for end < len(replicas) && replicas[end].distance == replicas[end-1].distance {
+	for end < len(replicas) && replicas[end].roundTrip == replicas[end-1].roundTrip {
 		end++
 	}
 	return end
@@ -136,14 +136,14 @@
 	}
 	r.serial++
 	servesCalls := r.servesCalls(upstream)
-	fresh := newReplica(upstream, r.serial, r.distance(upstream.Instance.FailureDomain), servesCalls)
-	fresh.speed = r.speed(upstream, servesCalls)
-	fresh.pricePerSecond = r.price(upstream)
-	fresh.reportGroup = r.reportGroup(upstream.Instance)
-	r.replicas[id] = fresh
-	r.bySerial[fresh.serial] = fresh
-	r.byHash[fresh.shortID()] = fresh
-	return fresh
+	added := newReplica(upstream, r.serial, r.roundTrip(upstream.Instance.FailureDomain), servesCalls)
+	added.speed = r.speed(upstream, servesCalls)
+	added.pricePerSecond = r.price(upstream)
+	added.reportGroup = r.reportGroup(upstream.Instance)
+	r.replicas[id] = added
+	r.bySerial[added.serial] = added
+	r.byHash[added.shortID()] = added
+	return added
 }
 
 // servesCalls reports whether a replica answers calls instead of prompts. The time of
@@ -167,12 +167,12 @@
 	}
 }
 
-func (r *Router) distance(domain string) time.Duration {
+func (r *Router) roundTrip(domain string) time.Duration {
 	if domain == r.config.FailureDomain {
 		return 0
 	}
-	if known, ok := r.config.Distances[domain]; ok {
+	if known, ok := r.config.RoundTrips[domain]; ok {
 		return known
 	}
-	return defaultDistance
+	return defaultRoundTrip
 }
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -27,7 +27,7 @@
 	chosen := &r.candidates[best]
 	forecast := limits.Forecast{
 		Replicas: len(r.candidates),
-		Work:     seconds(chosen.work),
+		Work:     seconds(chosen.workSeconds),
 	}
 	if chosen.replica.speed.first.points < minForecastPoints {
 		return forecast
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -28,9 +28,9 @@
 }
 
 type loadItem struct {
-	replica *replica
-	running int
-	queued  int
+	replica      *replica
+	running      int
+	queuedTokens int
 }
 
 func (r *Router) subscribe() {
@@ -89,7 +89,7 @@
 		}
 		value = binary.BigEndian.AppendUint32(value, p.shortID())
 		value = append(value, byte(min(p.own.running, 255)))
-		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.queuedTotal()/loadQueuedUnitTokens, 65535)))
+		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.totalQueuedTokens()/loadQueuedUnitTokens, 65535)))
 	}
 	return value, wide
 }
@@ -116,16 +116,16 @@
 		}
 		p.remote.receivedAt = now
 		known.add(loadItem{
-			replica: p,
-			running: int(rest[4]),
-			queued:  int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnitTokens,
+			replica:      p,
+			running:      int(rest[4]),
+			queuedTokens: int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnitTokens,
 		})
 	}
 }
 
 func (h *peerLoad) add(item loadItem) {
 	item.replica.remote.running += item.running
-	item.replica.remote.queued += item.queued
+	item.replica.remote.queuedTokens += item.queuedTokens
 	h.items = append(h.items, item)
 }
 
@@ -133,7 +133,7 @@
 func (h *peerLoad) withdraw() {
 	for _, item := range h.items {
 		item.replica.remote.running -= item.running
-		item.replica.remote.queued -= item.queued
+		item.replica.remote.queuedTokens -= item.queuedTokens
 	}
 	h.items = h.items[:0]
 }
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -22,9 +22,9 @@
 	// running is the number of sequences at the start, this attempt's included.
 	running float64
 	match   match
-	// betweenTarget is the request's target for the time between tokens, in seconds; zero
-	// means the service's target.
-	betweenTarget float64
+	// betweenTargetSeconds is the request's target for the time between tokens; zero means
+	// the service's target.
+	betweenTargetSeconds float64
 	// cachedTokens are the tokens predicted to be cached, and isHome means that the
 	// replica is a home of the prompt.
 	cachedTokens int
@@ -74,11 +74,11 @@
 		cachedTokens: cachedTokens,
 		isHome:       r.isHome(p),
 
-		betweenTarget: o.BetweenTokensTarget.Seconds(),
+		betweenTargetSeconds: o.BetweenTokensTarget.Seconds(),
 	}
 	r.attempts[o.Attempt] = a
 	p.own.running++
-	p.own.queued[priority] += a.queuedTokens
+	p.own.queuedTokens[priority] += a.queuedTokens
 	p.own.recordChange(now)
 	p.cache.insert(a.queuedTokens)
 	for _, hash := range r.lookup.hashes {
@@ -98,7 +98,7 @@
 // dequeue removes the attempt's prompt from the replica's queue.
 func (a *attempt) dequeue(now time.Time) {
 	priority := min(max(a.priority, 0), priorityCount-1)
-	a.replica.own.queued[priority] -= a.queuedTokens
+	a.replica.own.queuedTokens[priority] -= a.queuedTokens
 	a.queuedTokens = 0
 	a.replica.own.recordChange(now)
 }
@@ -129,14 +129,14 @@
 func (r *Router) learn(a *attempt, o *zinniamast.Observation, running float64, now time.Time) {
 	p := a.replica
 	if p.servesCalls {
-		took := now.Sub(a.startedAt) - p.distance
+		took := now.Sub(a.startedAt) - p.roundTrip
 		p.learnFirst(a.running-1, took.Seconds())
 		return
 	}
 	if a.firstTokenAt.IsZero() {
 		return
 	}
-	wait := a.firstTokenAt.Sub(a.startedAt) - p.distance
+	wait := a.firstTokenAt.Sub(a.startedAt) - p.roundTrip
 	cached := o.CachedTokens
 	if cached == zinniamast.UnknownCached {
 		// The prediction is used, since no report confirms or refutes it.
@@ -153,9 +153,9 @@
 	between := now.Sub(a.firstTokenAt).Seconds() / float64(o.Tokens-1)
 	batch := (a.running + running) / 2
 	p.learnBetween(batch, between)
-	target := a.betweenTarget
+	target := a.betweenTargetSeconds
 	if target == 0 {
-		target = r.betweenTarget(a.service)
+		target = r.betweenTargetSeconds(a.service)
 	}
 	p.limit.learn(between, target, batch, now)
 }
@@ -169,7 +169,7 @@
 	if o.Failure != zinniamast.FailureStopped || !p.servesCalls {
 		return
 	}
-	took := (now.Sub(a.startedAt) - p.distance).Seconds()
+	took := (now.Sub(a.startedAt) - p.roundTrip).Seconds()
 	if work := a.running - 1; took > p.speed.first.at(work) {
 		p.learnFirst(work, took)
 	}
--- a/routing/predict.go
+++ b/routing/predict.go
@@ -47,25 +47,25 @@
 	slot := p.slotWait(l, remaining*between)
 	first += slot + c.fetchTime.Seconds()
 	c.wait = seconds(slot + p.speed.first.slope*slowness*l.tokensAhead)
-	c.firstToken = seconds(first) + p.distance
+	c.firstToken = seconds(first) + p.roundTrip
 	c.betweenTokens = seconds(between)
 	c.completion = c.firstToken + seconds(remaining*between)
-	c.work = p.speed.first.slope*slowness*float64(c.uncachedTokens) +
+	c.workSeconds = p.speed.first.slope*slowness*float64(c.uncachedTokens) +
 		remaining*p.speed.between.slope*p.betweenFactor.value()
-	c.typicalWork = p.typicalWork(c.uncachedTokens)
+	c.typicalWorkSeconds = p.typicalWorkSeconds(c.uncachedTokens)
 	if p.servesCalls {
-		c.work = first
-		c.typicalWork = p.speed.first.at(0)
+		c.workSeconds = first
+		c.typicalWorkSeconds = p.speed.first.at(0)
 	}
-	c.cost = p.pricePerSecond * c.work
+	c.cost = p.pricePerSecond * c.workSeconds
 	c.rank = r.rank(c, need, now)
 }
 
-// typicalWork returns the instance time that a prompt takes at a replica of its class's
-// typical speed, in seconds. It is zero until enough answers of the machine class have
-// been observed: the prior may be wrong by a factor of ten, and the number of replicas
-// to start depends on this value.
-func (p *replica) typicalWork(uncached int) float64 {
+// typicalWorkSeconds returns the instance time that a prompt takes at a replica of its
+// class's typical speed. It is zero until enough answers of the machine class have been
+// observed: the prior may be wrong by a factor of ten, and the number of replicas to
+// start depends on this value.
+func (p *replica) typicalWorkSeconds(uncached int) float64 {
 	if p.speed.first.points < minTypicalWorkPoints {
 		return 0
 	}
@@ -73,7 +73,7 @@
 }
 
 // minTypicalWorkPoints is the number of answers observed from a machine class before
-// typicalWork returns an estimate.
+// typicalWorkSeconds returns an estimate.
 const minTypicalWorkPoints = 10
 
 // slotWait returns how long a request waits for a place in a full batch, in seconds;
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -17,7 +17,7 @@
 	hash        uint64
 	upstream    *blackboard.Upstream
 	servesCalls bool
-	distance    time.Duration
+	roundTrip   time.Duration
 	// takesLongPrompts means that the replica is one of those that long prompts prefer.
 	takesLongPrompts bool
 	// pricePerSecond is the price of a second of the instance.
@@ -48,7 +48,7 @@
 		hash:        hashID(id),
 		upstream:    upstream,
 		servesCalls: servesCalls,
-		distance:    distance,
+		roundTrip:   distance,
 		cache: cacheState{
 			retentionTokens: initialRetentionTokens,
 		},
@@ -62,8 +62,8 @@
 // ownLoad is this node's own work in progress at a replica; it is always up to date.
 type ownLoad struct {
 	running int
-	// queued are the prompt tokens of attempts without a first token yet, by priority.
-	queued [priorityCount]int
+	// queuedTokens are the prompt tokens of attempts without a first token yet, by priority.
+	queuedTokens [priorityCount]int
 	// changes is a ring of recent counts, needed to interpret lagging reports. It is
 	// allocated on first use, since a node uses few replicas of a large fleet.
 	changes []loadChange
@@ -74,9 +74,9 @@
 const maxLoadChanges = 32
 
 type loadChange struct {
-	at      time.Time
-	running int
-	queued  int
+	at           time.Time
+	running      int
+	queuedTokens int
 }
 
 // lastChangeAt returns when the counts last changed.
@@ -87,9 +87,9 @@
 	return o.changes[(o.next-1)%maxLoadChanges].at
 }
 
-func (o *ownLoad) queuedTotal() int {
+func (o *ownLoad) totalQueuedTokens() int {
 	sum := 0
-	for _, tokens := range o.queued {
+	for _, tokens := range o.queuedTokens {
 		sum += tokens
 	}
 	return sum
@@ -101,9 +101,9 @@
 		o.changes = make([]loadChange, maxLoadChanges)
 	}
 	o.changes[o.next%maxLoadChanges] = loadChange{
-		at:      now,
-		running: o.running,
-		queued:  o.queuedTotal(),
+		at:           now,
+		running:      o.running,
+		queuedTokens: o.totalQueuedTokens(),
 	}
 	o.next++
 }
@@ -114,7 +114,7 @@
 	for i := o.next - 1; i >= oldest; i-- {
 		change := &o.changes[i%maxLoadChanges]
 		if !change.at.After(at) {
-			return change.running, change.queued
+			return change.running, change.queuedTokens
 		}
 	}
 	return 0, 0
@@ -122,8 +122,8 @@
 
 // remoteLoad is the sum of the work that other nodes report to have at a replica.
 type remoteLoad struct {
-	running int
-	queued  int
+	running      int
+	queuedTokens int
 	// receivedAt is when the latest of their reports was received.
 	receivedAt time.Time
 }
@@ -131,9 +131,9 @@
 // residualReport is an engine's report minus this node's own work at the time of
 // the report.
 type residualReport struct {
-	at      time.Time
-	running int
-	queued  int
+	at           time.Time
+	running      int
+	queuedTokens int
 	// modelMissing means that the engine has not loaded the service's model.
 	modelMissing bool
 }
@@ -176,12 +176,12 @@
 func (p *replica) load(priority int, now time.Time) load {
 	weight := p.report.weight(now)
 	others := weight * float64(p.report.running)
-	ahead := p.remainingQueue(p.report.queued, now.Sub(p.report.at))
+	ahead := p.remainingQueue(p.report.queuedTokens, now.Sub(p.report.at))
 	if now.Sub(p.report.at) > reportCurrentAge {
 		others = max(others, float64(p.remote.running))
-		ahead = max(ahead, p.remainingQueue(p.remote.queued, now.Sub(p.remote.receivedAt)))
+		ahead = max(ahead, p.remainingQueue(p.remote.queuedTokens, now.Sub(p.remote.receivedAt)))
 	}
-	for class, tokens := range p.own.queued {
+	for class, tokens := range p.own.queuedTokens {
 		if class <= priority {
 			ahead += float64(tokens)
 		}
--- a/routing/report.go
+++ b/routing/report.go
@@ -23,7 +23,7 @@
 	p.report = residualReport{
 		at:           report.At,
 		running:      max(0, report.Running+report.Waiting-running),
-		queued:       max(0, report.QueuedTokens-queued),
+		queuedTokens: max(0, report.QueuedTokens-queued),
 		modelMissing: len(report.Models) > 0 && !slices.Contains(report.Models, p.upstream.Instance.Service),
 	}
 }
@@ -88,15 +88,15 @@
 		return
 	}
 	for i := range events {
-		r.cacheEvent(p, &events[i])
+		r.recordCacheEvent(p, &events[i])
 	}
 }
 
-func (r *Router) cacheEvent(p *replica, event *zinniamast.CacheEvent) {
-	if event.Sequence <= p.cache.sequence {
+func (r *Router) recordCacheEvent(p *replica, event *zinniamast.CacheEvent) {
+	if event.Sequence <= p.cache.lastSequence {
 		return
 	}
-	p.cache.sequence = event.Sequence
+	p.cache.lastSequence = event.Sequence
 	e := r.history.find(event.Prefix)
 	if event.Evicted {
 		if e == nil {
@@ -121,6 +121,6 @@
 	defer r.mu.Unlock()
 	if p, ok := r.replicas[upstream]; ok {
 		p.cache.epoch++
-		p.cache.sequence = 0
+		p.cache.lastSequence = 0
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -29,8 +29,8 @@
 	FailureDomain string
 	// Gossip carries load and circuit reports between nodes; nil means a single node.
 	Gossip zinniamast.Gossip
-	// Distances are the round-trip times to other failure domains; 3 ms for those not listed.
-	Distances map[string]time.Duration
+	// RoundTrips are the round-trip times to other failure domains; 3 ms for those not listed.
+	RoundTrips map[string]time.Duration
 	// BlockTokens returns the length in tokens of the prefix at an index of Need.Prefix;
 	// nil means prefix.Tokens.
 	BlockTokens func(index int) int
@@ -73,7 +73,7 @@
 
 // Defaults for zero fields of Config.
 const (
-	defaultDistance           = 3 * time.Millisecond
+	defaultRoundTrip          = 3 * time.Millisecond
 	defaultHistoryBlocks      = 1 << 16
 	defaultExplainedDecisions = 512
 	defaultPollsPerSecond     = 8
@@ -202,7 +202,7 @@
 		FirstToken:    c.firstToken,
 		BetweenTokens: c.betweenTokens,
 		CachedTokens:  c.cachedTokens + c.fetchedTokens,
-		Work:          seconds(c.typicalWork),
+		Work:          seconds(c.typicalWorkSeconds),
 	}
 	if source := r.fetchSource(c, need); source != nil {
 		choice.FetchFrom = source.id
--- a/routing/run.go
+++ b/routing/run.go
@@ -178,7 +178,7 @@
 func (r *Router) cacheSequence(p *replica) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return p.cache.sequence
+	return p.cache.lastSequence
 }
 
 // sweepReplicas removes idle replicas that are no longer on the blackboard.
--- a/routing/target.go
+++ b/routing/target.go
@@ -8,28 +8,27 @@
 // targets caches the target for the time between tokens of each service, in seconds,
 // under one version of the configuration.
 type targets struct {
-	version *blackboard.Version
-	between map[string]float64
+	version        *blackboard.Version
+	betweenSeconds map[string]float64
 }
 
-// betweenTarget returns the service's current target for the time between tokens, in
-// seconds.
-func (r *Router) betweenTarget(service string) float64 {
+// betweenTargetSeconds returns the service's current target for the time between tokens.
+func (r *Router) betweenTargetSeconds(service string) float64 {
 	version := r.config.Board.Configuration.Current()
-	if r.targets.between == nil || r.targets.version != version {
+	if r.targets.betweenSeconds == nil || r.targets.version != version {
 		r.targets = targets{
-			version: version,
-			between: map[string]float64{},
+			version:        version,
+			betweenSeconds: map[string]float64{},
 		}
 	}
-	known, ok := r.targets.between[service]
+	known, ok := r.targets.betweenSeconds[service]
 	if !ok {
 		where := config.Match{
 			Model:         service,
 			FailureDomain: r.config.FailureDomain,
 		}
 		known = r.config.Board.Configuration.Config().Resolve(where).BetweenTokensTarget.Seconds()
-		r.targets.between[service] = known
+		r.targets.betweenSeconds[service] = known
 	}
 	return known
 }
