--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -16,10 +16,10 @@
 	"zinniamast/routing"
 )
 
-// domains are where test fleets run.
+// domains are the failure domains of the test fleets.
 var domains = [...]string{"burnaby-a", "surrey-b", "richmond-c", "coquitlam-d"}
 
-// fakeEngine stands for a replica whose reports are never there.
+// fakeEngine is an engine whose load reports always fail.
 type fakeEngine struct {
 	zinniamast.Engine
 }
@@ -28,7 +28,7 @@
 	return zinniamast.LoadReport{}, errors.New("no report")
 }
 
-// newBoard returns a board with a fleet of one service.
+// newBoard returns a board with the given number of replicas of one service.
 func newBoard(replicas int) *blackboard.Board {
 	board := blackboard.New()
 	for i := range replicas {
@@ -50,8 +50,8 @@
 	}
 }
 
-// prompt returns the prefix hashes of a prompt of so many tokens.
-func prompt(tokens int, mark byte) []uint64 {
+// promptPrefix returns the prefix hashes of a prompt of the given length, filled with mark.
+func promptPrefix(tokens int, mark byte) []uint64 {
 	text := make([]byte, tokens*prefix.BytesPerToken)
 	for i := range text {
 		text[i] = mark
@@ -68,15 +68,15 @@
 		Priority:            1,
 		PromptTokens:        30_000,
 		MaxTokens:           800,
-		Prefix:              prompt(30_000, 'a'),
+		Prefix:              promptPrefix(30_000, 'a'),
 		Deadline:            now.Add(2 * time.Minute),
 		FirstTokenTarget:    400 * time.Millisecond,
 		BetweenTokensTarget: 48 * time.Millisecond,
 	}
 }
 
-// warm gives the router some work in progress and some history.
-func warm(router *routing.Router, need *zinniamast.Need) {
+// warmUp gives the router some attempts in progress and some history.
+func warmUp(router *routing.Router, need *zinniamast.Need) {
 	for i := range 64 {
 		choice, err := router.Route(need)
 		if err != nil {
@@ -87,14 +87,14 @@
 			Attempt:      fmt.Sprint(i),
 			Upstream:     choice.Upstream,
 			PromptTokens: 2000,
-			Prefix:       prompt(2000, byte(i)),
+			Prefix:       promptPrefix(2000, byte(i)),
 		})
 	}
 }
 
-// faces are how the two faces choose: on the platform replicas tell nothing of
-// their caches and fetch prefixes from each other.
-func faces(replicas int) map[string]routing.Config {
+// interfaceConfigs returns the router's settings for the two interfaces. On the platform,
+// replicas do not report the contents of their caches and fetch prefixes from each other.
+func interfaceConfigs(replicas int) map[string]routing.Config {
 	own := routing.Config{
 		Board:         newBoard(replicas),
 		FailureDomain: domains[0],
@@ -110,16 +110,16 @@
 	}
 }
 
-// BenchmarkRoute measures a decision. Beside seven busy processes on eight cores:
-// 2.8, 6.0 and 7.0 us on the own interface and 4.7, 7.6 and 8.6 us on the platform
-// before 12, 400 and 5,700 replicas.
+// BenchmarkRoute measures a decision. With seven other busy processes on eight cores, it
+// takes 2.8, 6.0 and 7.0 µs on the own interface and 4.7, 7.6 and 8.6 µs on the platform
+// for 12, 400 and 5,700 replicas.
 func BenchmarkRoute(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
-		for face, config := range faces(replicas) {
+		for face, config := range interfaceConfigs(replicas) {
 			b.Run(fmt.Sprintf("face=%s/replicas=%d", face, replicas), func(b *testing.B) {
 				router := routing.New(config)
 				need := newNeed(time.Now())
-				warm(router, need)
+				warmUp(router, need)
 				b.ReportAllocs()
 				for b.Loop() {
 					if _, err := router.Route(need); err != nil {
@@ -158,15 +158,15 @@
 	}
 }
 
-// A decision that allocates, or whose work grows with the fleet, is paid two
-// thousand times a second; the bound is on counts, not on the clock.
+// Guards against allocations in Route, which runs two thousand times a second, at any size
+// of the fleet. The test counts allocations instead of measuring time.
 func TestRouteAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	for _, replicas := range []int{12, 400, 5700} {
-		for _, config := range faces(replicas) {
+		for _, config := range interfaceConfigs(replicas) {
 			router := routing.New(config)
 			need := newNeed(time.Now())
-			warm(router, need)
+			warmUp(router, need)
 			allocations := testing.AllocsPerRun(200, func() {
 				if _, err := router.Route(need); err != nil {
 					t.Fatal(err)
@@ -177,28 +177,28 @@
 	}
 }
 
-// BenchmarkMemory reports what the router holds, in all and for each replica
-// that it knows, half of them in use.
+// BenchmarkMemory reports the memory of a new router, and that of each replica with half
+// of the replicas in use.
 func BenchmarkMemory(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			board := newBoard(replicas)
 			need := newNeed(time.Now())
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				router := routing.New(routing.Config{
 					Board:         board,
 					FailureDomain: domains[0],
 					Seed:          1,
 				})
-				empty := heap()
+				empty := heapBytes()
 				if _, err := router.Route(need); err != nil {
 					b.Fatal(err)
 				}
 				for i := range replicas / 2 {
-					begin(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+					startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 				}
-				full := heap()
+				full := heapBytes()
 				b.ReportMetric(float64(empty-before), "B/router")
 				b.ReportMetric(float64(full-empty)/float64(replicas), "B/replica")
 				runtime.KeepAlive(router)
@@ -207,19 +207,20 @@
 	}
 }
 
-// heap returns the bytes in use after a collection.
-func heap() uint64 {
+// heapBytes returns the heap bytes in use after a garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// BenchmarkTick measures what sharing and choosing whom to poll costs, four times a second.
+// BenchmarkTick measures a tick, which runs four times a second: publishing load and
+// selecting the engines to poll.
 func BenchmarkTick(b *testing.B) {
 	for _, replicas := range []int{12, 400, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			router := newRouter(newClock(), newBoard(replicas), newBus(), "n1")
+			router := newRouter(newFakeClock(), newBoard(replicas), newBus(), "n1")
 			if _, err := router.Route(newNeed(time.Now())); err != nil {
 				b.Fatal(err)
 			}
@@ -230,16 +231,16 @@
 	}
 }
 
-// BenchmarkObserve measures what an attempt with a prompt of 30,000 tokens costs beside its decision.
+// BenchmarkObserve measures the observations of an attempt with a prompt of 30,000 tokens.
 func BenchmarkObserve(b *testing.B) {
-	c := newClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	if _, err := router.Route(need); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		answer(c, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
 	}
 }
--- a/routing/circuit.go
+++ b/routing/circuit.go
@@ -6,42 +6,42 @@
 	"zinniamast"
 )
 
-// circuit is the health of one replica as this node sees it.
+// circuit is this node's circuit breaker for one replica.
 type circuit struct {
-	// score counts recent blame; it opens the circuit at openAt.
-	score int
-	// until is when an open circuit lets a probe through; zero while closed.
-	until time.Time
-	// opened counts openings in a row and lengthens the next.
-	opened int
-	// word is when news of another node's failures expires.
-	word time.Time
+	// blameScore sums the blame of recent failures; the circuit opens at openThreshold.
+	blameScore int
+	// openUntil is when an open circuit allows a probe; zero while closed.
+	openUntil time.Time
+	// consecutiveOpenings counts openings without a success; each doubles the next duration.
+	consecutiveOpenings int
+	// peerReportExpires is when another node's report of failures expires.
+	peerReportExpires time.Time
 }
 
 const (
-	// openAt is the blame that opens a circuit.
-	openAt = 3
-	// openAtWithWord is enough if another node reports failures as well.
-	openAtWithWord = 1
-	// firstOpen and longestOpen bound how long a replica is shunned before a probe.
-	firstOpen   = time.Second
-	longestOpen = 30 * time.Second
-	// maxShunned is the share of a service's replicas that a node may shun. If
-	// more seem to fail, the fault is more likely the node's own or the
-	// service's, and crowding the rest would make it worse.
-	maxShunned = 0.5
+	// openThreshold is the blame score that opens a circuit.
+	openThreshold = 3
+	// openThresholdWithPeerReport applies while another node reports failures as well.
+	openThresholdWithPeerReport = 1
+	// minOpenDuration and maxOpenDuration bound how long a circuit stays open before a probe.
+	minOpenDuration = time.Second
+	maxOpenDuration = 30 * time.Second
+	// maxOpenCircuitShare is the share of a service's replicas whose circuits may be
+	// open at a node. If more seem to fail, the fault is more likely the node's own or
+	// the service's, and sending all requests to the rest would make it worse.
+	maxOpenCircuitShare = 0.5
 )
 
-// blame is how much a failure counts. A connection that is not even taken
-// means that the process is gone: each further try would cost a request its
-// retry. A death in the middle may be the request's own doing.
+// blame returns the weight of a failure. A refused connection means that the
+// process has ended, and each further try would use up a request's retry. A reset
+// during a request may have been caused by the request itself.
 func blame(failure zinniamast.Failure) int {
 	outcome, ok := zinniamast.FailureOutcomes[failure]
 	switch {
 	case ok && !outcome.BlamesReplica:
 		return 0
 	case failure == zinniamast.FailureDial:
-		return openAt
+		return openThreshold
 	case failure == zinniamast.FailureReset:
 		return 2
 	default:
@@ -49,74 +49,75 @@
 	}
 }
 
-// open says whether the replica is shunned now.
-func (c *circuit) open(now time.Time) bool { return now.Before(c.until) }
+// isOpen reports whether the circuit is open at a time.
+func (c *circuit) isOpen(now time.Time) bool { return now.Before(c.openUntil) }
 
-func (c *circuit) succeed() {
-	c.score = 0
-	c.opened = 0
-	c.until = time.Time{}
+func (c *circuit) close() {
+	c.blameScore = 0
+	c.consecutiveOpenings = 0
+	c.openUntil = time.Time{}
 }
 
-// fail counts blame of a send that began at a time, and reports whether the
-// circuit opens.
+// addBlame adds the weight of a failed attempt that began at the given time, and
+// reports whether the circuit opens.
 //
-// Failure: a failure domain is cut off for five seconds. Sends that were on their
-// way to one of its replicas fail one after the other, each opens the circuit
-// anew for twice as long, and the replica stays shunned for half a minute after
-// it is reached again. An opening answers all sends that began before it ended;
-// only a probe after it tells something new.
-func (c *circuit) fail(weight int, began, now time.Time) bool {
-	if began.Before(c.until) {
+// Failures of attempts that began before the last opening ended are ignored; only a
+// probe after it is new evidence. Otherwise, if a failure domain is unreachable for
+// five seconds, the attempts in flight to one of its replicas fail one after the
+// other, each opens the circuit again for twice as long, and the replica stays
+// excluded for half a minute after it is reachable again.
+func (c *circuit) addBlame(weight int, began, now time.Time) bool {
+	if began.Before(c.openUntil) {
 		return false
 	}
-	c.score += weight
-	enough := openAt
-	if now.Before(c.word) {
-		enough = openAtWithWord
+	c.blameScore += weight
+	threshold := openThreshold
+	if now.Before(c.peerReportExpires) {
+		threshold = openThresholdWithPeerReport
 	}
-	if c.opened == 0 && c.score < enough {
+	if c.consecutiveOpenings == 0 && c.blameScore < threshold {
 		return false
 	}
-	wait := min(firstOpen<<min(c.opened, 5), longestOpen)
-	c.until = now.Add(wait)
-	c.opened++
-	c.score = 0
+	wait := min(minOpenDuration<<min(c.consecutiveOpenings, 5), maxOpenDuration)
+	c.openUntil = now.Add(wait)
+	c.consecutiveOpenings++
+	c.blameScore = 0
 	return true
 }
 
-// failed counts a failure against the replica, and shuns it unless the node
-// shuns too many already.
-func (r *Router) failed(p *replica, failure zinniamast.Failure, began, now time.Time) {
+// recordFailure counts a failure of an attempt at the replica. If its circuit opens
+// while too many others are open, the circuit is closed again.
+func (r *Router) recordFailure(p *replica, failure zinniamast.Failure, began, now time.Time) {
 	weight := blame(failure)
 	if weight == 0 {
 		return
 	}
-	if !p.circuit.fail(weight, began, now) {
+	if !p.circuit.addBlame(weight, began, now) {
 		return
 	}
-	if !r.mayShun(p.upstream.Instance.Service, now) {
-		p.circuit.until = time.Time{}
+	if !r.mayOpenCircuit(p.upstream.Instance.Service, now) {
+		p.circuit.openUntil = time.Time{}
 		r.metrics.circuits.WithLabelValues(circuitCapped).Inc()
 		return
 	}
 	r.metrics.circuits.WithLabelValues(circuitOpened).Inc()
-	r.publishCircuit(p, now)
+	r.queueCircuitReport(p, now)
 	r.config.Logger.Warn("circuit opened", "upstream", p.id, "failure", string(failure),
-		"until", p.circuit.until.Sub(now).String())
+		"until", p.circuit.openUntil.Sub(now).String())
 }
 
-// mayShun says whether the share of shunned replicas, the newest included, is within bounds.
-func (r *Router) mayShun(service string, now time.Time) bool {
+// mayOpenCircuit reports whether the share of replicas with open circuits, including
+// the latest, is within maxOpenCircuitShare.
+func (r *Router) mayOpenCircuit(service string, now time.Time) bool {
 	f, ok := r.fleets[service]
 	if !ok {
 		return true
 	}
-	shunned := 0
+	openCount := 0
 	for _, p := range f.replicas {
-		if p.circuit.open(now) {
-			shunned++
+		if p.circuit.isOpen(now) {
+			openCount++
 		}
 	}
-	return float64(shunned) <= maxShunned*float64(len(f.replicas))
+	return float64(openCount) <= maxOpenCircuitShare*float64(len(f.replicas))
 }
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -7,19 +7,19 @@
 
 var _ limits.Predictor = (*Router)(nil)
 
-// surePoints is how many answers a machine class must have given before a
-// request is refused on its predicted speed. Priors may be wrong by far, and a
-// refusal teaches nothing.
-const surePoints = 20
+// minForecastPoints is the number of answers observed from a machine class before a
+// request may be refused because of its predicted speed. Priors may be far off, and
+// a refused request yields no observation to correct them.
+const minForecastPoints = 20
 
-// Forecast implements limits.Predictor: the best that any candidate offers
-// now. The shortest wait need not be the chosen candidate's, which may wait
-// within the target because it is cheaper.
+// Forecast implements limits.Predictor. It returns the earliest completion that any
+// candidate offers now and the wait there. This need not be the chosen candidate,
+// which may be later, within the target, because it is cheaper.
 func (r *Router) Forecast(need *zinniamast.Need) limits.Forecast {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gather(r.fleet(need.Service, now), need, now)
+	r.gatherCandidates(r.fleet(need.Service, now), need, now)
 	best, _ := choose(r.candidates, need, r.config.HomeCost)
 	if best < 0 {
 		return limits.Forecast{}
@@ -27,9 +27,9 @@
 	chosen := &r.candidates[best]
 	forecast := limits.Forecast{
 		Replicas: len(r.candidates),
-		Work:     seconds(chosen.work),
+		Work:     seconds(chosen.workSeconds),
 	}
-	if chosen.replica.speed.first.points < surePoints {
+	if chosen.replica.speed.first.points < minForecastPoints {
 		return forecast
 	}
 	forecast.Wait = chosen.wait
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -7,61 +7,63 @@
 	"zinniamast"
 )
 
-// Load news is a list of items of loadItemBytes: the replica's short name,
-// the sequences this node has there, and its queued prompt tokens.
+// A load report is a list of items of loadItemBytes: the replica's short ID, the
+// number of this node's sequences there, and its queued prompt tokens in units of
+// loadQueuedUnitTokens.
 const (
-	loadItemBytes   = 7
-	loadQueuedUnit  = 64
-	loadKey         = "load"
-	loadExpires     = 10 * time.Second
-	maxLoadItems    = zinniamast.MaxNews / loadItemBytes
-	minLoadInterval = 500 * time.Millisecond
-	// loadBytesASecond bounds what a node hears of load from all others together.
-	loadBytesASecond = 1500
+	loadItemBytes        = 7
+	loadQueuedUnitTokens = 64
+	loadKey              = "load"
+	loadLifetime         = 10 * time.Second
+	maxLoadItems         = zinniamast.MaxNews / loadItemBytes
+	minLoadInterval      = 500 * time.Millisecond
+	// maxLoadBytesPerSecond bounds the load reports that a node receives from all others.
+	maxLoadBytesPerSecond = 1500
 )
 
-// heardLoad is what one other node said last.
-type heardLoad struct {
+// peerLoad is the last load report of one other node.
+type peerLoad struct {
 	items   []loadItem
 	expires time.Time
 }
 
 type loadItem struct {
-	replica *replica
-	running int
-	queued  int
+	replica      *replica
+	running      int
+	queuedTokens int
 }
 
 func (r *Router) subscribe() {
 	if r.config.Gossip == nil {
 		return
 	}
-	r.config.Gossip.Subscribe(zinniamast.TopicLoad, r.hearLoad)
-	r.config.Gossip.Subscribe(zinniamast.TopicCircuit, r.hearCircuit)
+	r.config.Gossip.Subscribe(zinniamast.TopicLoad, r.receiveLoad)
+	r.config.Gossip.Subscribe(zinniamast.TopicCircuit, r.receiveCircuitReport)
 }
 
-// publishLoad tells the failure domain what this node has in flight, so that
-// nodes that decide at the same time do not all see the same replica idle.
+// publishLoad reports this node's in-flight requests to the failure domain, so that
+// nodes that decide at the same time do not all choose the same idle replica.
 func (r *Router) publishLoad(now time.Time) {
-	if r.config.Gossip == nil || now.Before(r.nextLoad) {
+	if r.config.Gossip == nil || now.Before(r.nextLoadPublish) {
 		return
 	}
 	value, wide := r.encodeLoad()
-	r.nextLoad = now.Add(r.loadInterval(len(value), wide))
-	if len(value) == 0 && r.saidIdle {
+	r.nextLoadPublish = now.Add(r.loadInterval(len(value), wide))
+	if len(value) == 0 && r.hasPublishedIdle {
 		return
 	}
-	r.saidIdle = len(value) == 0
+	r.hasPublishedIdle = len(value) == 0
 	r.config.Gossip.Publish(zinniamast.News{
 		Topic:   zinniamast.TopicLoad,
 		Key:     loadKey,
 		Value:   value,
-		Expires: now.Add(loadExpires),
+		Expires: now.Add(loadLifetime),
 		Wide:    wide,
 	})
 }
 
-// loadInterval grows with the number of nodes, so that the traffic does not.
+// loadInterval returns the time to the next load report. It grows with the number of
+// nodes, so that the traffic per node does not.
 func (r *Router) loadInterval(size int, wide bool) time.Duration {
 	nodes := 0
 	for _, member := range r.config.Board.Members.All() {
@@ -69,40 +71,40 @@
 			nodes++
 		}
 	}
-	paced := time.Duration(nodes*size) * time.Second / loadBytesASecond
-	return max(minLoadInterval, paced)
+	interval := time.Duration(nodes*size) * time.Second / maxLoadBytesPerSecond
+	return max(minLoadInterval, interval)
 }
 
-// encodeLoad also says whether other failure domains have to hear: at a small
-// site all of them draw from the same replicas.
+// encodeLoad returns the load report and whether it goes to other failure domains as
+// well: at a small site the nodes of all failure domains use the same replicas.
 func (r *Router) encodeLoad() (value []byte, wide bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.fleets {
-		wide = wide || f.spans
+		wide = wide || f.spansFailureDomains
 	}
 	for _, p := range r.replicas {
 		if p.own.running == 0 || len(value) == maxLoadItems*loadItemBytes {
 			continue
 		}
-		value = binary.BigEndian.AppendUint32(value, p.short())
+		value = binary.BigEndian.AppendUint32(value, p.shortID())
 		value = append(value, byte(min(p.own.running, 255)))
-		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.total()/loadQueuedUnit, 65535)))
+		value = binary.BigEndian.AppendUint16(value, uint16(min(p.own.totalQueuedTokens()/loadQueuedUnitTokens, 65535)))
 	}
 	return value, wide
 }
 
-// hearLoad puts another node's news in place of what it said before.
-func (r *Router) hearLoad(news zinniamast.News) {
+// receiveLoad replaces another node's last load report.
+func (r *Router) receiveLoad(news zinniamast.News) {
 	if news.Origin == r.config.Node || len(news.Value)%loadItemBytes != 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.heard[news.Origin]
+	known, ok := r.peerLoads[news.Origin]
 	if !ok {
-		known = &heardLoad{}
-		r.heard[news.Origin] = known
+		known = &peerLoad{}
+		r.peerLoads[news.Origin] = known
 	}
 	now := r.config.Now()
 	known.withdraw()
@@ -112,81 +114,83 @@
 		if !ok {
 			continue
 		}
-		p.remote.heard = now
+		p.remote.receivedAt = now
 		known.add(loadItem{
-			replica: p,
-			running: int(rest[4]),
-			queued:  int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnit,
+			replica:      p,
+			running:      int(rest[4]),
+			queuedTokens: int(binary.BigEndian.Uint16(rest[5:])) * loadQueuedUnitTokens,
 		})
 	}
 }
 
-func (h *heardLoad) add(item loadItem) {
+func (h *peerLoad) add(item loadItem) {
 	item.replica.remote.running += item.running
-	item.replica.remote.queued += item.queued
+	item.replica.remote.queuedTokens += item.queuedTokens
 	h.items = append(h.items, item)
 }
 
-// withdraw takes back all that the node said.
-func (h *heardLoad) withdraw() {
+// withdraw subtracts the node's last load report from the replicas' remote load.
+func (h *peerLoad) withdraw() {
 	for _, item := range h.items {
 		item.replica.remote.running -= item.running
-		item.replica.remote.queued -= item.queued
+		item.replica.remote.queuedTokens -= item.queuedTokens
 	}
 	h.items = h.items[:0]
 }
 
-// sweepHeard forgets nodes that have said nothing for long: their work is
-// over or goes on unseen, and reports of the engines tell of it.
-func (r *Router) sweepHeard(now time.Time) {
+// sweepPeerLoads removes expired load reports. Work of their nodes that is still
+// running shows in the engines' reports.
+func (r *Router) sweepPeerLoads(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for origin, known := range r.heard {
+	for origin, known := range r.peerLoads {
 		if now.After(known.expires) {
 			known.withdraw()
-			delete(r.heard, origin)
+			delete(r.peerLoads, origin)
 		}
 	}
 }
 
-// publishCircuit tells the failure domain that a replica fails; the caller holds the lock.
-func (r *Router) publishCircuit(p *replica, now time.Time) {
+// queueCircuitReport queues a report that a replica fails, to be published to the
+// failure domain; the caller holds the lock.
+func (r *Router) queueCircuitReport(p *replica, now time.Time) {
 	if r.config.Gossip == nil {
 		return
 	}
-	r.circuitNews = append(r.circuitNews, zinniamast.News{
+	r.pendingCircuitReports = append(r.pendingCircuitReports, zinniamast.News{
 		Topic:   zinniamast.TopicCircuit,
 		Key:     p.id,
 		Value:   []byte("open"),
-		Expires: now.Add(max(p.circuit.until.Sub(now), minWord)),
+		Expires: now.Add(max(p.circuit.openUntil.Sub(now), minCircuitReportLifetime)),
 	})
 }
 
-// minWord is how long news of a failing replica counts at least.
-const minWord = 5 * time.Second
+// minCircuitReportLifetime is the minimum lifetime of a report of a failing replica.
+const minCircuitReportLifetime = 5 * time.Second
 
-// sendCircuits publishes what was gathered under the lock, without holding it.
-func (r *Router) sendCircuits() {
+// publishCircuitReports publishes the queued reports without holding the lock.
+func (r *Router) publishCircuitReports() {
 	r.mu.Lock()
-	news := r.circuitNews
-	r.circuitNews = nil
+	news := r.pendingCircuitReports
+	r.pendingCircuitReports = nil
 	r.mu.Unlock()
 	for _, item := range news {
 		r.config.Gossip.Publish(item)
 	}
 }
 
-// hearCircuit takes another node's word: it makes one failure seen here
-// enough, and opens nothing by itself. A node with a broken network would
-// otherwise close a service for everybody.
-func (r *Router) hearCircuit(news zinniamast.News) {
+// receiveCircuitReport records another node's report of a failing replica. The report
+// lowers the threshold, so that one local failure opens the circuit, but does not
+// open it by itself: a node with a broken network could otherwise make a service
+// unavailable to all nodes.
+func (r *Router) receiveCircuitReport(news zinniamast.News) {
 	if news.Origin == r.config.Node {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p, ok := r.replicas[news.Key]; ok {
-		p.circuit.word = news.Expires
-		r.metrics.circuits.WithLabelValues(circuitWord).Inc()
+		p.circuit.peerReportExpires = news.Expires
+		r.metrics.circuits.WithLabelValues(circuitPeerReport).Inc()
 	}
 }
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -13,8 +13,8 @@
 	"zinniamast/routing"
 )
 
-// eightPassing has eight replicas that take requests as they are.
-func eightPassing() *blackboard.Board {
+// eightReplicaBoard returns a board with eight replicas that receive requests unchanged.
+func eightReplicaBoard() *blackboard.Board {
 	board := blackboard.New()
 	for i := range 8 {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -23,22 +23,22 @@
 				FailureDomain: domains[0],
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   16,
 		})
 	}
 	return board
 }
 
-// Callers of a session wait for the same shared text to be read again at one
-// replica after the other: ninety nodes send a session's requests, each knows
-// only its own few, and where engines do not tell what they keep the home of a
-// prefix looks no better than any replica that is a little emptier. Believed to
-// hold most of the prefix, it is chosen by every node while it meets the target.
+// Guards against a repeated prefill of a session's shared prefix at one replica after the
+// other. Ninety nodes send the session's requests and each has a history of only its own.
+// If engines do not report the contents of their caches, the home of a prefix looks no
+// better than any replica with slightly less load. With HomeHolds it is assumed to have
+// most of the prefix cached, and every node chooses it while it meets the target.
 func TestNodesWithoutHistoryAgreeOnAHome(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	board := eightPassing()
+	clock := newFakeClock()
+	board := eightReplicaBoard()
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 6000,
@@ -54,21 +54,21 @@
 		}),
 		FirstTokenTarget: time.Second,
 	}
-	node := func(name string, holds float64) *routing.Router {
+	node := func(name string, homeHolds float64) *routing.Router {
 		return routing.New(routing.Config{
 			Board:         board,
 			Node:          name,
 			FailureDomain: domains[0],
 			HomeCost:      1.6,
-			HomeHolds:     holds,
+			HomeHolds:     homeHolds,
 			Seed:          uint64(len(name)),
-			Now:           now.Now,
+			Now:           clock.Now,
 		})
 	}
-	busy := func(router *routing.Router, replica string) string {
-		now.pass(time.Second)
+	routeWithBusyHome := func(router *routing.Router, replica string) string {
+		clock.advance(time.Second)
 		router.Reported(replica, zinniamast.LoadReport{
-			At:           now.Now(),
+			At:           clock.Now(),
 			Running:      5,
 			QueuedTokens: 1500,
 		})
@@ -79,21 +79,21 @@
 	first := node("first", 0.7)
 	home, err := first.Route(need)
 	check.NoErr(err)
-	check.Equal(busy(first, home.Upstream), home.Upstream)
+	check.Equal(routeWithBusyHome(first, home.Upstream), home.Upstream)
 	other := node("another", 0.7)
 	_, err = other.Route(need)
 	check.NoErr(err)
-	check.Equal(busy(other, home.Upstream), home.Upstream)
+	check.Equal(routeWithBusyHome(other, home.Upstream), home.Upstream)
 
 	without := node("without", 0)
 	_, err = without.Route(need)
 	check.NoErr(err)
-	check.True(busy(without, home.Upstream) != home.Upstream)
+	check.True(routeWithBusyHome(without, home.Upstream) != home.Upstream)
 
-	// A full home is passed over.
-	now.pass(time.Second)
+	// A full home is not chosen.
+	clock.advance(time.Second)
 	first.Reported(home.Upstream, zinniamast.LoadReport{
-		At:      now.Now(),
+		At:      clock.Now(),
 		Running: 16,
 	})
 	choice, err := first.Route(need)
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -12,17 +12,17 @@
 	"zinniamast/routing"
 )
 
-// answer runs one attempt to its end with the given times.
-func answer(c *clock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
-	begin(router, need, upstream, attempt)
-	c.pass(first)
+// completeAttempt observes one attempt from start to end with the given times.
+func completeAttempt(clock *fakeClock, router *routing.Router, need *zinniamast.Need, upstream, attempt string, first, between time.Duration) {
+	startAttempt(router, need, upstream, attempt)
+	clock.advance(first)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
 	const tokens = 50
-	c.pass((tokens - 1) * between)
+	clock.advance((tokens - 1) * between)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedEnd,
 		Attempt:  attempt,
@@ -31,31 +31,30 @@
 	})
 }
 
-// The caller sees steady gaps between tokens. Order: two replicas of one
-// class, of which one is four times as slow, answer for a while; the slow one
-// is empty and the other busy, and a request comes that only the fast one can
-// serve within the target. What is learned of a class must not hide the replica.
+// Guards against a class's learned speed that hides a slow replica. Of two replicas of one
+// class, one is four times as slow. While the slow one is empty and the fast one busy, a
+// request arrives that only the fast one can serve within the target.
 func TestSpeedIsLearnedPerReplica(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, newBoard(2), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(2), newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 1000
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 60 {
-		answer(c, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
-		answer(c, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
 	}
-	begin(router, need, "engine-0000", "running")
-	c.pass(time.Second)
+	startAttempt(router, need, "engine-0000", "running")
+	clock.advance(time.Second)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  "running",
 		Upstream: "engine-0000",
 	})
-	need.Deadline = c.now.Add(time.Minute)
+	need.Deadline = clock.now.Add(time.Minute)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
@@ -68,40 +67,40 @@
 	is.True(choice.FirstToken > 300*time.Millisecond)
 }
 
-// The caller sees steady gaps between tokens. Order: a replica misses the
-// target with twelve sequences running, although its class is believed to take
-// thirty. The limit must come down below what it had.
-func TestLimitFollowsMeasuredGaps(t *testing.T) {
+// Guards against a replica that keeps missing the target for the time between tokens. It
+// misses it with twelve sequences running, although the initial limit is higher. The limit
+// must fall below twelve, and rise again once the target is met.
+func TestLimitFollowsTimeBetweenTokens(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, newBoard(1), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(1), newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	_, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(router.Limit("engine-0000"), 32)
 	for i := range 12 {
-		begin(router, need, "engine-0000", fmt.Sprint("other", i))
+		startAttempt(router, need, "engine-0000", fmt.Sprint("other", i))
 	}
 	for i := range 5 {
-		answer(c, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
 	}
 	lowered := router.Limit("engine-0000")
 	is.True(lowered < 12)
 	for i := range 40 {
-		answer(c, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
+		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
 	}
 	is.True(router.Limit("engine-0000") > lowered)
 }
 
-// The price decides between replicas that both meet the target: the dear one
-// is left empty, to be returned.
+// Of two replicas that meet the target, the cheaper one is chosen; the expensive one
+// stays empty, so that it can be returned.
 func TestCheaperReplicaIsChosenWithinTheTarget(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	clock := newFakeClock()
 	board := newBoard(2)
-	router := newRouter(c, board, newBus(), "n1")
+	router := newRouter(clock, board, newBus(), "n1")
 	router.SetPrices([]zinniamast.Offer{
 		{
 			FailureDomain: domains[0],
@@ -116,30 +115,30 @@
 			Price:         1,
 		},
 	})
-	need := newNeed(c.now)
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	for i := range 5 {
 		choice, err := router.Route(need)
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "engine-0001")
-		begin(router, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(router, need, choice.Upstream, fmt.Sprint(i))
 	}
 }
 
-// Other callers see no break. Order: a request that has crashed replicas is
-// tried once more in a fleet where one replica of 400 is idle. It must run
-// there, where it can take no other request with it.
-func TestSuspectRunsAlone(t *testing.T) {
+// Guards other requests against a request that crashes replicas. It is retried in a fleet
+// in which one replica of 400 is idle, and must run there, where no other request would
+// fail with it.
+func TestSuspectRequestRunsOnIdleReplica(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	_, err := router.Route(need)
 	is.NoErr(err)
 	for i := range 400 {
 		if i != 321 {
-			begin(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+			startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 		}
 	}
 	need.Alone = true
@@ -148,7 +147,7 @@
 	is.Equal(choice.Upstream, "engine-0321")
 }
 
-// Many requests decide, observe and hear at once; run with -race.
+// Route, Observe, Forecast, Reported, Explain and Tick run concurrently; run with -race.
 func TestConcurrentUse(t *testing.T) {
 	is := is.New(t)
 	board := newBoard(50)
@@ -167,7 +166,7 @@
 					return
 				}
 				attempt := fmt.Sprint(worker, i)
-				begin(router, need, choice.Upstream, attempt)
+				startAttempt(router, need, choice.Upstream, attempt)
 				router.Forecast(need)
 				router.Reported(choice.Upstream, zinniamast.LoadReport{At: time.Now()})
 				router.Observe(zinniamast.Observation{
--- a/routing/metrics.go
+++ b/routing/metrics.go
@@ -5,18 +5,18 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// What happened to a circuit, as a metric label.
+// Circuit events, used as a metric label.
 const (
-	circuitOpened = "opened"
-	circuitCapped = "capped"
-	circuitWord   = "word"
+	circuitOpened     = "opened"
+	circuitCapped     = "capped"
+	circuitPeerReport = "word"
 )
 
 type metrics struct {
 	choices  *prometheus.CounterVec
 	circuits *prometheus.CounterVec
 	polls    *prometheus.CounterVec
-	// byReason saves the lookup of a label on each decision.
+	// byReason avoids a label lookup in each decision.
 	byReason map[string]prometheus.Counter
 }
 
@@ -45,4 +45,4 @@
 	return m
 }
 
-func (m *metrics) chosen(reason string) { m.byReason[reason].Inc() }
+func (m *metrics) countChoice(reason string) { m.byReason[reason].Inc() }
--- a/routing/report.go
+++ b/routing/report.go
@@ -7,7 +7,7 @@
 	"zinniamast"
 )
 
-// Reported takes in an engine's load report.
+// Reported records an engine's load report.
 func (r *Router) Reported(upstream string, report zinniamast.LoadReport) {
 	if report.Leaving {
 		r.config.Board.Upstreams.MarkLeaving(upstream, time.Time{})
@@ -18,51 +18,52 @@
 	if !ok || !report.At.After(p.report.at) {
 		return
 	}
-	p.told.newest = later(p.told.newest, report.At)
-	running, queued := p.own.before(report.At)
-	p.report = reported{
-		at:      report.At,
-		running: max(0, report.Running+report.Waiting-running),
-		queued:  max(0, report.QueuedTokens-queued),
-		missing: len(report.Models) > 0 && !slices.Contains(report.Models, p.upstream.Instance.Service),
+	p.reportGroup.newestReport = later(p.reportGroup.newestReport, report.At)
+	running, queued := p.own.countsAt(report.At)
+	p.report = residualReport{
+		at:           report.At,
+		running:      max(0, report.Running+report.Waiting-running),
+		queuedTokens: max(0, report.QueuedTokens-queued),
+		modelMissing: len(report.Models) > 0 && !slices.Contains(report.Models, p.upstream.Instance.Service),
 	}
 }
 
-// told is when a replica of one service and failure domain last told its load.
-type told struct {
-	newest time.Time
+// reportGroup is the replicas of one service in one failure domain, whose load reports
+// are compared by age.
+type reportGroup struct {
+	newestReport time.Time
 }
 
-// toldKey names what shares a told.
-type toldKey struct {
+// reportGroupKey identifies a reportGroup.
+type reportGroupKey struct {
 	service       string
 	failureDomain string
 }
 
-func (r *Router) toldOf(instance zinniamast.Instance) *told {
-	key := toldKey{
+func (r *Router) reportGroup(instance zinniamast.Instance) *reportGroup {
+	key := reportGroupKey{
 		service:       instance.Service,
 		failureDomain: instance.FailureDomain,
 	}
-	known, ok := r.told[key]
+	known, ok := r.reportGroups[key]
 	if !ok {
-		known = &told{}
-		r.told[key] = known
+		known = &reportGroup{}
+		r.reportGroups[key] = known
 	}
 	return known
 }
 
-// silent says whether a replica tells its load no more, while others of its
-// failure domain do. Where none does, whoever asks them may be the one that is cut off.
+// isSilent reports whether a replica's load reports have stopped while others of its
+// failure domain continue. If all have stopped, the poller itself may be unreachable.
 //
-// Failure: a replica goes dark without a reset. Requests that may not be repeated
-// wait there until their deadline, and until the first of these has passed, no
-// send has failed: a quarter of all prompts went on to be lost for seconds.
-func (r *Router) silent(p *replica) bool {
+// A replica can stop responding without a connection reset. Requests that may not be
+// repeated then wait there until their deadlines, and no attempt fails before the first
+// of these; without this check, a quarter of all prompts were lost for seconds.
+func (r *Router) isSilent(p *replica) bool {
 	if r.config.SilentAfter == 0 || p.report.at.IsZero() {
 		return false
 	}
-	return p.told.newest.Sub(p.report.at) > r.config.SilentAfter
+	return p.reportGroup.newestReport.Sub(p.report.at) > r.config.SilentAfter
 }
 
 func later(a, b time.Time) time.Time {
@@ -72,12 +73,14 @@
 	return b
 }
 
-// eventLag is how late a cache event may come. An eviction of a prefix used
-// here since then is not believed: it may tell of a time before that use.
+// eventLagTokens is the maximum delay of a cache event, in tokens added to the cache.
+// An eviction of a prefix that was used within it is ignored, since it may have
+// happened before that use.
 const eventLagTokens = 20_000
 
-// CacheEvents takes in events of an engine's prefix cache, which come late and with gaps.
-func (r *Router) CacheEvents(upstream string, events []zinniamast.CacheEvent) {
+// RecordCacheEvents records events of an engine's prefix cache. Events may be late and
+// some may be missing.
+func (r *Router) RecordCacheEvents(upstream string, events []zinniamast.CacheEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.replicas[upstream]
@@ -85,39 +88,39 @@
 		return
 	}
 	for i := range events {
-		r.cacheEvent(p, &events[i])
+		r.recordCacheEvent(p, &events[i])
 	}
 }
 
-func (r *Router) cacheEvent(p *replica, event *zinniamast.CacheEvent) {
-	if event.Sequence <= p.cache.sequence {
+func (r *Router) recordCacheEvent(p *replica, event *zinniamast.CacheEvent) {
+	if event.Sequence <= p.cache.lastSequence {
 		return
 	}
-	p.cache.sequence = event.Sequence
+	p.cache.lastSequence = event.Sequence
 	e := r.history.find(event.Prefix)
 	if event.Evicted {
 		if e == nil {
 			return
 		}
-		if age, held := e.age(p); held && age > eventLagTokens {
-			e.drop(p)
+		if age, ok := e.ageTokens(p); ok && age > eventLagTokens {
+			e.removeHolder(p)
 		}
 		return
 	}
 	if e != nil {
-		if _, held := e.age(p); held {
+		if _, ok := e.ageTokens(p); ok {
 			return
 		}
 	}
 	r.history.touch(event.Prefix, p)
 }
 
-// Restarted tells that an engine began again with an empty cache.
-func (r *Router) Restarted(upstream string) {
+// RecordRestart records that an engine has restarted with an empty cache.
+func (r *Router) RecordRestart(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p, ok := r.replicas[upstream]; ok {
 		p.cache.epoch++
-		p.cache.sequence = 0
+		p.cache.lastSequence = 0
 	}
 }
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -8,44 +8,44 @@
 	"github.com/zeebo/xxh3"
 )
 
-// ring places prefixes on replicas by consistent hashing, so that nodes that
-// know nothing of each other's history still send a prefix to the same place.
+// ring places prefixes on replicas by consistent hashing, so that nodes without a
+// shared history still send a prefix to the same replica.
 type ring struct {
 	points []point
 }
 
 type point struct {
-	at      uint64
-	replica *replica
+	position uint64
+	replica  *replica
 }
 
 func newRing(replicas []*replica) ring {
 	points := make([]point, len(replicas))
 	for i, replica := range replicas {
 		points[i] = point{
-			at:      replica.hash,
-			replica: replica,
+			position: replica.hash,
+			replica:  replica,
 		}
 	}
-	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.position, b.position) })
 	return ring{
 		points: points,
 	}
 }
 
-// probes is how many places of the ring a prefix looks at. One point per
-// replica and several probes spread evenly with a small ring, which is cheap
-// to build again when replicas come and go.
-const probes = 5
+// probesPerPrefix is the number of ring positions tried per prefix. One point per
+// replica and several probes spread prefixes evenly over a small ring, which is cheap
+// to rebuild when replicas are added or removed.
+const probesPerPrefix = 5
 
-// home returns the replica closest after any of the prefix's probes that may
-// take work, or nil.
+// home returns the usable replica with the smallest distance after any of the prefix's
+// probes, or nil.
 func (g ring) home(prefix uint64, usable func(*replica) bool) *replica {
 	var best *replica
 	nearest := ^uint64(0)
-	for probe := range uint64(probes) {
+	for probe := range uint64(probesPerPrefix) {
 		at := mix(prefix, probe)
-		found := g.after(at, usable)
+		found := g.firstUsable(at, usable)
 		if found == nil {
 			return nil
 		}
@@ -57,12 +57,12 @@
 	return best
 }
 
-// maxSteps bounds how many replicas in a row a probe may pass over.
-const maxSteps = 8
+// maxProbeSteps bounds the number of consecutive points that a probe tries.
+const maxProbeSteps = 8
 
-func (g ring) after(at uint64, usable func(*replica) bool) *replica {
-	start := sort.Search(len(g.points), func(i int) bool { return g.points[i].at >= at })
-	for step := range min(maxSteps, len(g.points)) {
+func (g ring) firstUsable(at uint64, usable func(*replica) bool) *replica {
+	start := sort.Search(len(g.points), func(i int) bool { return g.points[i].position >= at })
+	for step := range min(maxProbeSteps, len(g.points)) {
 		candidate := g.points[(start+step)%len(g.points)].replica
 		if usable(candidate) {
 			return candidate
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// mix derives a probe's place from a prefix.
+// mix derives the ring position of a probe from a prefix.
 func mix(prefix, probe uint64) uint64 {
 	x := prefix + probe*0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -2,8 +2,8 @@
 // completion, price and recomputed tokens.
 //
 // One lock guards the router's own tables. It is taken after the
-// blackboard's, is held for microseconds and never during a call to another
-// process.
+// blackboard's lock, held for microseconds, and never held during a call to
+// another process.
 package routing
 
 import (
@@ -19,63 +19,67 @@
 	"zinniamast/prefix"
 )
 
-// Config says what the router works from.
+// Config holds the router's dependencies and settings.
 type Config struct {
-	// Board holds the replicas.
+	// Board lists the replicas, the members and the configuration in force.
 	Board *blackboard.Board
 	// Node is this instance's name.
 	Node string
-	// FailureDomain is where the node runs.
+	// FailureDomain is the failure domain that the node runs in.
 	FailureDomain string
-	// Gossip carries load and circuits between nodes; nil means a node on its own.
+	// Gossip carries load and circuit reports between nodes; nil means a single node.
 	Gossip zinniamast.Gossip
-	// Distances are round trips to other failure domains; 3 ms where none is given.
-	Distances map[string]time.Duration
-	// BlockTokens is the length of the prefix at an index of Need.Prefix; nil is prefix.Tokens.
+	// RoundTrips are the round-trip times to other failure domains; 3 ms for those not listed.
+	RoundTrips map[string]time.Duration
+	// BlockTokens returns the length in tokens of the prefix at an index of Need.Prefix;
+	// nil means prefix.Tokens.
 	BlockTokens func(index int) int
-	// HistoryBlocks bounds the prefixes remembered, 48 bytes each; 65,536 if zero.
+	// HistoryBlocks bounds the number of prefixes in the history, 48 bytes each;
+	// 65,536 if zero.
 	HistoryBlocks int
-	// Explained is how many recent decisions Explain knows; 512 if zero.
-	Explained int
-	// HomeCost is how much dearer than the cheapest a prefix's home may be and
-	// still be preferred; 1.2 if zero. More spares what other nodes' requests
-	// would read again, where engines do not tell what they keep.
+	// ExplainedDecisions is the number of recent decisions that Explain can describe;
+	// 512 if zero.
+	ExplainedDecisions int
+	// HomeCost is the highest cost of a prefix's home, as a multiple of the cheapest
+	// candidate's cost, at which the home is still preferred; 1.2 if zero. A higher
+	// value avoids recomputing prefixes that other nodes' requests have cached there,
+	// for engines that do not report the contents of their caches.
 	HomeCost float64
-	// HomeHolds is the part of a prompt's prefix that its home is believed to hold
-	// where engines do not tell and this node has not sent it there; zero where
-	// they do.
+	// HomeHolds is the fraction of a prompt's prefix that its home is assumed to have
+	// cached although this node has not sent it there, for engines that do not report
+	// the contents of their caches; zero for engines that do.
 	HomeHolds float64
-	// FetchTime returns how long a service's replicas take to fetch a token that
-	// another one keeps; zero where they cannot, nil means that none can.
+	// FetchTime returns how long a service's replicas take per token to fetch a prefix
+	// that another replica has cached; zero if they cannot. Nil means that none can.
 	FetchTime func(service string) time.Duration
-	// Plain says whether a service answers calls and not prompts, where its
-	// replicas take requests as they are; nil means that none does.
+	// Plain reports whether a service whose replicas receive requests unchanged
+	// answers calls instead of prompts; nil means that none does.
 	Plain func(service string) bool
-	// SilentAfter is how much older than another's of its failure domain a replica's
-	// report must be for it to count as silent, where all are asked alike; zero
-	// where only some are asked now and then, so that silence says nothing.
+	// SilentAfter is the age difference to the newest report of its failure domain
+	// beyond which a replica counts as silent, if all replicas are polled alike. Zero
+	// if only some are polled occasionally: a missing report then indicates no fault.
 	SilentAfter time.Duration
-	// PollsASecond bounds the load reports and cache events read; 8 if zero.
-	PollsASecond int
-	// Seed makes choices repeatable; zero draws one.
+	// PollsPerSecond bounds the engines polled for load reports and cache events; 8 if zero.
+	PollsPerSecond int
+	// Seed makes choices reproducible; zero means a random seed.
 	Seed uint64
-	// Logger hears of choices at debug level; nil is silent.
+	// Logger receives choices at debug level; nil discards them.
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Defaults for fields left zero.
+// Defaults for zero fields of Config.
 const (
-	defaultDistance      = 3 * time.Millisecond
-	defaultHistoryBlocks = 1 << 16
-	defaultExplained     = 512
-	defaultPollsASecond  = 8
+	defaultRoundTrip          = 3 * time.Millisecond
+	defaultHistoryBlocks      = 1 << 16
+	defaultExplainedDecisions = 512
+	defaultPollsPerSecond     = 8
 )
 
-func (c *Config) fill() {
+func (c *Config) applyDefaults() {
 	if c.Board == nil {
 		c.Board = blackboard.New()
 	}
@@ -85,14 +89,14 @@
 	if c.HistoryBlocks == 0 {
 		c.HistoryBlocks = defaultHistoryBlocks
 	}
-	if c.Explained == 0 {
-		c.Explained = defaultExplained
+	if c.ExplainedDecisions == 0 {
+		c.ExplainedDecisions = defaultExplainedDecisions
 	}
 	if c.HomeCost == 0 {
-		c.HomeCost = costBand
+		c.HomeCost = costTolerance
 	}
-	if c.PollsASecond == 0 {
-		c.PollsASecond = defaultPollsASecond
+	if c.PollsPerSecond == 0 {
+		c.PollsPerSecond = defaultPollsPerSecond
 	}
 	if c.Seed == 0 {
 		c.Seed = rand.Uint64()
@@ -110,70 +114,70 @@
 	config  Config
 	metrics *metrics
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	fleets   map[string]*fleet
-	replicas map[string]*replica
-	bySerial map[uint32]*replica
-	byHash   map[uint32]*replica
-	serial   uint32
-	speeds   map[speedKey]*speed
-	answers  map[answerKey]*average
-	prices   map[priceKey]float64
-	attempts map[string]*attempt
-	spare    []*attempt
-	history  *history
-	heard    map[string]*heardLoad
-	told     map[toldKey]*told
-	targets  targets
-	// circuitNews waits to be published without the lock.
-	circuitNews []zinniamast.News
-	explain     explanations
-	// surprise is, by service, the part of a prompt found cached at its home
-	// without any history here: what other nodes have sent there.
-	surprise map[answerKey]*average
-	// deepestHome is the home of the prompt's longest anchor, of the decision that is made.
-	deepestHome *replica
-	// lookup and candidates are reused by every decision under the lock.
+	mu           sync.Mutex
+	random       *rand.Rand
+	fleets       map[string]*fleet
+	replicas     map[string]*replica
+	bySerial     map[uint32]*replica
+	byHash       map[uint32]*replica
+	serial       uint32
+	speeds       map[speedKey]*speed
+	answers      map[answerKey]*average
+	prices       map[priceKey]float64
+	attempts     map[string]*attempt
+	freeAttempts []*attempt
+	history      *history
+	peerLoads    map[string]*peerLoad
+	reportGroups map[reportGroupKey]*reportGroup
+	targets      targets
+	// pendingCircuitReports are published later, without holding the lock.
+	pendingCircuitReports []zinniamast.News
+	recentDecisions       decisionRing
+	// homeHits is the mean fraction of the prompt tokens without a local history that
+	// were found cached at a home, by service and priority: other nodes sent them there.
+	homeHits map[answerKey]*average
+	// longestAnchorHome is the home of the longest anchor of the current decision's prompt.
+	longestAnchorHome *replica
+	// lookup and candidates are reused by all decisions, under the lock.
 	lookup     lookup
 	candidates []candidate
 
-	// nextLoad and saidIdle belong to Run alone.
-	nextLoad time.Time
-	saidIdle bool
+	// nextLoadPublish and hasPublishedIdle are used only by the goroutine that runs Tick.
+	nextLoadPublish  time.Time
+	hasPublishedIdle bool
 }
 
 var _ zinniamast.Router = (*Router)(nil)
 
-// New returns a router that has observed nothing yet.
+// New returns a router without observations and subscribes it to Gossip.
 func New(config Config) *Router {
-	config.fill()
+	config.applyDefaults()
 	r := &Router{
-		config:   config,
-		metrics:  newMetrics(config.Registerer),
-		random:   rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
-		fleets:   map[string]*fleet{},
-		replicas: map[string]*replica{},
-		bySerial: map[uint32]*replica{},
-		byHash:   map[uint32]*replica{},
-		speeds:   map[speedKey]*speed{},
-		answers:  map[answerKey]*average{},
-		prices:   map[priceKey]float64{},
-		attempts: map[string]*attempt{},
-		history:  newHistory(config.HistoryBlocks),
-		heard:    map[string]*heardLoad{},
-		told:     map[toldKey]*told{},
-		explain: explanations{
-			ring: make([]decision, config.Explained),
+		config:       config,
+		metrics:      newMetrics(config.Registerer),
+		random:       rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
+		fleets:       map[string]*fleet{},
+		replicas:     map[string]*replica{},
+		bySerial:     map[uint32]*replica{},
+		byHash:       map[uint32]*replica{},
+		speeds:       map[speedKey]*speed{},
+		answers:      map[answerKey]*average{},
+		prices:       map[priceKey]float64{},
+		attempts:     map[string]*attempt{},
+		history:      newHistory(config.HistoryBlocks),
+		peerLoads:    map[string]*peerLoad{},
+		reportGroups: map[reportGroupKey]*reportGroup{},
+		recentDecisions: decisionRing{
+			ring: make([]decision, config.ExplainedDecisions),
 		},
-		surprise:   map[answerKey]*average{},
+		homeHits:   map[answerKey]*average{},
 		candidates: make([]candidate, 0, maxCandidates),
 	}
 	r.subscribe()
 	return r
 }
 
-// noUpstreamRetryAfter is when a service without replicas may have one again.
+// noUpstreamRetryAfter is the time after which a service without replicas may have one again.
 const noUpstreamRetryAfter = 5 * time.Second
 
 // Route implements zinniamast.Router.
@@ -182,23 +186,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.fleet(need.Service, now)
-	r.gather(f, need, now)
+	r.gatherCandidates(f, need, now)
 	best, reason := choose(r.candidates, need, r.config.HomeCost)
 	if best < 0 {
 		r.metrics.choices.WithLabelValues(choiceNone).Inc()
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 			"no replica of %s takes work", need.Service).After(noUpstreamRetryAfter)
 	}
-	r.metrics.chosen(reason)
-	r.explain.record(need, now, r.candidates, best, reason)
+	r.metrics.countChoice(reason)
+	r.recentDecisions.record(need, now, r.candidates, best, reason)
 	r.logChoice(need, &r.candidates[best], reason)
 	c := &r.candidates[best]
 	choice := zinniamast.Choice{
 		Upstream:      c.replica.id,
-		FirstToken:    c.first,
-		BetweenTokens: c.between,
-		CachedTokens:  c.cached + c.fetched,
-		Work:          seconds(c.usual),
+		FirstToken:    c.firstToken,
+		BetweenTokens: c.betweenTokens,
+		CachedTokens:  c.cachedTokens + c.fetchedTokens,
+		Work:          seconds(c.typicalWorkSeconds),
 	}
 	if source := r.fetchSource(c, need); source != nil {
 		choice.FetchFrom = source.id
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,18 +13,18 @@
 	"zinniamast/routing"
 )
 
-// clock is a time that only the test moves.
-type clock struct {
+// fakeClock is a clock that only the test advances.
+type fakeClock struct {
 	now time.Time
 }
 
-func newClock() *clock { return &clock{now: time.Unix(1_800_000_000, 0)} }
+func newFakeClock() *fakeClock { return &fakeClock{now: time.Unix(1_800_000_000, 0)} }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// bus hands news to every subscriber at once.
+// bus delivers news to all subscribers synchronously.
 type bus struct {
 	subscribers map[zinniamast.Topic][]func(zinniamast.News)
 	sequence    uint64
@@ -32,13 +32,13 @@
 
 func newBus() *bus { return &bus{subscribers: map[zinniamast.Topic][]func(zinniamast.News){}} }
 
-// port is one node's place on a bus.
-type port struct {
+// busEndpoint is one node's connection to a bus.
+type busEndpoint struct {
 	bus  *bus
 	node string
 }
 
-func (p port) Publish(news zinniamast.News) {
+func (p busEndpoint) Publish(news zinniamast.News) {
 	p.bus.sequence++
 	news.Origin = p.node
 	news.Sequence = p.bus.sequence
@@ -47,22 +47,22 @@
 	}
 }
 
-func (p port) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
+func (p busEndpoint) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
 	p.bus.subscribers[topic] = append(p.bus.subscribers[topic], f)
 }
 
-func newRouter(c *clock, board *blackboard.Board, b *bus, node string) *routing.Router {
+func newRouter(clock *fakeClock, board *blackboard.Board, b *bus, node string) *routing.Router {
 	return routing.New(routing.Config{
 		Board:         board,
 		Node:          node,
 		FailureDomain: domains[0],
-		Gossip:        port{bus: b, node: node},
+		Gossip:        busEndpoint{bus: b, node: node},
 		Seed:          5,
-		Now:           c.Now,
+		Now:           clock.Now,
 	})
 }
 
-func begin(router *routing.Router, need *zinniamast.Need, upstream, attempt string) {
+func startAttempt(router *routing.Router, need *zinniamast.Need, upstream, attempt string) {
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
 		Attempt:      attempt,
@@ -73,14 +73,14 @@
 	})
 }
 
-func finish(c *clock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
-	c.pass(100 * time.Millisecond)
+func finishAttempt(clock *fakeClock, router *routing.Router, attempt, upstream string, cached int, failure zinniamast.Failure) {
+	clock.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  attempt,
 		Upstream: upstream,
 	})
-	c.pass(100 * time.Millisecond)
+	clock.advance(100 * time.Millisecond)
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedEnd,
 		Attempt:      attempt,
@@ -91,22 +91,22 @@
 	})
 }
 
-// The caller sees an answer from a live replica. Order: a whole failure domain
-// is marked as leaving, its prefix homes and history included, and requests
-// with those very prefixes come. None may go to a replica that leaves, or it
-// would be cut off with it.
-func TestLeavingAndAvoidedReplicasGetNothing(t *testing.T) {
+// Guards against requests that are cut off because their replica leaves. A whole
+// failure domain is marked as leaving, including replicas that are prefix homes or
+// have a history, and requests with those prefixes arrive. None may be routed to a
+// leaving replica, nor to one that the request avoids.
+func TestLeavingAndAvoidedReplicasGetNoRequests(t *testing.T) {
 	for _, replicas := range []int{12, 400} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
 			is := is.New(t)
-			c := newClock()
+			clock := newFakeClock()
 			board := newBoard(replicas)
-			router := newRouter(c, board, newBus(), "n1")
-			need := newNeed(c.now)
-			warm(router, need)
+			router := newRouter(clock, board, newBus(), "n1")
+			need := newNeed(clock.now)
+			warmUp(router, need)
 			for _, upstream := range board.Upstreams.All() {
 				if upstream.Instance.FailureDomain == domains[0] {
-					board.Upstreams.MarkLeaving(upstream.Instance.ID, c.now.Add(5*time.Second))
+					board.Upstreams.MarkLeaving(upstream.Instance.ID, clock.now.Add(5*time.Second))
 				}
 			}
 			need.Avoid = nil
@@ -123,33 +123,32 @@
 	}
 }
 
-// The caller sees no_upstream with "not run" and a time to come back. Order:
-// every replica of the service leaves, then a request comes.
-func TestNoReplicaIsAnHonestRefusal(t *testing.T) {
+// A request for a service without replicas is refused as no_upstream and "not run",
+// with a time to retry after.
+func TestRouteWithoutReplicasIsRefused(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, blackboard.New(), newBus(), "n1")
-	_, err := router.Route(newNeed(c.now))
+	clock := newFakeClock()
+	router := newRouter(clock, blackboard.New(), newBus(), "n1")
+	_, err := router.Route(newNeed(clock.now))
 	refusal := zinniamast.AsRefusal(err)
 	is.Equal(refusal.Reason, zinniamast.ReasonNoUpstream)
 	is.Equal(refusal.Ran, zinniamast.NotRun)
 	is.True(refusal.RetryAfter > 0)
 }
 
-// The caller sees a short wait. Order: a long prompt was computed at one
-// replica; the same prompt comes again and must go there, until the engine
-// tells that the prefix was evicted. A late eviction that may be older than
-// the last use is not believed.
-func TestPrefixGoesWhereItIsCached(t *testing.T) {
+// Guards against a repeated prefill of a cached prompt. A repeated long prompt is routed
+// to the replica that computed it, until the engine reports that the prefix was evicted.
+// A late eviction event that may be older than the last use is ignored.
+func TestPromptIsRoutedToItsCachedPrefix(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, newBoard(400), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(400), newBus(), "n1")
+	need := newNeed(clock.now)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.CachedTokens, 0)
-	begin(router, need, choice.Upstream, "a1")
-	finish(c, router, "a1", choice.Upstream, 0, "")
+	startAttempt(router, need, choice.Upstream, "a1")
+	finishAttempt(clock, router, "a1", choice.Upstream, 0, "")
 	again, err := router.Route(need)
 	is.NoErr(err)
 	is.Equal(again.Upstream, choice.Upstream)
@@ -163,34 +162,34 @@
 				Evicted:  true,
 			})
 		}
-		router.CacheEvents(choice.Upstream, events)
+		router.RecordCacheEvents(choice.Upstream, events)
 	}
 	evict(1)
 	again, err = router.Route(need)
 	is.NoErr(err)
 	is.True(again.CachedTokens > 27_000)
 	other := *need
-	other.Prefix = prompt(30_000, 'b')
-	begin(router, &other, choice.Upstream, "a2")
-	finish(c, router, "a2", choice.Upstream, 0, "")
+	other.Prefix = promptPrefix(30_000, 'b')
+	startAttempt(router, &other, choice.Upstream, "a2")
+	finishAttempt(clock, router, "a2", choice.Upstream, 0, "")
 	evict(1000)
 	again, err = router.Route(need)
 	is.NoErr(err)
 	is.Equal(again.CachedTokens, 0)
 }
 
-// The caller sees no refusal and no crowding. Order: this node's network
-// breaks and attempts at replica after replica fail. It must not shun more
-// than half, and must still find one to try; another node that hears of it
-// goes on using all of them.
-func TestOneNodeCannotCloseAService(t *testing.T) {
+// Guards against a node with a broken network that makes a service unavailable. Its
+// attempts at one replica after the other fail. It must not open the circuits of more
+// than half of them and must still route requests; another node that receives its
+// circuit reports continues to use all replicas.
+func TestFailingNodeDoesNotDisableService(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	clock := newFakeClock()
 	b := newBus()
 	board := newBoard(12)
-	broken := newRouter(c, board, b, "n1")
-	healthy := newRouter(c, board, b, "n2")
-	need := newNeed(c.now)
+	broken := newRouter(clock, board, b, "n1")
+	healthy := newRouter(clock, board, b, "n2")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	_, err := healthy.Route(need)
@@ -201,7 +200,7 @@
 		is.NoErr(err)
 		tried[choice.Upstream] = true
 		attempt := fmt.Sprint(i)
-		begin(broken, need, choice.Upstream, attempt)
+		startAttempt(broken, need, choice.Upstream, attempt)
 		broken.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedEnd,
 			Attempt:  attempt,
@@ -209,25 +208,25 @@
 			Failure:  zinniamast.FailureDial,
 		})
 		broken.Tick(t.Context())
-		c.pass(10 * time.Millisecond)
+		clock.advance(10 * time.Millisecond)
 	}
 	is.True(len(tried) > 6)
 	used := map[string]bool{}
 	for i := range 200 {
 		choice, err := healthy.Route(need)
 		is.NoErr(err)
-		begin(healthy, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(healthy, need, choice.Upstream, fmt.Sprint(i))
 		used[choice.Upstream] = true
 	}
 	is.Equal(len(used), 12)
 }
 
-// The caller sees no queue while replicas idle. Order: four nodes that have
-// not heard of each other yet decide at the same moment over one fleet, and
-// again after an exchange of load. They must not crowd one replica.
+// Guards against queues at one replica while others are idle. Four nodes decide at the
+// same time over one fleet, first without load reports from each other and then after
+// exchanging them. They must not overload one replica.
 func TestNodesDoNotHerd(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	clock := newFakeClock()
 	b := newBus()
 	board := newBoard(100)
 	var nodes []*routing.Router
@@ -236,12 +235,12 @@
 			Board:         board,
 			Node:          fmt.Sprint(i),
 			FailureDomain: domains[0],
-			Gossip:        port{bus: b, node: fmt.Sprint(i)},
+			Gossip:        busEndpoint{bus: b, node: fmt.Sprint(i)},
 			Seed:          uint64(i + 1),
-			Now:           c.Now,
+			Now:           clock.Now,
 		}))
 	}
-	need := newNeed(c.now)
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 100
 	at := map[string]int{}
@@ -249,10 +248,10 @@
 		for i, node := range nodes {
 			choice, err := node.Route(need)
 			is.NoErr(err)
-			begin(node, need, choice.Upstream, fmt.Sprint(round, i))
+			startAttempt(node, need, choice.Upstream, fmt.Sprint(round, i))
 			at[choice.Upstream]++
 		}
-		c.pass(time.Second)
+		clock.advance(time.Second)
 		for _, node := range nodes {
 			node.Tick(t.Context())
 		}
@@ -265,25 +264,25 @@
 	is.True(most <= 4)
 }
 
-// The caller sees a short wait. Order: a report taken five seconds ago says
-// that a replica idles; since then this node has sent it much, and the report
-// must not hide that. A report that counts this node's own work must not count it twice.
+// Guards against wrong load estimates from lagging reports. A report that is five seconds
+// old shows an idle replica to which this node has sent many requests since; the report
+// must not hide them. A report that includes this node's own work must not count it twice.
 func TestLaggingReportIsCorrectedByOwnWork(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	clock := newFakeClock()
 	board := newBoard(2)
-	router := newRouter(c, board, newBus(), "n1")
-	need := newNeed(c.now)
+	router := newRouter(clock, board, newBus(), "n1")
+	need := newNeed(clock.now)
 	need.Prefix = nil
 	need.PromptTokens = 4000
 	_, err := router.Route(need)
 	is.NoErr(err)
-	taken := c.now
-	c.pass(4 * time.Second)
+	taken := clock.now
+	clock.advance(4 * time.Second)
 	for i := range 6 {
-		begin(router, need, "engine-0000", fmt.Sprint(i))
+		startAttempt(router, need, "engine-0000", fmt.Sprint(i))
 	}
-	c.pass(time.Second)
+	clock.advance(time.Second)
 	router.Reported("engine-0000", zinniamast.LoadReport{At: taken})
 	router.Reported("engine-0001", zinniamast.LoadReport{
 		At:           taken,
@@ -295,28 +294,28 @@
 	is.Equal(choice.Upstream, "engine-0001")
 	before := choice.FirstToken
 	router.Reported("engine-0000", zinniamast.LoadReport{
-		At:           c.now,
+		At:           clock.now,
 		Running:      6,
 		QueuedTokens: 24_000,
 	})
 	router.Reported("engine-0001", zinniamast.LoadReport{
-		At:           c.now,
+		At:           clock.now,
 		Running:      40,
 		QueuedTokens: 100_000,
 	})
 	choice, err = router.Route(need)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
-	// Seven prompts are to compute instead of one; counted twice it would be thirteen.
+	// Seven prompts are ahead of the first token instead of one; thirteen if counted twice.
 	is.True(choice.FirstToken > before)
 	is.True(choice.FirstToken < 8*before)
 }
 
-func TestExplainTellsTheChoice(t *testing.T) {
+func TestExplainDescribesChoice(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
-	router := newRouter(c, newBoard(12), newBus(), "n1")
-	need := newNeed(c.now)
+	clock := newFakeClock()
+	router := newRouter(clock, newBoard(12), newBus(), "n1")
+	need := newNeed(clock.now)
 	choice, err := router.Route(need)
 	is.NoErr(err)
 	text := router.Explain("r1")
--- a/routing/run.go
+++ b/routing/run.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// tick is how often Run looks for something to do.
-	tick = 250 * time.Millisecond
-	// sweepTicks is how many ticks pass between sweeps.
-	sweepTicks = 40
-	// pollAgain is how long an engine is left alone after a poll.
-	pollAgain = 2 * time.Second
-	// pollTimeout bounds one poll.
+	// tickInterval is the time between ticks of Run.
+	tickInterval = 250 * time.Millisecond
+	// ticksPerSweep is the number of ticks between sweeps.
+	ticksPerSweep = 40
+	// minPollInterval is the minimum time between polls of one engine.
+	minPollInterval = 2 * time.Second
+	// pollTimeout bounds the duration of one poll.
 	pollTimeout = time.Second
-	// pollRecent is how long after its last use a replica is polled.
-	pollRecent = 30 * time.Second
+	// pollAfterUse is how long a replica is still polled after its last use.
+	pollAfterUse = 30 * time.Second
 )
 
-// Run polls load reports and cache events and shares load until ctx ends.
+// Run polls load reports and cache events and publishes this node's load until ctx ends.
 func (r *Router) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for count := 1; ; count++ {
 		select {
@@ -34,115 +34,116 @@
 		case <-ticker.C:
 		}
 		r.Tick(ctx)
-		if count%sweepTicks == 0 {
+		if count%ticksPerSweep == 0 {
 			r.sweep()
 		}
 	}
 }
 
-// Tick does what Run does each quarter of a second: it shares what is due and
-// polls some engines.
+// Tick runs one round of Run, every quarter of a second: it publishes due load and
+// circuit reports and polls some engines.
 func (r *Router) Tick(ctx context.Context) {
 	now := r.config.Now()
 	r.publishLoad(now)
-	r.sendCircuits()
+	r.publishCircuitReports()
 	r.poll(ctx, now)
 }
 
 func (r *Router) sweep() {
 	now := r.config.Now()
-	r.sweepHeard(now)
+	r.sweepPeerLoads(now)
 	r.sweepAttempts(now)
 	r.sweepReplicas()
 }
 
-// polled is what one engine answered.
-type polled struct {
+// pollResult is the outcome of polling one engine.
+type pollResult struct {
 	replica *replica
 	report  zinniamast.LoadReport
 	events  []zinniamast.CacheEvent
 	err     error
 }
 
-// poll reads reports and events of some replicas in use, those first that
-// were not read for longest. The number is bounded a second, whatever the
-// fleet's size. Answers are taken in in a fixed order, so that a run in
-// virtual time can be repeated.
+// poll reads the reports and events of some replicas in use, the least recently polled
+// first. The number per second is bounded regardless of the fleet's size. Results are
+// recorded in a fixed order, so that a run in virtual time is reproducible.
 func (r *Router) poll(ctx context.Context, now time.Time) {
 	var group sync.WaitGroup
-	answers := r.due(now)
-	for i := range answers {
-		after := r.sequence(answers[i].replica)
-		group.Go(func() { answers[i].ask(ctx, after) })
+	results := r.startPolls(now)
+	for i := range results {
+		after := r.cacheSequence(results[i].replica)
+		group.Go(func() { results[i].read(ctx, after) })
 	}
 	group.Wait()
-	for i := range answers {
-		r.answered(&answers[i])
+	for i := range results {
+		r.recordPoll(&results[i])
 	}
 }
 
-// due picks the replicas to poll in this tick.
-func (r *Router) due(now time.Time) []polled {
+// startPolls selects the replicas to poll in this tick and marks them as polled.
+func (r *Router) startPolls(now time.Time) []pollResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	most := max(1, int(float64(r.config.PollsASecond)*tick.Seconds()))
+	limit := max(1, int(float64(r.config.PollsPerSecond)*tickInterval.Seconds()))
 	var picked []*replica
 	for _, p := range r.replicas {
-		if p.plain || p.upstream.Engine == nil || p.upstream.Leaving() {
+		if p.servesCalls || p.upstream.Engine == nil || p.upstream.Leaving() {
 			continue
 		}
-		if !p.inUse(now) || now.Sub(p.polled) < pollAgain {
+		if !p.inUse(now) || now.Sub(p.polledAt) < minPollInterval {
 			continue
 		}
-		picked = keepOldest(picked, p, most)
+		picked = keepLeastRecentlyPolled(picked, p, limit)
 	}
 	slices.SortFunc(picked, func(a, b *replica) int { return strings.Compare(a.id, b.id) })
-	answers := make([]polled, len(picked))
+	results := make([]pollResult, len(picked))
 	for i, p := range picked {
-		p.polled = now
-		answers[i].replica = p
+		p.polledAt = now
+		results[i].replica = p
 	}
-	return answers
+	return results
 }
 
-// inUse says whether this node has or recently had work at the replica.
+// inUse reports whether this node has or recently had work at the replica.
 func (p *replica) inUse(now time.Time) bool {
-	return p.own.running > 0 || now.Sub(p.own.last()) < pollRecent
+	return p.own.running > 0 || now.Sub(p.own.lastChangeAt()) < pollAfterUse
 }
 
-// pollsBefore says whether a replica's turn comes first; names decide between equals.
-func (p *replica) pollsBefore(other *replica) bool {
-	if !p.polled.Equal(other.polled) {
-		return p.polled.Before(other.polled)
+// isPolledBefore reports whether a replica is polled before another: the least recently
+// polled first, and by ID if both were polled at the same time.
+func (p *replica) isPolledBefore(other *replica) bool {
+	if !p.polledAt.Equal(other.polledAt) {
+		return p.polledAt.Before(other.polledAt)
 	}
 	return p.id < other.id
 }
 
-// keepOldest adds a replica to those polled longest ago, at most so many.
-func keepOldest(picked []*replica, p *replica, most int) []*replica {
-	if len(picked) < most {
+// keepLeastRecentlyPolled adds a replica to the list and keeps the least recently polled
+// ones, up to the given number.
+func keepLeastRecentlyPolled(picked []*replica, p *replica, limit int) []*replica {
+	if len(picked) < limit {
 		return append(picked, p)
 	}
 	newest := 0
 	for i := range picked {
-		if picked[newest].pollsBefore(picked[i]) {
+		if picked[newest].isPolledBefore(picked[i]) {
 			newest = i
 		}
 	}
-	if p.pollsBefore(picked[newest]) {
+	if p.isPolledBefore(picked[newest]) {
 		picked[newest] = p
 	}
 	return picked
 }
 
-// Poll outcomes as a metric label.
+// Poll outcomes, used as a metric label.
 const (
 	pollRead   = "read"
 	pollFailed = "failed"
 )
 
-// ask reads one engine's report and its cache events after a sequence number.
-func (a *polled) ask(ctx context.Context, after uint64) {
+// read reads one engine's report and its cache events after a sequence number.
+func (a *pollResult) read(ctx context.Context, after uint64) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	engine := a.replica.upstream.Engine
@@ -152,44 +153,44 @@
 	}
 }
 
-// answered takes in what an engine answered.
-func (r *Router) answered(a *polled) {
+// recordPoll records the result of a poll.
+func (r *Router) recordPoll(a *pollResult) {
 	if a.err != nil {
-		r.pollError(a.replica, a.err)
+		r.recordPollError(a.replica, a.err)
 		return
 	}
 	r.metrics.polls.WithLabelValues(pollRead).Inc()
 	r.Reported(a.replica.id, a.report)
-	r.CacheEvents(a.replica.id, a.events)
+	r.RecordCacheEvents(a.replica.id, a.events)
 }
 
-// pollError counts a failed poll. It is not held against the replica: a slow
-// report says nothing of the answers.
-func (r *Router) pollError(p *replica, err error) {
+// recordPollError counts a failed poll. It does not affect the replica's circuit, since
+// a slow report does not imply slow answers.
+func (r *Router) recordPollError(p *replica, err error) {
 	r.metrics.polls.WithLabelValues(pollFailed).Inc()
 	upstream := zinniamast.AsUpstreamError(err)
 	if upstream != nil && upstream.Leaving {
 		r.config.Board.Upstreams.MarkLeaving(p.id, time.Time{})
 	}
-	r.config.Logger.Debug("poll failed", "upstream", p.id, "error", err.Error())
+	r.config.Logger.Debug("engine poll failed", "upstream", p.id, "error", err.Error())
 }
 
-func (r *Router) sequence(p *replica) uint64 {
+func (r *Router) cacheSequence(p *replica) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return p.cache.sequence
+	return p.cache.lastSequence
 }
 
-// sweepReplicas forgets what the blackboard no longer has.
+// sweepReplicas removes idle replicas that are no longer on the blackboard.
 func (r *Router) sweepReplicas() {
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, upstream := range r.config.Board.Upstreams.All() {
-		known[upstream.Instance.ID] = true
+		listed[upstream.Instance.ID] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, p := range r.replicas {
-		if !known[id] && p.own.running == 0 {
+		if !listed[id] && p.own.running == 0 {
 			r.forget(p)
 		}
 	}
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -11,14 +11,14 @@
 	"zinniamast/routing"
 )
 
-// Callers of streams that may not be repeated get nothing until their deadline.
-// One of two replicas goes dark without a reset, and since its requests do not
-// end, none has failed yet; it looks as idle as before. It tells no load any
-// more while its neighbour does, so that new requests go to the neighbour. Once
-// both are silent, whoever reads their load may be cut off, and both are used.
+// Guards against requests that wait until their deadline at an unresponsive replica. One of
+// two replicas stops responding without a connection reset. Since its requests do not end,
+// none has failed yet, and it looks as idle as before. Its load reports stop while the
+// other's continue, so that new requests go to the other. Once both are silent, the poller
+// may be the one that is unreachable, and both are used.
 func TestSilentReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
+	clock := newFakeClock()
 	board := blackboard.New()
 	for _, id := range []string{"dark", "well"} {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -27,7 +27,7 @@
 				FailureDomain: domains[0],
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   16,
 		})
 	}
@@ -36,7 +36,7 @@
 		Node:          "node",
 		FailureDomain: domains[0],
 		SilentAfter:   time.Second,
-		Now:           now.Now,
+		Now:           clock.Now,
 	})
 	need := &zinniamast.Need{
 		Service:      "service",
@@ -44,7 +44,7 @@
 	}
 	report := func(id string, running int) {
 		router.Reported(id, zinniamast.LoadReport{
-			At:      now.Now(),
+			At:      clock.Now(),
 			Running: running,
 		})
 	}
@@ -52,7 +52,7 @@
 	check.NoErr(err)
 	report("dark", 0)
 	for range 4 {
-		now.pass(300 * time.Millisecond)
+		clock.advance(300 * time.Millisecond)
 		report("well", 8)
 	}
 	for range 20 {
@@ -64,7 +64,7 @@
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
-	now.pass(5 * time.Second)
+	clock.advance(5 * time.Second)
 	choice, err = router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -14,17 +14,18 @@
 	"zinniamast/routing"
 )
 
-// passing is a replica that takes requests as they are; nothing is sent to it.
-type passing struct{}
+// passthroughReplica is a replica that receives requests unchanged; the tests send none.
+type passthroughReplica struct{}
 
-func (passing) Send(context.Context, *http.Request) (*http.Response, error) {
-	return nil, fmt.Errorf("nothing is sent")
+func (passthroughReplica) Send(context.Context, *http.Request) (*http.Response, error) {
+	return nil, fmt.Errorf("unexpected request")
 }
 
-func (passing) Close() {}
+func (passthroughReplica) Close() {}
 
-// passingBoard has one replica in the node's failure domain and one in another.
-func passingBoard(slots int) *blackboard.Board {
+// twoReplicaBoard returns a board with one replica in the node's failure domain and one
+// in another.
+func twoReplicaBoard(slots int) *blackboard.Board {
 	board := blackboard.New()
 	for i, domain := range domains[:2] {
 		board.Upstreams.Add(&blackboard.Upstream{
@@ -33,20 +34,20 @@
 				FailureDomain: domain,
 				Service:       "service",
 			},
-			Replica: passing{},
+			Replica: passthroughReplica{},
 			Slots:   slots,
 		})
 	}
 	return board
 }
 
-// Callers see first events seconds late while replicas stand idle: a replica
-// runs four requests at once and says so, and the node goes on sending to it
-// since it trusts every replica with 32. The fifth waits for a slot there.
-func TestFullSlotsSendRequestsElsewhere(t *testing.T) {
+// Guards against requests that queue at a full replica while others are idle. A replica
+// advertises four slots. If the initial limit of 32 sequences applied to it, a fifth
+// request would be sent to it and wait for a slot, seconds before its first event.
+func TestFullReplicaGetsNoNewRequests(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	router := newRouter(now, passingBoard(4), newBus(), "node")
+	clock := newFakeClock()
+	router := newRouter(clock, twoReplicaBoard(4), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:          "service",
 		PromptTokens:     500,
@@ -56,34 +57,34 @@
 	check.NoErr(err)
 	for i := range 4 {
 		attempt := fmt.Sprint(i)
-		begin(router, need, "near", attempt)
+		startAttempt(router, need, "near", attempt)
 		router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedFirstToken,
 			Attempt:  attempt,
 			Upstream: "near",
 		})
 	}
-	// Its prompt is yet to be read, which makes the other replica the slower one.
-	begin(router, need, "far", "long")
+	// The prefill of this prompt is still to do, which makes far the slower replica.
+	startAttempt(router, need, "far", "long")
 	choice, err := router.Route(need)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "far")
 	check.Equal(router.Limit("near"), 4)
 }
 
-// Callers of a service without prompts miss their latency target at one replica
-// while others have room: its calls carry no tokens, so that by tokens the next
-// one is predicted to take as long as the first, however many run there.
-func TestCallsArePredictedByTheirNumber(t *testing.T) {
+// Guards against calls that miss their latency target at one replica while others have
+// capacity. Calls have no tokens: predicted by tokens, the next call would take as long as
+// the first, regardless of how many are in progress.
+func TestCallsArePredictedByCallsInProgress(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
+	clock := newFakeClock()
 	router := routing.New(routing.Config{
-		Board:         passingBoard(6),
+		Board:         twoReplicaBoard(6),
 		Node:          "node",
 		FailureDomain: domains[0],
 		Plain:         func(string) bool { return true },
 		Seed:          5,
-		Now:           now.Now,
+		Now:           clock.Now,
 	})
 	need := &zinniamast.Need{
 		Service:          "service",
@@ -93,20 +94,20 @@
 	alone, err := router.Route(need)
 	check.NoErr(err)
 	for i := range 4 {
-		begin(router, need, "near", fmt.Sprint(i))
+		startAttempt(router, need, "near", fmt.Sprint(i))
 	}
 	fifth, err := router.Route(need)
 	check.NoErr(err)
 	check.True(fifth.FirstToken > alone.FirstToken)
 }
 
-// A caller that allows long pauses is no reason to send fewer requests to a
-// replica: events come each 100 ms, far within the 250 ms that its route
-// allows, though above what the configuration says for models.
-func TestPausesAreJudgedByTheRequestsTarget(t *testing.T) {
+// Guards against a limit that is lowered although the request's own target is met. Events
+// arrive every 100 ms, well within the 250 ms target of the request's route, but above the
+// configuration's target for models.
+func TestLimitUsesTargetOfRequest(t *testing.T) {
 	check := is.New(t)
-	now := newClock()
-	router := newRouter(now, passingBoard(16), newBus(), "node")
+	clock := newFakeClock()
+	router := newRouter(clock, twoReplicaBoard(16), newBus(), "node")
 	need := &zinniamast.Need{
 		Service:      "service",
 		PromptTokens: 500,
@@ -127,7 +128,7 @@
 			Attempt:  attempt,
 			Upstream: "near",
 		})
-		now.pass(2 * time.Second)
+		clock.advance(2 * time.Second)
 		router.Observe(zinniamast.Observation{
 			Kind:         zinniamast.ObservedEnd,
 			Attempt:      attempt,
