--- a/limits/allowance.go
+++ b/limits/allowance.go
@@ -10,79 +10,84 @@
 )
 
 const (
-	// loanMargin is how much longer than the pool a node believes in its loan:
-	// the call that renewed it may have been on its way for callTimeout.
+	// loanMargin is how much longer than the pool a node assumes its loan to be
+	// valid, since the renewing call may have been in transit for its whole timeout.
 	loanMargin = 500 * time.Millisecond
-	// poolTimeout bounds one call to a pool; a crossing between failure domains takes some milliseconds.
+	// poolTimeout bounds one call to a pool; a round trip between failure domains
+	// takes some milliseconds.
 	poolTimeout = 120 * time.Millisecond
-	// shunPool is how long a node that did not answer is not probed.
-	shunPool = 2 * time.Second
-	// renewInterval is how often loans are renewed that no request renews.
+	// probeDelay is the time from a failed call to a node until the node is probed.
+	probeDelay = 2 * time.Second
+	// renewInterval is the period at which loans are renewed, so that they also last
+	// without requests.
 	renewInterval = 700 * time.Millisecond
-	// rosterPoll is how often a node that has just started looks whether it knows
-	// the others.
-	rosterPoll = 20 * time.Millisecond
-	// aloneFor is how long a node that does not reach its failure domain's pool
-	// uses its own part before it asks again: asking lends the part once more, and
-	// one that asked all the time would never have it.
-	aloneFor = 10 * time.Second
-	// probesFailed bounds the probes of one renewal that are not answered.
-	probesFailed = 3
-	// poolsTried is how many nodes a request asks before it is judged here.
-	poolsTried = 2
+	// rosterPollInterval is how often a starting node checks whether it has read the
+	// roster.
+	rosterPollInterval = 20 * time.Millisecond
+	// ownPartDuration is how long a node that cannot reach its failure domain's pool
+	// uses its own part before it calls the pool again. Each call lends the part, so
+	// a node that called continuously could never use it.
+	ownPartDuration = 10 * time.Second
+	// maxFailedProbes bounds the unanswered probes of one renewal.
+	maxFailedProbes = 3
+	// maxPoolAttempts is how many nodes a request calls before the decision is made
+	// locally.
+	maxPoolAttempts = 2
 )
 
-// AllowanceConfig says how a node divides organisations' allowances.
+// AllowanceConfig configures an Allowance.
 type AllowanceConfig struct {
-	// Node is this instance's name, and FailureDomain is where it runs.
+	// Node is this instance's name, and FailureDomain is the one in which it runs.
 	Node          string
 	FailureDomain string
-	// Holders returns all nodes, this one included.
+	// Holders returns all nodes, including this one.
 	Holders func() []Holder
-	// Ask asks another node's pool.
+	// Ask sends a request for tokens to another node's pool.
 	Ask func(ctx context.Context, address string, ask PoolAsk) (PoolAnswer, error)
-	// Renew renews loans to another node's pools.
+	// Renew renews this node's loans to another node's pools.
 	Renew func(ctx context.Context, address string, renewal PoolRenewal) error
-	// NotSent says whether an error of Ask or Renew proves that the call did not
-	// arrive; nil means that none does.
+	// NotSent reports whether an error of Ask or Renew proves that the call did not
+	// arrive; nil means that no error does.
 	NotSent func(err error) bool
-	// Organisations returns those with an allowance, whose loans are renewed.
+	// Organisations returns the organisations with an allowance.
 	Organisations func() []routes.Organisation
-	// Pool is this node's own, and Apart its pool for nodes of its failure domain
-	// that reach no pool of the fleet.
+	// Pool is this node's fleet pool. Apart is its domain pool, which serves nodes
+	// of its failure domain that cannot reach a fleet pool.
 	Pool  *Pool
 	Apart *Pool
-	// Logger hears of pools that do not answer; nil means slog's default.
+	// Logger receives messages about unresponsive pools; nil means slog.Default().
 	Logger *slog.Logger
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Allowance takes from organisations' allowances. Each organisation's is
-// pooled at one node, found by hashing; nodes that reach no such pool share
-// their parts in one of their failure domain.
+// Allowance takes tokens from organisations' allowances. Each node has an equal
+// part of every allowance. All nodes lend their parts to the organisation's fleet
+// pool, whose node is found by rendezvous hashing; nodes that cannot reach it lend
+// them to a domain pool, found in the same way within their failure domain.
 //
-// Load: requests of one organisation differ in size by a factor of fifty, and
-// callers come unevenly to the nodes. Divided into fixed parts, an allowance
-// that is half used refuses the largest requests; pooled, it admits them. The
-// same holds while a failure domain is cut off: of its requests, at 0.6 of its
-// part of the allowance, nodes with a part each refused 31 of 200, and with a
-// pool of the domain none (TestCutOffFailureDomainPoolsItsParts).
+// Requests of one organisation differ in size by a factor of fifty, and callers
+// spread unevenly over the nodes, so an allowance divided into fixed parts refuses
+// the largest requests when it is half used, whereas a pooled one admits them.
+// The same applies while a failure domain is partitioned: at a load of 0.6 of the
+// domain's part, nodes that each use their own part refuse 31 of 200 requests, and
+// nodes with a domain pool refuse none (TestCutOffFailureDomainPoolsItsParts).
 type Allowance struct {
 	config AllowanceConfig
 
 	mu sync.Mutex
-	// lent holds where this node's part of an organisation's allowance is.
-	lent map[string]lending
-	// shunned holds nodes that did not answer, and when they are probed.
-	shunned map[string]time.Time
-	// apart holds organisations whose pool of the fleet is not reached.
-	apart map[string]bool
-	// alone holds until when the failure domain's pool is not asked.
-	alone map[string]time.Time
+	// outgoing holds this node's loan of its part, by organisation.
+	outgoing map[string]outgoingLoan
+	// suspected holds when to probe the nodes that did not answer, by node ID.
+	suspected map[string]time.Time
+	// isolated holds the organisations whose fleet pool is unreachable.
+	isolated map[string]bool
+	// ownPartUntil holds, by organisation, until when this node uses its own part
+	// and does not call the domain pool.
+	ownPartUntil map[string]time.Time
 }
 
-// NewAllowance returns an allowance without loans; Run renews them.
+// NewAllowance returns an allowance without loans; Run lends and renews them.
 func NewAllowance(config AllowanceConfig) *Allowance {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -91,24 +96,25 @@
 		config.Logger = slog.Default()
 	}
 	return &Allowance{
-		config:  config,
-		lent:    map[string]lending{},
-		shunned: map[string]time.Time{},
-		apart:   map[string]bool{},
-		alone:   map[string]time.Time{},
+		config:       config,
+		outgoing:     map[string]outgoingLoan{},
+		suspected:    map[string]time.Time{},
+		isolated:     map[string]bool{},
+		ownPartUntil: map[string]time.Time{},
 	}
 }
 
-// pool is this node's pool of a kind.
-func (a *Allowance) pool(apart bool) *Pool {
-	if apart {
+// pool returns this node's domain pool or its fleet pool.
+func (a *Allowance) pool(domainPool bool) *Pool {
+	if domainPool {
 		return a.config.Apart
 	}
 	return a.config.Pool
 }
 
-// Take takes an amount for a request of a rank, the most urgent being 0, or
-// returns when it will be there.
+// Take takes an amount of an organisation's allowance for a request of the given
+// rank, 0 being the most urgent. If the amount is not available, it returns false
+// and the time until it will be.
 func (a *Allowance) Take(ctx context.Context, o *routes.Organisation, amount float64, rank int) (time.Duration, bool) {
 	holders := a.config.Holders()
 	ask := PoolAsk{
@@ -118,20 +124,21 @@
 		Amount:       amount,
 		Keep:         keepFor(amount, rank),
 	}
-	answer, ok := a.pooled(ctx, ask, holders)
+	answer, ok := a.takeFromFleetPool(ctx, ask, holders)
 	if !ok {
-		answer = a.takeApart(ctx, ask, holders)
+		answer = a.takeFromDomainPool(ctx, ask, holders)
 	}
 	return answer.Wait, answer.Granted
 }
 
-// pooled asks the organisation's pool of the fleet; false means that none answered.
-func (a *Allowance) pooled(ctx context.Context, ask PoolAsk, holders []Holder) (PoolAnswer, bool) {
-	if a.isApart(ask.Organisation) {
+// takeFromFleetPool takes from the organisation's fleet pool; it returns false if
+// no fleet pool answered.
+func (a *Allowance) takeFromFleetPool(ctx context.Context, ask PoolAsk, holders []Holder) (PoolAnswer, bool) {
+	if a.isIsolated(ask.Organisation) {
 		return PoolAnswer{}, false
 	}
-	for range poolsTried {
-		holder, ok := a.holder(ask.Organisation, holders)
+	for range maxPoolAttempts {
+		holder, ok := a.fleetHolder(ask.Organisation, holders)
 		if !ok {
 			break
 		}
@@ -139,51 +146,53 @@
 			ask.Starts = a.lend(ask.Organisation, holder.ID, false)
 			return a.config.Pool.Answer(ask), true
 		}
-		if answer, err := a.ask(ctx, holder, ask); err == nil {
+		if answer, err := a.askPool(ctx, holder, ask); err == nil {
 			return answer, true
 		}
 	}
-	// A node that has just started knows of no other for some milliseconds.
+	// An empty roster is no sign of isolation: a starting node has not read it for
+	// some milliseconds.
 	if len(holders) > 0 {
-		a.setApart(ask.Organisation, true)
+		a.setIsolated(ask.Organisation, true)
 	}
 	return PoolAnswer{}, false
 }
 
-// takeApart takes from the failure domain's pool, or, where that does not
-// answer either, from this node's own part.
-func (a *Allowance) takeApart(ctx context.Context, ask PoolAsk, holders []Holder) PoolAnswer {
+// takeFromDomainPool takes from the domain pool or, if that does not answer either,
+// from this node's own part.
+func (a *Allowance) takeFromDomainPool(ctx context.Context, ask PoolAsk, holders []Holder) PoolAnswer {
 	ask.Apart = true
-	for tried := 0; ; tried++ {
+	for attempts := 0; ; attempts++ {
 		holder := a.domainHolder(ask.Organisation, holders)
 		if holder.ID == a.config.Node {
 			break
 		}
-		if tried == poolsTried {
-			a.leaveAlone(ask.Organisation)
+		if attempts == maxPoolAttempts {
+			a.useOwnPart(ask.Organisation)
 			break
 		}
-		if answer, err := a.ask(ctx, holder, ask); err == nil {
+		if answer, err := a.askPool(ctx, holder, ask); err == nil {
 			return answer
 		}
 	}
-	// Failure: a node that knew of no other yet noted its small part as lent to
-	// itself; when it knew of them, its whole part counted nowhere for 2.5 s.
+	// A node that has not read the roster must not record a loan of its assumed,
+	// small part to itself: after it read the roster, its actual part would count
+	// nowhere for 2.5 s.
 	if len(holders) > 0 {
 		ask.Starts = a.lend(ask.Organisation, a.config.Node, true)
 	}
 	return a.config.Apart.Answer(ask)
 }
 
-// ask lends this node's part and takes from another node's pool.
-func (a *Allowance) ask(ctx context.Context, holder Holder, ask PoolAsk) (PoolAnswer, error) {
+// askPool lends this node's part to another node's pool and takes from that pool.
+func (a *Allowance) askPool(ctx context.Context, holder Holder, ask PoolAsk) (PoolAnswer, error) {
 	ask.Starts = a.lend(ask.Organisation, holder.ID, ask.Apart)
 	ctx, cancel := context.WithTimeout(ctx, poolTimeout)
 	defer cancel()
 	answer, err := a.config.Ask(ctx, holder.Address, ask)
 	if err != nil {
-		a.shun(holder, err)
-		a.takeBack(ask.Organisation, holder.ID, ask.Apart, err)
+		a.suspect(holder, err)
+		a.undoLend(ask.Organisation, holder.ID, ask.Apart, err)
 	}
 	return answer, err
 }
--- a/limits/crowd_test.go
+++ b/limits/crowd_test.go
@@ -11,15 +11,15 @@
 	"zinniamast/limits"
 )
 
-// kind is a kind of request in a crowd.
-type kind struct {
+// requestKind is a kind of request in a crowd.
+type requestKind struct {
 	name   string
 	amount float64
 	rank   int
-	// second is how many come in a second.
-	second int
+	// perSecond is how many come in a second.
+	perSecond int
 
-	asked, granted int
+	sent, granted int
 }
 
 // An organisation sends six times its usual. Its long summaries, the most
@@ -27,7 +27,7 @@
 // refused, while labels, the least urgent, all went through. Summaries now get
 // what labels leave, questions and bookings go on nearly untouched, and in a
 // quiet second nothing at all is refused.
-func TestCrowdOfOneOrganisation(t *testing.T) {
+func TestOverloadedAllowanceFavoursUrgentRequests(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(1)
 	f.organisation.Rate = 360_000
@@ -38,37 +38,37 @@
 		Slack:   140_000,
 	}
 	f.start("node-0")
-	summary := &kind{
-		name:   "summary",
-		amount: 18_000,
-		rank:   0,
-		second: 60,
+	summary := &requestKind{
+		name:      "summary",
+		amount:    18_000,
+		rank:      0,
+		perSecond: 60,
 	}
-	question := &kind{
-		name:   "question",
-		amount: 1_100,
-		rank:   1,
-		second: 100,
+	question := &requestKind{
+		name:      "question",
+		amount:    1_100,
+		rank:      1,
+		perSecond: 100,
 	}
-	label := &kind{
-		name:   "label",
-		amount: 2_400,
-		rank:   2,
-		second: 110,
+	label := &requestKind{
+		name:      "label",
+		amount:    2_400,
+		rank:      2,
+		perSecond: 110,
 	}
-	booking := &kind{
-		name:   "booking",
-		amount: 200,
-		rank:   2,
-		second: 30,
+	booking := &requestKind{
+		name:      "booking",
+		amount:    200,
+		rank:      2,
+		perSecond: 30,
 	}
-	kinds := []*kind{summary, question, label, booking}
+	kinds := []*requestKind{summary, question, label, booking}
 	play := func(seconds int, usual int) {
 		random := rand.New(rand.NewPCG(1, 2))
-		var order []*kind
+		var order []*requestKind
 		for _, k := range kinds {
-			k.asked, k.granted = 0, 0
-			for range k.second / usual {
+			k.sent, k.granted = 0, 0
+			for range k.perSecond / usual {
 				order = append(order, k)
 			}
 		}
@@ -77,14 +77,14 @@
 			for _, k := range order {
 				f.now = f.now.Add(time.Second / time.Duration(len(order)))
 				_, granted := f.allowances["node-0"].Take(context.Background(), &f.organisation, k.amount, k.rank)
-				k.asked++
+				k.sent++
 				if granted {
 					k.granted++
 				}
 			}
 		}
 	}
-	share := func(k *kind) float64 { return float64(k.granted) / float64(k.asked) }
+	share := func(k *requestKind) float64 { return float64(k.granted) / float64(k.sent) }
 
 	for range 4 {
 		f.allowances["node-0"].Renew(context.Background())
@@ -92,11 +92,11 @@
 	}
 	play(2, 6)
 	for _, k := range kinds {
-		check.Equal(k.granted, k.asked)
+		check.Equal(k.granted, k.sent)
 	}
 	play(10, 1)
 	for _, k := range kinds {
-		t.Logf("%s: %.2f of %d", k.name, share(k), k.asked)
+		t.Logf("%s: %.2f of %d", k.name, share(k), k.sent)
 	}
 	check.True(share(summary) > 0.2) // 0.06 without
 	check.True(share(question) > 0.7)
--- a/limits/fair.go
+++ b/limits/fair.go
@@ -7,65 +7,67 @@
 	"time"
 )
 
-// claim is one organisation's part in a division.
+// claim is one organisation's demand and weight in a division of capacity.
 type claim struct {
 	hash   uint64
 	demand float64
 	weight float64
 }
 
-// part is one organisation's place in a division: the work it used over all
-// nodes, and the work it is entitled to, whether it asks for it or not.
-type part struct {
+// fairShare is the work that one organisation used over all nodes, and the work
+// that it is entitled to, regardless of its demand.
+type fairShare struct {
 	used     float64
 	entitled float64
 }
 
-// within says how far the organisation is within its share: 0 at it or
-// beyond, 1 well within it.
-func (p part) within() float64 {
-	if p.entitled <= 0 {
+// headroom returns how far the organisation is below its share: 0 at or above
+// it, 1 at fullHeadroom below it or further.
+func (s fairShare) headroom() float64 {
+	if s.entitled <= 0 {
 		return 0
 	}
-	return min(max((1-p.used/p.entitled)/wellWithin, 0), 1)
+	return min(max((1-s.used/s.entitled)/fullHeadroom, 0), 1)
 }
 
-// pause is how long an organisation beyond its share has to pause to come back to it.
-func (p part) pause() time.Duration {
-	if p.entitled <= 0 {
+// recoveryTime returns how long an organisation above its share must send nothing
+// until its usage has decayed to the share.
+func (s fairShare) recoveryTime() time.Duration {
+	if s.entitled <= 0 {
 		return usageWindow
 	}
-	return time.Duration(float64(usageWindow) * math.Log(p.used/p.entitled))
+	return time.Duration(float64(usageWindow) * math.Log(s.used/s.entitled))
 }
 
-// division is the parts of all organisations at one service.
-type division map[uint64]part
+// serviceShares holds the shares of all organisations at one service, by account hash.
+type serviceShares map[uint64]fairShare
 
-// divide returns an account's part of what the fleet admits at its service.
-func (u *usage) divide(hash uint64, weights map[uint64]float64) part {
+// shareOf returns an account's share of the work that the fleet admits at its service.
+func (u *usage) shareOf(hash uint64, weights map[uint64]float64) fairShare {
 	service := serviceOf(hash)
-	known, ok := u.divisions[service]
+	shares, ok := u.shares[service]
 	if !ok {
-		known = fairShares(u.fleet(service), weights)
-		u.divisions[service] = known
+		shares = divideFairly(u.fleetTotals(service), weights)
+		u.shares[service] = shares
 	}
-	return known[hash]
+	return shares[hash]
 }
 
-// divided counts work that was let in since the division was made.
-func (u *usage) divided(hash uint64, work float64) {
-	known, ok := u.divisions[serviceOf(hash)]
+// addAdmitted adds work that was admitted since the shares were computed.
+func (u *usage) addAdmitted(hash uint64, work float64) {
+	shares, ok := u.shares[serviceOf(hash)]
 	if !ok {
 		return
 	}
-	p := known[hash]
-	p.used += work
-	known[hash] = p
+	s := shares[hash]
+	s.used += work
+	shares[hash] = s
 }
 
-// fairShares divides what the fleet admits at a service among the
-// organisations by weight. What one does not ask for goes to the rest.
-func fairShares(all map[uint64]totals, weights map[uint64]float64) division {
+// divideFairly divides the work that the fleet admits at a service among the
+// organisations by weight (weighted max-min fairness): entitlements beyond an
+// organisation's demand go to the others.
+func divideFairly(all map[uint64]totals, weights map[uint64]float64) serviceShares {
 	claims := make([]claim, 0, len(all))
 	for hash, t := range all {
 		claims = append(claims, claim{
@@ -75,30 +77,31 @@
 		})
 	}
 	slices.SortFunc(claims, func(a, b claim) int {
-		if byNeed := cmp.Compare(a.demand/a.weight, b.demand/b.weight); byNeed != 0 {
-			return byNeed
+		if byDemand := cmp.Compare(a.demand/a.weight, b.demand/b.weight); byDemand != 0 {
+			return byDemand
 		}
 		return cmp.Compare(a.hash, b.hash)
 	})
-	left, weight := 0.0, 0.0
+	remaining, weight := 0.0, 0.0
 	for _, c := range claims {
-		left += all[c.hash].admitted
+		remaining += all[c.hash].admitted
 		weight += c.weight
 	}
-	shares := make(division, len(claims))
+	shares := make(serviceShares, len(claims))
 	for _, c := range claims {
-		entitled := left * c.weight / weight
-		shares[c.hash] = part{
+		entitled := remaining * c.weight / weight
+		shares[c.hash] = fairShare{
 			used:     all[c.hash].admitted,
 			entitled: entitled,
 		}
-		left -= min(c.demand, entitled)
+		remaining -= min(c.demand, entitled)
 		weight -= c.weight
 	}
 	return shares
 }
 
-// weightOf returns an organisation's weight; one that the configuration does not name counts once.
+// weightOf returns the weight of an organisation's account; it is 1 if the
+// configuration does not name the organisation.
 func weightOf(weights map[uint64]float64, hash uint64) float64 {
 	if weight, ok := weights[hash]; ok && weight > 0 {
 		return weight
--- a/limits/gossip.go
+++ b/limits/gossip.go
@@ -10,65 +10,67 @@
 	"zinniamast"
 )
 
-// Usage news begins with the length and name of the failure domain; items of
-// usageItemBytes follow: the account's hash, the work offered and admitted.
+// A usage item of the gossip begins with the length and name of the failure
+// domain. Entries of usageItemBytes follow: the account's hash and the work
+// offered and admitted.
 const (
 	usageItemBytes   = 16
-	usageExpires     = 20 * time.Second
+	usageTTL         = 20 * time.Second
 	minUsageInterval = time.Second
-	// usageBytesASecond bounds what a node hears of usage from its failure domain.
-	usageBytesASecond = 1500
-	keyNode           = "node"
-	keyDomain         = "domain"
+	// usageBytesPerSecond bounds the usage that a node receives from its failure domain.
+	usageBytesPerSecond = 1500
+	keyNode             = "node"
+	keyDomain           = "domain"
 )
 
-// usageItem is one account's work as news carries it.
+// usageItem is one account's work as it is encoded in gossip.
 type usageItem struct {
 	hash uint64
 	totals
 }
 
-// heardUsage is what one node, or one failure domain, said last.
-type heardUsage struct {
+// receivedUsage is the latest usage received from one node or one failure domain.
+type receivedUsage struct {
 	items   []usageItem
 	expires time.Time
 }
 
-// remoteUsage is what others said: nodes of the own failure domain each for
-// themselves, other failure domains as sums.
+// remoteUsage is the usage received from others: by node within the own failure
+// domain, and as one sum for each other failure domain.
 type remoteUsage struct {
-	nodes   map[string]heardUsage
-	domains map[string]heardUsage
+	nodes   map[string]receivedUsage
+	domains map[string]receivedUsage
 }
 
 func newRemoteUsage() remoteUsage {
 	return remoteUsage{
-		nodes:   map[string]heardUsage{},
-		domains: map[string]heardUsage{},
+		nodes:   map[string]receivedUsage{},
+		domains: map[string]receivedUsage{},
 	}
 }
 
-// expire forgets who has said nothing for long: a failure domain that is cut
-// off shares nothing with this one, and its part goes to who is here.
+// expire deletes usage that was not renewed in time: a partitioned failure domain
+// does not compete for the capacity of this one, so its share goes to the
+// organisations that are active here.
 func (r *remoteUsage) expire(now time.Time) {
-	for _, heard := range []map[string]heardUsage{r.nodes, r.domains} {
-		for origin, said := range heard {
-			if now.After(said.expires) {
-				delete(heard, origin)
+	for _, received := range []map[string]receivedUsage{r.nodes, r.domains} {
+		for origin, report := range received {
+			if now.After(report.expires) {
+				delete(received, origin)
 			}
 		}
 	}
 }
 
-// addTo adds what others use of a service.
+// addTo adds the usage that others reported for a service.
 func (r *remoteUsage) addTo(all map[uint64]totals, service uint32) {
-	addHeard(all, r.nodes, service)
-	addHeard(all, r.domains, service)
+	addReceived(all, r.nodes, service)
+	addReceived(all, r.domains, service)
 }
 
-func addHeard(all map[uint64]totals, heard map[string]heardUsage, service uint32) {
-	for _, said := range heard {
-		for _, item := range said.items {
+func addReceived(all map[uint64]totals, received map[string]receivedUsage, service uint32) {
+	for _, report := range received {
+		for _, item := range report.items {
 			if serviceOf(item.hash) != service {
 				continue
 			}
@@ -82,12 +84,12 @@
 
 func (l *Limiter) subscribe() {
 	if l.config.Gossip != nil {
-		l.config.Gossip.Subscribe(zinniamast.TopicUsage, l.hearUsage)
+		l.config.Gossip.Subscribe(zinniamast.TopicUsage, l.receiveUsage)
 	}
 }
 
-// hearUsage puts news in place of what its origin said before.
-func (l *Limiter) hearUsage(news zinniamast.News) {
+// receiveUsage replaces the usage previously received from the same origin.
+func (l *Limiter) receiveUsage(news zinniamast.News) {
 	if news.Origin == l.config.Node {
 		return
 	}
@@ -95,37 +97,38 @@
 	if !ok {
 		return
 	}
-	said := heardUsage{
+	report := receivedUsage{
 		items:   items,
 		expires: news.Expires,
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	inside := domain == l.config.FailureDomain
+	sameDomain := domain == l.config.FailureDomain
 	switch {
-	case news.Key == keyNode && inside:
-		l.usage.remote.nodes[news.Origin] = said
-	case news.Key == keyDomain && !inside:
-		l.usage.remote.domains[domain] = said
+	case news.Key == keyNode && sameDomain:
+		l.usage.remote.nodes[news.Origin] = report
+	case news.Key == keyDomain && !sameDomain:
+		l.usage.remote.domains[domain] = report
 	}
 }
 
-// publishUsage tells the failure domain what this node admits; the first live
-// node tells the other failure domains the sum. A node hears some bytes from
-// each neighbour and each failure domain, whatever the fleet's size.
+// publishUsage publishes this node's usage within the failure domain; the first
+// live node also publishes the domain's sum to the other failure domains. The
+// bytes that a node receives thus depend on the number of nodes in its failure
+// domain and of failure domains, not on the size of the fleet.
 func (l *Limiter) publishUsage(now time.Time) {
 	if l.config.Gossip == nil || now.Before(l.nextUsage) {
 		return
 	}
-	own, sum := l.gather(now)
-	nodes, first := l.neighbours()
+	own, sums := l.collectUsage(now)
+	nodes, first := l.liveDomainNodes()
 	value := encodeUsage(l.config.FailureDomain, own)
-	l.nextUsage = now.Add(max(minUsageInterval, time.Duration(nodes*len(value))*time.Second/usageBytesASecond))
+	l.nextUsage = now.Add(max(minUsageInterval, time.Duration(nodes*len(value))*time.Second/usageBytesPerSecond))
 	l.config.Gossip.Publish(zinniamast.News{
 		Topic:   zinniamast.TopicUsage,
 		Key:     keyNode,
 		Value:   value,
-		Expires: now.Add(usageExpires),
+		Expires: now.Add(usageTTL),
 	})
 	if !first {
 		return
@@ -133,14 +136,15 @@
 	l.config.Gossip.Publish(zinniamast.News{
 		Topic:   zinniamast.TopicUsage,
 		Key:     keyDomain,
-		Value:   encodeUsage(l.config.FailureDomain, sum),
-		Expires: now.Add(usageExpires),
+		Value:   encodeUsage(l.config.FailureDomain, sums),
+		Expires: now.Add(usageTTL),
 		Wide:    true,
 	})
 }
 
-// gather lists this node's accounts, and the sums of its failure domain.
-func (l *Limiter) gather(now time.Time) (own, sums []usageItem) {
+// collectUsage returns the usage of this node's accounts and the sums over its
+// failure domain.
+func (l *Limiter) collectUsage(now time.Time) (own, sums []usageItem) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.usage.decay(now)
@@ -156,8 +160,8 @@
 		})
 		domain[a.hash] = t
 	}
-	for _, said := range l.usage.remote.nodes {
-		for _, item := range said.items {
+	for _, report := range l.usage.remote.nodes {
+		for _, item := range report.items {
 			t := domain[item.hash]
 			t.offered += item.offered
 			t.admitted += item.admitted
@@ -173,8 +177,9 @@
 	return own, sums
 }
 
-// neighbours counts the live nodes of the failure domain and says whether this one is the first by name.
-func (l *Limiter) neighbours() (nodes int, first bool) {
+// liveDomainNodes returns the number of live nodes in the failure domain and
+// whether this node is the first of them by name.
+func (l *Limiter) liveDomainNodes() (nodes int, first bool) {
 	first = true
 	for _, member := range l.config.Board.Members.All() {
 		if member.FailureDomain != l.config.FailureDomain || member.Dead || member.Leaving {
@@ -188,7 +193,7 @@
 	return max(nodes, 1), first
 }
 
-// encodeUsage writes the accounts with the most work, as many as fit.
+// encodeUsage encodes as many accounts as fit, those with the most work first.
 func encodeUsage(domain string, items []usageItem) []byte {
 	slices.SortFunc(items, func(a, b usageItem) int {
 		if byWork := cmp.Compare(b.offered, a.offered); byWork != 0 {
@@ -208,7 +213,8 @@
 	return value
 }
 
-// decodeUsage reads news of usage; it reports false for what is not well formed.
+// decodeUsage decodes usage received by gossip; it returns false if the value is
+// malformed.
 func decodeUsage(value []byte) (domain string, items []usageItem, ok bool) {
 	if len(value) == 0 || len(value) < 1+int(value[0]) {
 		return "", nil, false
--- a/limits/holders.go
+++ b/limits/holders.go
@@ -8,70 +8,71 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Holder is a node that may hold pools.
+// Holder is a node that can hold allowance pools.
 type Holder struct {
-	// ID names it, and Address is where it is asked.
+	// ID is the node's name, and Address is where its pools are called.
 	ID            string
 	FailureDomain string
 	Address       string
 }
 
-// elsewhere returns a node of another failure domain, or another node where
-// there is one failure domain alone; an empty one if none of them answered
-// lately, and false if there is none.
-func (a *Allowance) elsewhere(holders []Holder) (Holder, bool) {
-	among := func(h Holder) bool { return h.FailureDomain != a.config.FailureDomain }
-	if !slices.ContainsFunc(holders, among) {
-		among = func(h Holder) bool { return h.ID != a.config.Node }
+// outsideHolder returns a node of another failure domain or, if there is only one
+// failure domain, another node. The Holder is empty if all such nodes are
+// suspected; the bool is false if there are none.
+func (a *Allowance) outsideHolder(holders []Holder) (Holder, bool) {
+	eligible := func(h Holder) bool { return h.FailureDomain != a.config.FailureDomain }
+	if !slices.ContainsFunc(holders, eligible) {
+		eligible = func(h Holder) bool { return h.ID != a.config.Node }
 	}
-	other, _ := a.highest(a.config.Node, holders, among)
-	return other, slices.ContainsFunc(holders, among)
+	other, _ := a.highestHash(a.config.Node, holders, eligible)
+	return other, slices.ContainsFunc(holders, eligible)
 }
 
-func (a *Allowance) apartFrom() []string {
+func (a *Allowance) isolatedOrganisations() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Collect(maps.Keys(a.apart))
+	return slices.Collect(maps.Keys(a.isolated))
 }
 
-func (a *Allowance) isApart(organisation string) bool {
+func (a *Allowance) isIsolated(organisation string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.apart[organisation]
+	return a.isolated[organisation]
 }
 
-func (a *Allowance) setApart(organisation string, apart bool) {
+func (a *Allowance) setIsolated(organisation string, isolated bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if apart {
-		a.apart[organisation] = true
+	if isolated {
+		a.isolated[organisation] = true
 		return
 	}
-	delete(a.apart, organisation)
+	delete(a.isolated, organisation)
 }
 
-// unknownNodes is how many nodes a node reckons with that knows of none: one
-// that starts during an outage of the store must not take the whole for its part.
-const unknownNodes = 64
+// assumedNodes is the assumed size of the fleet before the roster is read: a node
+// that starts during a store outage must not use the whole allowance as its part.
+const assumedNodes = 64
 
-// partOf is each node's part of an allowance.
+// partOf returns each node's part of an allowance, as a fraction.
 func partOf(holders []Holder) float64 {
 	if len(holders) == 0 {
-		return 1.0 / unknownNodes
+		return 1.0 / assumedNodes
 	}
 	return 1 / float64(len(holders))
 }
 
-// holder returns the node with the highest hash for an organisation among
-// those that answer.
-func (a *Allowance) holder(organisation string, holders []Holder) (Holder, bool) {
-	return a.highest(organisation, holders, func(Holder) bool { return true })
+// fleetHolder returns the node that holds an organisation's fleet pool: the one
+// with the highest hash among the nodes that are not suspected.
+func (a *Allowance) fleetHolder(organisation string, holders []Holder) (Holder, bool) {
+	return a.highestHash(organisation, holders, func(Holder) bool { return true })
 }
 
-// domainHolder returns that of this failure domain; this node if none answers.
+// domainHolder returns the node that holds an organisation's domain pool. It is
+// this node if all nodes of the domain are suspected or this node uses its own part.
 func (a *Allowance) domainHolder(organisation string, holders []Holder) Holder {
-	holder, ok := a.highest(organisation, holders, func(h Holder) bool { return h.FailureDomain == a.config.FailureDomain })
-	if !ok || a.isAlone(organisation) {
+	holder, ok := a.highestHash(organisation, holders, func(h Holder) bool { return h.FailureDomain == a.config.FailureDomain })
+	if !ok || a.usesOwnPart(organisation) {
 		return Holder{
 			ID: a.config.Node,
 		}
@@ -79,27 +80,27 @@
 	return holder
 }
 
-func (a *Allowance) isAlone(organisation string) bool {
+func (a *Allowance) usesOwnPart(organisation string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.config.Now().Before(a.alone[organisation])
+	return a.config.Now().Before(a.ownPartUntil[organisation])
 }
 
-// leaveAlone asks the failure domain's pool no more until this node's part has
-// come back and was used for a while.
-func (a *Allowance) leaveAlone(organisation string) {
+// useOwnPart stops calls to the domain pool until this node's loan has expired and
+// the node has used its own part for ownPartDuration.
+func (a *Allowance) useOwnPart(organisation string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.alone[organisation] = a.lent[organisation].until.Add(aloneFor)
+	a.ownPartUntil[organisation] = a.outgoing[organisation].until.Add(ownPartDuration)
 }
 
-func (a *Allowance) highest(organisation string, holders []Holder, among func(Holder) bool) (Holder, bool) {
+func (a *Allowance) highestHash(organisation string, holders []Holder, eligible func(Holder) bool) (Holder, bool) {
 	seed := xxh3.HashString(organisation)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	best, highest, found := Holder{}, uint64(0), false
 	for _, h := range holders {
-		if _, shunned := a.shunned[h.ID]; shunned || !among(h) {
+		if _, suspected := a.suspected[h.ID]; suspected || !eligible(h) {
 			continue
 		}
 		if hash := xxh3.HashStringSeed(h.ID, seed); !found || hash > highest {
@@ -109,29 +110,29 @@
 	return best, found
 }
 
-// shun asks a node no more until it has answered a probe.
-func (a *Allowance) shun(holder Holder, err error) {
+// suspect stops calls to a node until it has answered a probe.
+func (a *Allowance) suspect(holder Holder, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.shunned[holder.ID] = a.config.Now().Add(shunPool)
-	a.config.Logger.Info("pool does not answer", "node", holder.ID, "cause", err)
+	a.suspected[holder.ID] = a.config.Now().Add(probeDelay)
+	a.config.Logger.Info("node of an allowance pool did not answer", "node", holder.ID, "cause", err)
 }
 
-// suspects returns the shunned nodes that are to be probed, the one that has
-// waited longest first. Nodes that are on the roster no more are forgotten.
-func (a *Allowance) suspects(holders []Holder) []Holder {
+// suspectsDue returns the suspected nodes that are due for a probe, the longest
+// overdue first. It deletes nodes that are no longer on the roster.
+func (a *Allowance) suspectsDue(holders []Holder) []Holder {
 	now := a.config.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	maps.DeleteFunc(a.shunned, func(id string, _ time.Time) bool {
+	maps.DeleteFunc(a.suspected, func(id string, _ time.Time) bool {
 		return !slices.ContainsFunc(holders, func(h Holder) bool { return h.ID == id })
 	})
 	var due []Holder
 	for _, h := range holders {
-		if at, shunned := a.shunned[h.ID]; shunned && !now.Before(at) {
+		if at, suspected := a.suspected[h.ID]; suspected && !now.Before(at) {
 			due = append(due, h)
 		}
 	}
-	slices.SortFunc(due, func(x, y Holder) int { return a.shunned[x.ID].Compare(a.shunned[y.ID]) })
+	slices.SortFunc(due, func(x, y Holder) int { return a.suspected[x.ID].Compare(a.suspected[y.ID]) })
 	return due
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,7 +1,8 @@
-// Package limits decides whether a request may begin: by what can still
-// arrive on time, by the organisations' shares and by the node's memory.
+// Package limits implements admission control: a request is admitted if its
+// answer can meet its deadline, its organisation stays within its share, and the
+// node has memory for it.
 //
-// One lock guards the counts of usage. It is held for microseconds and never
+// One lock guards the usage counts. It is held for microseconds and never
 // during a call to another package.
 package limits
 
@@ -17,43 +18,44 @@
 	"zinniamast/blackboard"
 )
 
-// Config says what the limiter works from.
+// Config configures a Limiter.
 type Config struct {
-	// Board holds the configuration in force and the members.
+	// Board holds the current configuration and the cluster members.
 	Board *blackboard.Board
 	// Node is this instance's name.
 	Node string
-	// FailureDomain is where the node runs.
+	// FailureDomain is the failure domain in which the node runs.
 	FailureDomain string
-	// Gossip carries usage between nodes; nil means a node on its own.
+	// Gossip exchanges usage between nodes; nil means a single node.
 	Gossip zinniamast.Gossip
-	// Predictor tells what can arrive on time; nil admits by memory alone.
+	// Predictor forecasts waits and completion times; nil admits by memory alone.
 	Predictor Predictor
-	// MemoryCap bounds prompts and partial answers, in bytes; 512 MiB if zero.
+	// MemoryCap bounds the memory of prompts and partial answers, in bytes;
+	// zero means 512 MiB.
 	MemoryCap int64
-	// Logger hears of refusals at debug level; nil is silent.
+	// Logger receives refusals at debug level; nil discards them.
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Predictor tells what a request could expect if it began now.
+// Predictor forecasts the wait and completion time of a request that starts now.
 type Predictor interface {
-	// Forecast predicts for the replica that routing would choose.
+	// Forecast returns the forecast for the replica that routing would choose.
 	Forecast(need *zinniamast.Need) Forecast
 }
 
-// Forecast is what a request could expect.
+// Forecast is the predicted cost and timing of a request.
 type Forecast struct {
-	// Replicas is how many replicas were found that take work.
+	// Replicas is the number of replicas that accept work.
 	Replicas int
-	// Wait is the time before anything is computed for the request.
+	// Wait is the time before computation for the request starts.
 	Wait time.Duration
-	// Completion is the time to the whole answer, Wait included.
+	// Completion is the time to the complete answer, including Wait.
 	Completion time.Duration
-	// Work is the machine time that the request takes.
+	// Work is the compute time that the request takes.
 	Work time.Duration
 }
 
@@ -65,18 +67,18 @@
 	metrics *metrics
 	memory  atomic.Int64
 
-	mu    sync.Mutex
-	usage usage
-	table weightTable
-	// nextUsage belongs to Run alone.
+	mu            sync.Mutex
+	usage         usage
+	cachedWeights weightTable
+	// nextUsage is when usage is published next; only Run accesses it.
 	nextUsage time.Time
 }
 
 var _ zinniamast.Limiter = (*Limiter)(nil)
 
-// New returns a limiter that holds nothing yet.
+// New returns a limiter without admitted requests.
 func New(config Config) *Limiter {
-	config.fill()
+	config.setDefaults()
 	l := &Limiter{
 		config: config,
 		usage:  newUsage(),
@@ -86,7 +88,7 @@
 	return l
 }
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	if c.MemoryCap == 0 {
 		c.MemoryCap = defaultMemoryCap
 	}
@@ -104,7 +106,7 @@
 // Admit implements zinniamast.Limiter.
 func (l *Limiter) Admit(ask zinniamast.Admission) (zinniamast.Ticket, error) {
 	now := l.config.Now()
-	if refusal := l.judge(&ask, now); refusal != nil {
+	if refusal := l.check(&ask, now); refusal != nil {
 		return nil, l.refuse(&ask, refusal)
 	}
 	t := &ticket{
@@ -120,15 +122,15 @@
 
 func (l *Limiter) refuse(ask *zinniamast.Admission, refusal *zinniamast.Refusal) *zinniamast.Refusal {
 	l.metrics.decisions.WithLabelValues(string(refusal.Reason)).Inc()
-	l.config.Logger.Debug("not admitted", "organisation", ask.Organisation, "service", ask.Service,
+	l.config.Logger.Debug("request not admitted", "organisation", ask.Organisation, "service", ask.Service,
 		"class", ask.Class, "reason", string(refusal.Reason), "retry_after", refusal.RetryAfter.String())
 	return refusal
 }
 
-// judge refuses what cannot arrive on time or is beyond its share. A request
-// that is refused here has not run, and is told when to come back; one that is
-// let in and then waits past its deadline has cost its work for nothing.
-func (l *Limiter) judge(ask *zinniamast.Admission, now time.Time) *zinniamast.Refusal {
+// check refuses requests that cannot meet their deadline or exceed their
+// organisation's share. A request refused here has not run and gets a retry
+// time, whereas the work of one that is admitted and misses its deadline is wasted.
+func (l *Limiter) check(ask *zinniamast.Admission, now time.Time) *zinniamast.Refusal {
 	if !ask.Deadline.IsZero() && !now.Before(ask.Deadline) {
 		return zinniamast.Refuse(zinniamast.ReasonPastDeadline, "the deadline has passed")
 	}
@@ -148,42 +150,41 @@
 		return zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 			"no replica of %s takes work", ask.Service).After(noUpstreamRetryAfter)
 	}
-	if refusal := unmet(ask, &forecast, now); refusal != nil {
+	if refusal := checkDeadline(ask, &forecast, now); refusal != nil {
 		return refusal
 	}
-	return l.share(ask, &forecast, now)
+	return l.checkShare(ask, &forecast, now)
 }
 
-// noUpstreamRetryAfter is when a service without replicas may have one again.
+// noUpstreamRetryAfter is the retry time for a service without replicas.
 const noUpstreamRetryAfter = 5 * time.Second
 
-// unmet refuses a request whose whole answer would come after its deadline. A
-// retry is worth it only if the answer would be in time without the queue.
-func unmet(ask *zinniamast.Admission, forecast *Forecast, now time.Time) *zinniamast.Refusal {
+// checkDeadline refuses a request whose complete answer would miss its deadline.
+// The refusal has a retry time only if the answer would be in time without the queue.
+func checkDeadline(ask *zinniamast.Admission, forecast *Forecast, now time.Time) *zinniamast.Refusal {
 	if ask.Deadline.IsZero() {
 		return nil
 	}
-	left := ask.Deadline.Sub(now)
-	late := forecast.Completion - left
+	remaining := ask.Deadline.Sub(now)
+	late := forecast.Completion - remaining
 	if late <= 0 {
 		return nil
 	}
 	refusal := zinniamast.Refuse(zinniamast.ReasonDeadlineUnmet,
 		"the answer would take %s and the deadline is in %s",
-		forecast.Completion.Round(time.Millisecond), left.Round(time.Millisecond))
-	if forecast.Completion-forecast.Wait > left {
+		forecast.Completion.Round(time.Millisecond), remaining.Round(time.Millisecond))
+	if forecast.Completion-forecast.Wait > remaining {
 		return refusal
 	}
-	return refusal.After(whole(late))
+	return refusal.After(roundUpRetryAfter(late))
 }
 
-// whole rounds a time to come back up to whole seconds, which is what the
-// caller's header can carry.
-func whole(wait time.Duration) time.Duration {
+// roundUpRetryAfter rounds a retry time up to whole seconds, the resolution of the
+// Retry-After header.
+func roundUpRetryAfter(wait time.Duration) time.Duration {
 	rounded := (wait + time.Second - 1).Truncate(time.Second)
 	return min(max(rounded, time.Second), maxRetryAfter)
 }
 
-// maxRetryAfter bounds the time a caller is told to stay away: what is
-// predicted beyond it is a guess.
+// maxRetryAfter bounds retry times, since predictions further ahead are unreliable.
 const maxRetryAfter = time.Minute
--- a/limits/metrics.go
+++ b/limits/metrics.go
@@ -9,10 +9,11 @@
 	"zinniamast"
 )
 
-// decisionAdmitted is the label of requests let in; the others are reasons.
+// decisionAdmitted is the label value of admitted requests; those of refused
+// requests are the refusal reasons.
 const decisionAdmitted = "admitted"
 
-// refusalReasons are the reasons that the limiter gives.
+// refusalReasons lists the reasons for which the limiter refuses requests.
 var refusalReasons = []zinniamast.Reason{
 	zinniamast.ReasonPastDeadline,
 	zinniamast.ReasonDeadlineUnmet,
--- a/limits/news_test.go
+++ b/limits/news_test.go
@@ -14,12 +14,12 @@
 // Requests are admitted as before. Order: a peer of another version, or one
 // that is broken, sends usage news of any bytes. It must change nothing that
 // is not well formed, and never stop the node.
-func TestAnyNewsIsSurvived(t *testing.T) {
+func TestMalformedUsageIsIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite([]string{"x", "y"}, map[string]float64{"a": 1})
 		value := rapid.SliceOfN(rapid.Byte(), 0, zinniamast.MaxNews).Draw(t, "value")
 		key := rapid.SampledFrom([]string{"node", "domain", "other"}).Draw(t, "key")
-		s.bus.ports[0].hear(zinniamast.News{
+		s.bus.ports[0].receive(zinniamast.News{
 			Key:     key,
 			Value:   value,
 			Origin:  "1",
--- a/limits/pool.go
+++ b/limits/pool.go
@@ -7,47 +7,49 @@
 	"zinniamast/routes"
 )
 
-// poolLease is how long a node's part stays with a pool after the node's last word.
+// poolLease is how long a loan is valid after the node's last call to the pool.
 const poolLease = 2 * time.Second
 
-// PoolConfig says what a pool divides.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
-	// Organisation returns an organisation as configured, or nil.
+	// Organisation returns an organisation's configuration, or nil if it has none.
 	Organisation func(name string) *routes.Organisation
-	// Tolerance is what may be given out beyond the allowances.
+	// Tolerance bounds what may be granted beyond the allowances.
 	Tolerance Tolerance
-	// Apart says that the pool serves nodes that reach no pool of the fleet: it
-	// has another part of the tolerance, also before their parts count here.
+	// Apart marks a domain pool, which serves nodes that cannot reach a fleet pool.
+	// It has its own part of the tolerance, which it may grant before the nodes'
+	// parts count here.
 	Apart bool
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Pool gives out the parts of allowances that nodes have lent to this one.
+// Pool grants tokens from the parts of allowances that nodes have lent to this node.
 //
-// A node that lends its part uses none of it itself until the loan has run
-// out, by its own clock and with a margin. Whatever nodes think of who holds a
-// pool, the parts in all pools and those in use add up to at most the whole.
+// A node that lends its part does not use it until the loan has expired by the
+// node's own clock plus a margin. Therefore the parts in all pools and those that
+// nodes use themselves never add up to more than the whole allowance, even if
+// nodes disagree on which node holds the pool.
 type Pool struct {
 	config PoolConfig
 
 	mu      sync.Mutex
-	buckets map[string]*pooled
+	buckets map[string]*bucket
 }
 
-// pooled is one organisation's bucket.
-type pooled struct {
-	left  float64
-	at    time.Time
-	loans map[string]loan
-	// reserve is what is left of the tolerance for parts that count nowhere yet,
-	// and of that of a pool that is apart.
+// bucket is one organisation's token bucket.
+type bucket struct {
+	tokens   float64
+	filledAt time.Time
+	loans    map[string]loan
+	// reserve is the remaining tolerance for parts that do not count anywhere yet
+	// and, in a domain pool, for all parts.
 	reserve float64
-	// credited holds the nodes whose part has brought its credit.
+	// credited holds the nodes whose part has been credited.
 	credited map[string]bool
 }
 
-// loan is one node's part, from when it counts here, and how long it stays.
+// loan is one node's part and the period in which it counts here.
 type loan struct {
 	part  float64
 	from  time.Time
@@ -61,11 +63,11 @@
 	}
 	return &Pool{
 		config:  config,
-		buckets: map[string]*pooled{},
+		buckets: map[string]*bucket{},
 	}
 }
 
-// RenewAll renews a node's loans of its part.
+// RenewAll renews a node's loans of its part of several allowances.
 func (p *Pool) RenewAll(renewal PoolRenewal) {
 	for _, loan := range renewal.Loans {
 		p.Answer(PoolAsk{
@@ -77,8 +79,9 @@
 	}
 }
 
-// Answer renews a node's loan of its part and takes an amount; an amount of
-// zero only renews. Where there is not enough it says when there will be.
+// Answer renews a node's loan of its part and takes an amount; an amount of zero
+// only renews. If there are not enough tokens, the answer has the time until there
+// will be.
 func (p *Pool) Answer(ask PoolAsk) PoolAnswer {
 	o := p.config.Organisation(ask.Organisation)
 	if o == nil || o.Rate <= 0 {
@@ -91,17 +94,17 @@
 	defer p.mu.Unlock()
 	b, ok := p.buckets[ask.Organisation]
 	if !ok {
-		b = &pooled{
-			at:       now,
+		b = &bucket{
+			filledAt: now,
 			loans:    map[string]loan{},
 			credited: map[string]bool{},
 		}
 		p.buckets[ask.Organisation] = b
 	}
-	p.fill(b, o, now)
+	p.refill(b, o, now)
 	b.renew(ask, now)
 	p.credit(b, o, ask)
-	part := b.part(now)
+	part := b.countedPart(now)
 	if ask.Amount <= b.reserve {
 		b.reserve -= ask.Amount
 		return PoolAnswer{
@@ -109,22 +112,22 @@
 		}
 	}
 	if part == 0 {
-		return p.none(b, o, ask, now)
+		return p.answerWithoutParts(b, o, ask, now)
 	}
-	wait, granted := take(&b.left, ask.Amount, ask.Keep, o.Rate*part, p.burst(o)*part)
+	wait, granted := take(&b.tokens, ask.Amount, ask.Keep, o.Rate*part, p.burst(o)*part)
 	return PoolAnswer{
 		Granted: granted,
 		Wait:    wait,
 	}
 }
 
-// none answers while no part counts here yet: the amount is there some time
-// after the first one does.
-func (p *Pool) none(b *pooled, o *routes.Organisation, ask PoolAsk, now time.Time) PoolAnswer {
-	first, pending := time.Time{}, 0.0
+// answerWithoutParts answers while no part counts here yet. The wait is the time
+// until the first part counts plus the time to fill the amount.
+func (p *Pool) answerWithoutParts(b *bucket, o *routes.Organisation, ask PoolAsk, now time.Time) PoolAnswer {
+	firstFrom, pending := time.Time{}, 0.0
 	for _, l := range b.loans {
-		if first.IsZero() || l.from.Before(first) {
-			first = l.from
+		if firstFrom.IsZero() || l.from.Before(firstFrom) {
+			firstFrom = l.from
 		}
 		pending += l.part
 	}
@@ -134,16 +137,16 @@
 			Wait:    maxAllowanceWait,
 		}
 	}
-	nothing := 0.0
-	wait, _ := take(&nothing, ask.Amount, ask.Keep, o.Rate*pending, p.burst(o)*pending)
+	tokens := 0.0
+	wait, _ := take(&tokens, ask.Amount, ask.Keep, o.Rate*pending, p.burst(o)*pending)
 	return PoolAnswer{
-		Wait: min(first.Sub(now)+wait, maxAllowanceWait),
+		Wait: min(firstFrom.Sub(now)+wait, maxAllowanceWait),
 	}
 }
 
-// renew takes a loan in. One that is renewed goes on from when it began, and one
-// that is not renewed until it begins counts nowhere.
-func (b *pooled) renew(ask PoolAsk, now time.Time) {
+// renew records a loan. A renewed loan keeps its start; a loan that expires before
+// its start counts nowhere.
+func (b *bucket) renew(ask PoolAsk, now time.Time) {
 	from := now.Add(ask.Starts)
 	if old, ok := b.loans[ask.Node]; ok && ask.Starts == 0 {
 		from = old.from
@@ -155,26 +158,26 @@
 	}
 }
 
-// credit gives a part that is lent here for the first time something to begin with.
+// credit adds initial tokens for a part that is lent here for the first time.
 //
-// Load: a pool's node dies or is cut off, or all nodes lose power, and the next
-// pool begins empty: organisations well within their allowances were refused for
-// a second or two, in the seconds in which the most is lost anyway.
-func (p *Pool) credit(b *pooled, o *routes.Organisation, ask PoolAsk) {
+// If a pool's node dies or is partitioned, or all nodes lose power, the next pool
+// would start empty and refuse organisations well within their allowances for a
+// second or two, when most requests are lost anyway.
+func (p *Pool) credit(b *bucket, o *routes.Organisation, ask PoolAsk) {
 	if ask.Part == 0 || b.credited[ask.Node] {
 		return
 	}
 	b.credited[ask.Node] = true
-	credit := freshTolerance * p.config.Tolerance.excess(o) * ask.Part
+	credit := newPoolTolerance * p.config.Tolerance.excess(o) * ask.Part
 	if p.config.Apart || ask.Starts > 0 {
 		b.reserve += credit
 		return
 	}
-	b.left += credit
+	b.tokens += credit
 }
 
-// part sums up the parts that count here now.
-func (b *pooled) part(now time.Time) float64 {
+// countedPart returns the sum of the parts that count here at the given time.
+func (b *bucket) countedPart(now time.Time) float64 {
 	total := 0.0
 	for _, l := range b.loans {
 		if !now.Before(l.from) {
@@ -184,12 +187,12 @@
 	return total
 }
 
-// fill adds what has come since the last time and drops loans that have run out.
-func (p *Pool) fill(b *pooled, o *routes.Organisation, now time.Time) {
+// refill adds the tokens accrued since the last call and deletes expired loans.
+func (p *Pool) refill(b *bucket, o *routes.Organisation, now time.Time) {
 	reserved := 0.0
 	for node, l := range b.loans {
-		from, until := later(b.at, l.from), earlier(now, l.until)
-		b.left += o.Rate * l.part * max(0, until.Sub(from).Seconds())
+		from, until := later(b.filledAt, l.from), earlier(now, l.until)
+		b.tokens += o.Rate * l.part * max(0, until.Sub(from).Seconds())
 		if now.After(l.until) {
 			delete(b.loans, node)
 			continue
@@ -198,13 +201,13 @@
 			reserved += l.part
 		}
 	}
-	spare := apartTolerance * p.config.Tolerance.excess(o) * reserved
-	b.reserve = min(spare, b.reserve+spare*now.Sub(b.at).Seconds()/p.config.Tolerance.Window.Seconds())
-	b.at = now
-	b.left = min(b.left, p.burst(o)*b.part(now))
+	maxReserve := domainPoolTolerance * p.config.Tolerance.excess(o) * reserved
+	b.reserve = min(maxReserve, b.reserve+maxReserve*now.Sub(b.filledAt).Seconds()/p.config.Tolerance.Window.Seconds())
+	b.filledAt = now
+	b.tokens = min(b.tokens, p.burst(o)*b.countedPart(now))
 }
 
-// burst is what the pool may give out at once where the whole allowance is lent to it.
+// burst returns the capacity of a bucket to which the whole allowance is lent.
 func (p *Pool) burst(o *routes.Organisation) float64 {
 	if p.config.Apart {
 		return o.Burst
@@ -226,24 +229,23 @@
 	return b
 }
 
-// Tolerance is what the fleet may give out beyond an allowance: in any Window
-// the part Overage of it, and Slack tokens more.
+// Tolerance bounds what the fleet may grant beyond an allowance: in any Window,
+// the fraction Overage of it plus Slack tokens.
 type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// Of the tolerated excess the pools give out one part, those of nodes that reach
-// none of these another, and each that has just begun a third; the rest is for
-// loans that were delayed on their way.
+// These are the fractions of the tolerated excess for fleet pools, domain pools and
+// pools that have just started; the rest covers loans that are delayed in transit.
 const (
-	pooledTolerance = 0.6
-	apartTolerance  = 0.2
-	freshTolerance  = 0.1
+	fleetPoolTolerance  = 0.6
+	domainPoolTolerance = 0.2
+	newPoolTolerance    = 0.1
 )
 
-// excess is what may be given out beyond the allowance in one window.
+// excess returns what may be granted beyond the allowance in one window.
 func (t Tolerance) excess(o *routes.Organisation) float64 {
 	excess := t.Overage * (o.Rate*t.Window.Seconds() + o.Burst)
 	if o.ByTokens {
@@ -252,27 +254,27 @@
 	return excess
 }
 
-// burst is what may be given out at once: the organisation's burst, and a part
-// of the tolerated excess for requests of very different sizes.
+// burst returns what may be granted at once: the organisation's burst, and a part
+// of the tolerated excess because request sizes differ widely.
 func (t Tolerance) burst(o *routes.Organisation) float64 {
-	return o.Burst + pooledTolerance*t.excess(o)
+	return o.Burst + fleetPoolTolerance*t.excess(o)
 }
 
-// maxAllowanceWait bounds the time a caller is told to stay away: what is
-// predicted beyond it is a guess.
+// maxAllowanceWait bounds retry times, since predictions further ahead are
+// unreliable.
 const maxAllowanceWait = 10 * time.Second
 
-// take takes an amount from a bucket in which something is to be left. One
-// larger than the whole bucket may go when it is full and leaves a debt, or it
-// could never go.
-func take(left *float64, amount, keep, rate, burst float64) (time.Duration, bool) {
-	need := min(amount+min(keep, keepPart*burst), burst)
-	if amount == 0 || *left >= need && burst > 0 {
-		*left -= amount
+// take takes an amount from a bucket in which keep tokens must remain. An amount
+// larger than the bucket's capacity is granted when the bucket is full and leaves
+// it in debt, since it could never be granted otherwise.
+func take(tokens *float64, amount, keep, rate, burst float64) (time.Duration, bool) {
+	need := min(amount+min(keep, maxKeepPart*burst), burst)
+	if amount == 0 || *tokens >= need && burst > 0 {
+		*tokens -= amount
 		return 0, true
 	}
 	if rate <= 0 {
 		return maxAllowanceWait, false
 	}
-	return min(time.Duration((need-*left)/rate*float64(time.Second)), maxAllowanceWait), false
+	return min(time.Duration((need-*tokens)/rate*float64(time.Second)), maxAllowanceWait), false
 }
--- a/limits/pool_ask.go
+++ b/limits/pool_ask.go
@@ -4,45 +4,46 @@
 	"time"
 )
 
-// PoolAsk is one call to another node's pool.
+// PoolAsk is a call that lends a node's part to a pool and takes from the pool.
 type PoolAsk struct {
-	// Node lends its Part of the allowance, which counts once Starts has passed:
-	// until then it may still count in the pool that had it before.
+	// Node lends its Part of the allowance. The part counts after Starts has
+	// elapsed, since until then it may still count in another pool.
 	Node   string
 	Part   float64
 	Starts time.Duration
-	// Apart asks the pool of nodes that reach no pool of the fleet.
+	// Apart addresses the domain pool, for nodes that cannot reach a fleet pool.
 	Apart bool
-	// Organisation and Amount are what is taken.
+	// Amount is taken from the allowance of Organisation.
 	Organisation string
 	Amount       float64
-	// Keep is what must be left for more urgent requests.
+	// Keep is the amount that must remain for more urgent requests.
 	Keep float64
 }
 
-// keepTimes is how many times its own amount a request must leave for more
-// urgent ones of its organisation, by its rank; later ranks are as the last.
+// keepFactors holds, by rank, how many times its own amount a request must leave
+// for more urgent requests of its organisation; higher ranks use the last factor.
 //
-// Load: an organisation sends six times its usual. Whoever finds its amount in
-// the allowance takes it, and small requests find theirs more often: of those
-// above 8,000 tokens nine in ten were refused, of those below 1,500 one in
-// twenty, though the long ones were the most urgent. Left a few times their own
-// amount, requests of the second rank still come through, since they are short,
-// and those of the third only where they are very short or there is plenty.
-var keepTimes = []float64{0, 4, 16}
+// Without it, any request takes its amount if the allowance has it, which favours
+// small requests: of an organisation at six times its usual load, nine in ten
+// requests above 8,000 tokens were refused and one in twenty below 1,500, although
+// the long ones were the most urgent. With these factors, requests of the second
+// rank are still granted because they are short, and those of the third rank only
+// if they are very short or the allowance has plenty left.
+var keepFactors = []float64{0, 4, 16}
 
-// keepPart bounds what is kept, as a part of what the allowance can hold: an
-// organisation well within its allowance has more than that left, and none of its
-// requests is refused for others' sake.
-const keepPart = 0.3
+// maxKeepPart bounds the kept amount, as a fraction of the bucket's capacity. An
+// organisation well within its allowance has more than that left, so none of its
+// requests is refused in favour of more urgent ones.
+const maxKeepPart = 0.3
 
-// keepFor returns what a request must leave.
+// keepFor returns the amount that a request must leave for more urgent ones.
 func keepFor(amount float64, rank int) float64 {
-	return amount * keepTimes[min(max(rank, 0), len(keepTimes)-1)]
+	return amount * keepFactors[min(max(rank, 0), len(keepFactors)-1)]
 }
 
-// PoolRenewal lends a node's Part of several allowances again. A Part of zero
-// lends nothing and shows that the pool's node answers.
+// PoolRenewal is a call that renews the loans of a node's Part of several
+// allowances. One with a zero Part and no Loans lends nothing and only probes
+// whether the node answers.
 type PoolRenewal struct {
 	Node  string
 	Part  float64
@@ -50,15 +51,16 @@
 	Loans []PoolLoan
 }
 
-// PoolLoan is one organisation's, which counts once Starts has passed.
+// PoolLoan is the loan of a part of one organisation's allowance. The part counts
+// after Starts has elapsed.
 type PoolLoan struct {
 	Organisation string
 	Starts       time.Duration
 }
 
-// PoolAnswer is a pool's word.
+// PoolAnswer is a pool's answer to a PoolAsk.
 type PoolAnswer struct {
 	Granted bool
-	// Wait is when to ask again.
+	// Wait is the time until the amount is expected to be available.
 	Wait time.Duration
 }
--- a/limits/pool_test.go
+++ b/limits/pool_test.go
@@ -24,13 +24,13 @@
 	names        []string
 	allowances   map[string]*limits.Allowance
 	pools        map[string]*limits.Pool
-	apart        map[string]*limits.Pool
-	// unknown hides all nodes, as before a node has read the roster.
-	unknown bool
+	domainPools  map[string]*limits.Pool
+	// rosterUnread hides all nodes, as before a node has read the roster.
+	rosterUnread bool
 	// domains holds where nodes run that do not run in the first failure domain.
 	domains map[string]string
-	// cut holds nodes that reach no other, and failure domains that reach no other.
-	cut map[string]bool
+	// partitioned holds nodes that reach no other, and failure domains that reach no other.
+	partitioned map[string]bool
 	// down holds nodes that do not run: calls to them surely do not arrive.
 	down map[string]bool
 	// granted holds what was given out, and when.
@@ -43,8 +43,8 @@
 }
 
 var (
-	errCut  = errors.New("cut")
-	errDown = errors.New("connection refused")
+	errPartitioned = errors.New("cut")
+	errDown        = errors.New("connection refused")
 )
 
 func newFleet(nodes int) *fleet {
@@ -61,12 +61,12 @@
 			Overage: 0.1,
 			Slack:   1000,
 		},
-		allowances: map[string]*limits.Allowance{},
-		pools:      map[string]*limits.Pool{},
-		apart:      map[string]*limits.Pool{},
-		domains:    map[string]string{},
-		cut:        map[string]bool{},
-		down:       map[string]bool{},
+		allowances:  map[string]*limits.Allowance{},
+		pools:       map[string]*limits.Pool{},
+		domainPools: map[string]*limits.Pool{},
+		domains:     map[string]string{},
+		partitioned: map[string]bool{},
+		down:        map[string]bool{},
 	}
 	for i := range nodes {
 		f.names = append(f.names, fmt.Sprintf("node-%d", i))
@@ -79,20 +79,20 @@
 
 // reaches says whether calls from one node to another arrive.
 func (f *fleet) reaches(from, to string) bool {
-	if f.cut[from] || f.cut[to] {
+	if f.partitioned[from] || f.partitioned[to] {
 		return false
 	}
 	here, there := f.domains[from], f.domains[to]
-	return here == there || !f.cut[here] && !f.cut[there]
+	return here == there || !f.partitioned[here] && !f.partitioned[there]
 }
 
-// call is a call's fate on its way.
-func (f *fleet) call(from, to string) error {
+// callError is a call's fate on its way.
+func (f *fleet) callError(from, to string) error {
 	if f.down[to] {
 		return errDown
 	}
 	if !f.reaches(from, to) {
-		return errCut
+		return errPartitioned
 	}
 	return nil
 }
@@ -107,19 +107,19 @@
 	}
 	f.pools[name] = limits.NewPool(config)
 	config.Apart = true
-	f.apart[name] = limits.NewPool(config)
+	f.domainPools[name] = limits.NewPool(config)
 	f.allowances[name] = limits.NewAllowance(limits.AllowanceConfig{
 		Node:          name,
 		FailureDomain: f.domains[name],
 		Holders:       f.holders,
 		Ask: func(_ context.Context, address string, ask limits.PoolAsk) (limits.PoolAnswer, error) {
-			if err := f.call(name, address); err != nil {
+			if err := f.callError(name, address); err != nil {
 				return limits.PoolAnswer{}, err
 			}
 			return f.pool(address, ask.Apart).Answer(ask), nil
 		},
 		Renew: func(_ context.Context, address string, renewal limits.PoolRenewal) error {
-			if err := f.call(name, address); err != nil {
+			if err := f.callError(name, address); err != nil {
 				return err
 			}
 			f.pool(address, renewal.Apart).RenewAll(renewal)
@@ -128,7 +128,7 @@
 		NotSent:       func(err error) bool { return errors.Is(err, errDown) },
 		Organisations: func() []routes.Organisation { return []routes.Organisation{f.organisation} },
 		Pool:          f.pools[name],
-		Apart:         f.apart[name],
+		Apart:         f.domainPools[name],
 		Logger:        slog.New(slog.DiscardHandler),
 		Now:           clock,
 	})
@@ -136,13 +136,13 @@
 
 func (f *fleet) pool(node string, apart bool) *limits.Pool {
 	if apart {
-		return f.apart[node]
+		return f.domainPools[node]
 	}
 	return f.pools[node]
 }
 
 func (f *fleet) holders() []limits.Holder {
-	if f.unknown {
+	if f.rosterUnread {
 		return nil
 	}
 	var holders []limits.Holder
@@ -177,9 +177,9 @@
 	}
 }
 
-// most is the largest sum of grants in one window, less the one that ends it:
+// maxWindowGrants is the largest sum of grants in one window, less the one that ends it:
 // a bucket may be left in debt by its last grant.
-func (f *fleet) most() float64 {
+func (f *fleet) maxWindowGrants() float64 {
 	most := 0.0
 	for i := range f.granted {
 		sum := 0.0
@@ -191,8 +191,8 @@
 	return most
 }
 
-// allowed is what the platform tolerates in one window.
-func (f *fleet) allowed() float64 {
+// tolerated is what the platform tolerates in one window.
+func (f *fleet) tolerated() float64 {
 	o := f.organisation
 	return (o.Rate*f.tolerance.Window.Seconds()+o.Burst)*(1+f.tolerance.Overage) + f.tolerance.Slack
 }
@@ -200,7 +200,7 @@
 // An organisation asks for far more than it may. Nodes are cut off and come
 // back, and processes start again, in any order and more than once. All nodes
 // together never give out more than is tolerated: parts are lent or used, not both.
-func TestAllowanceHoldsThroughCuts(t *testing.T) {
+func TestAllowanceHoldsThroughPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 9).Draw(t, "nodes"))
 		for i, name := range f.names {
@@ -226,13 +226,13 @@
 					f.start(node)
 				}
 			case 13:
-				f.cut[f.domains[node]] = true
+				f.partitioned[f.domains[node]] = true
 			case 14:
-				delete(f.cut, f.domains[node])
+				delete(f.partitioned, f.domains[node])
 			case 0:
-				f.cut[node] = true
+				f.partitioned[node] = true
 			case 1:
-				delete(f.cut, node)
+				delete(f.partitioned, node)
 			case 2:
 				f.start(node)
 			default:
@@ -244,8 +244,8 @@
 				}
 			}
 		}
-		if f.most() > f.allowed() {
-			t.Fatalf("%.0f given out in one window, %.0f tolerated", f.most(), f.allowed())
+		if f.maxWindowGrants() > f.tolerated() {
+			t.Fatalf("%.0f given out in one window, %.0f tolerated", f.maxWindowGrants(), f.tolerated())
 		}
 	})
 }
@@ -282,7 +282,7 @@
 	check := is.New(t)
 	f := newFleet(4)
 	f.renew()
-	f.cut["node-0"] = true
+	f.partitioned["node-0"] = true
 	granted := 0.0
 	for range 100 {
 		f.now = f.now.Add(100 * time.Millisecond)
@@ -291,7 +291,7 @@
 		}
 	}
 	check.True(granted > 0.5*0.25*f.organisation.Rate*10) // most of a quarter for 10 s
-	check.True(granted < 0.25*f.allowed()*10/8)
+	check.True(granted < 0.25*f.tolerated()*10/8)
 }
 
 // What callers see: while their failure domain is cut off, requests of an
@@ -328,28 +328,28 @@
 	play(2 * time.Second) // the pool fills
 	play(6 * time.Second)
 	check.Equal(refused, 0)
-	f.cut["domain-1"] = true
+	f.partitioned["domain-1"] = true
 	play(4 * time.Second) // loans to pools outside run out, the domain's pool fills
 	play(10 * time.Second)
 	t.Logf("%d of %d refused in the cut", refused, asked)
 	check.Equal(refused, 0)
-	delete(f.cut, "domain-1")
+	delete(f.partitioned, "domain-1")
 	play(3 * time.Second)
 	play(6 * time.Second)
 	check.Equal(refused, 0)
-	check.True(f.most() <= f.allowed())
+	check.True(f.maxWindowGrants() <= f.tolerated())
 }
 
 // What callers see: right after all nodes lost power, requests of an
 // organisation that uses a tenth of its allowance are refused for a second.
 // Every pool begins empty, and fills with what comes from then on.
-func TestPoolsThatBeginServeAtOnce(t *testing.T) {
+func TestNewPoolsServeAtOnce(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(9)
 	for _, name := range f.names {
 		check.True(f.take(name, 20))
 	}
-	check.True(f.most() <= f.allowed())
+	check.True(f.maxWindowGrants() <= f.tolerated())
 }
 
 // What callers see: after a loss of power a node refuses an organisation's
@@ -364,9 +364,9 @@
 		f.renew()
 	}
 	f.start("node-0")
-	f.unknown = true
+	f.rosterUnread = true
 	check.True(!f.take("node-0", 300))
-	f.unknown = false
+	f.rosterUnread = false
 	check.True(f.take("node-0", 300))
 }
 
@@ -375,7 +375,7 @@
 // that it no longer reaches, so that its own pool has nothing. Small requests are
 // now served by what the platform tolerates, and a larger one is told the time
 // at which it is served indeed.
-func TestPartsThatCountNowhereYet(t *testing.T) {
+func TestPartitionedNodeServesWhileItsPartIsLent(t *testing.T) {
 	for _, name := range []string{"node-0", "node-1"} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
@@ -385,7 +385,7 @@
 				f.renew()
 			}
 			f.take(name, 1)
-			f.cut[name] = true
+			f.partitioned[name] = true
 			check.True(f.take(name, 20))
 			wait, granted := f.allowances[name].Take(context.Background(), &f.organisation, 450, 0)
 			if granted {
@@ -397,7 +397,7 @@
 				f.renew()
 			}
 			check.True(f.take(name, 450))
-			check.True(f.most() <= f.allowed())
+			check.True(f.maxWindowGrants() <= f.tolerated())
 		})
 	}
 }
@@ -412,9 +412,9 @@
 		Window: 8 * time.Second,
 	}
 	f.start("node-0")
-	f.unknown = true
+	f.rosterUnread = true
 	f.take("node-0", 1)
-	f.unknown = false
+	f.rosterUnread = false
 	f.take("node-0", 1)
 	f.now = f.now.Add(100 * time.Millisecond)
 	check.True(f.take("node-0", 1))
@@ -423,7 +423,7 @@
 // What callers see: all nodes lose power; the one that starts first refuses its
 // callers for 2.5 s. It asked two others that did not run yet, and its part
 // counted as lent to the second of them, though nothing was sent.
-func TestPartStaysWhereNothingWasSent(t *testing.T) {
+func TestPartIsNotLentByCallsThatWereNotSent(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(4)
 	f.tolerance = limits.Tolerance{
@@ -436,5 +436,5 @@
 	f.take("node-0", 1)
 	f.now = f.now.Add(200 * time.Millisecond)
 	check.True(f.take("node-0", 20))
-	check.True(f.most() <= f.allowed())
+	check.True(f.maxWindowGrants() <= f.tolerated())
 }
--- a/limits/renew.go
+++ b/limits/renew.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// lending is where a part is.
-type lending struct {
-	// to is the pool's node, and apart says that it is a failure domain's pool.
-	to    string
-	apart bool
-	// from is when the part counts there, and until when this node believes it does.
+// outgoingLoan records to which pool this node has lent its part of an allowance.
+type outgoingLoan struct {
+	// holder is the ID of the pool's node; domainPool means that the pool is a domain
+	// pool.
+	holder     string
+	domainPool bool
+	// from and until bound the period in which this node assumes that its part counts
+	// in that pool.
 	from  time.Time
 	until time.Time
-	// calls are those that lent it there and may have arrived, and before is where
-	// it was until the first of them.
-	calls  int
-	before *lending
+	// calls is the number of calls that lent the part to this pool and may have
+	// arrived; previous is the loan before the first of them.
+	calls    int
+	previous *outgoingLoan
 }
 
-// Run keeps this node's parts lent until ctx ends, so that a pool has the
-// whole allowance also while few ask.
+// Run keeps this node's parts lent until ctx ends, so that a pool has the whole
+// allowance even if few nodes receive requests.
 //
-// Load: all nodes lose power and start together. A node that lent its part with
-// its first request of an organisation, or after a whole interval, left the new
-// pools with a few parts, and callers well within their allowances were refused.
+// It lends the parts as soon as the roster and the organisations are known: if all
+// nodes restart after a power loss and each lends its part only with its first
+// request or after a whole interval, the new pools have few parts and refuse
+// callers well within their allowances.
 func (a *Allowance) Run(ctx context.Context) {
 	for len(a.config.Holders()) == 0 || len(a.config.Organisations()) == 0 {
 		select {
-		case <-time.After(rosterPoll):
+		case <-time.After(rosterPollInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -46,15 +49,15 @@
 	}
 }
 
-// batch is what one call renews.
+// batch identifies the pool whose loans are renewed in one call.
 type batch struct {
-	holder Holder
-	apart  bool
+	holder     Holder
+	domainPool bool
 }
 
-// Renew lends this node's parts again, in one call for each node that holds
-// pools: with a call for each organisation a node of a deployment with sixteen
-// would make 23 calls a second.
+// Renew renews the loans of this node's parts, in one call to each node that holds
+// pools. With one call per organisation, a node would make 23 calls a second in a
+// deployment with sixteen organisations.
 func (a *Allowance) Renew(ctx context.Context) {
 	holders := a.config.Holders()
 	a.probe(ctx, holders)
@@ -66,76 +69,76 @@
 		if o.Rate <= 0 {
 			continue
 		}
-		if a.isApart(o.Name) {
-			at := batch{
-				holder: a.domainHolder(o.Name, holders),
-				apart:  true,
+		if a.isIsolated(o.Name) {
+			key := batch{
+				holder:     a.domainHolder(o.Name, holders),
+				domainPool: true,
 			}
-			batches[at] = append(batches[at], o.Name)
+			batches[key] = append(batches[key], o.Name)
 			continue
 		}
-		if holder, ok := a.holder(o.Name, holders); ok {
-			at := batch{
+		if holder, ok := a.fleetHolder(o.Name, holders); ok {
+			key := batch{
 				holder: holder,
 			}
-			batches[at] = append(batches[at], o.Name)
+			batches[key] = append(batches[key], o.Name)
 		}
 	}
-	for at, names := range batches {
-		if a.renewAt(ctx, at, names, partOf(holders)) || at.apart || a.reachesElsewhere(ctx, holders) {
+	for key, names := range batches {
+		if a.renewBatch(ctx, key, names, partOf(holders)) || key.domainPool || a.reachesOutside(ctx, holders) {
 			continue
 		}
-		// Parts of nodes without requests belong into the failure domain's pool too.
+		// Nodes without requests must lend their parts to the domain pool as well.
 		for _, name := range names {
-			a.setApart(name, true)
+			a.setIsolated(name, true)
 		}
 	}
 }
 
-// renewAt renews the loans of one batch and says whether they were taken.
-func (a *Allowance) renewAt(ctx context.Context, at batch, names []string, part float64) bool {
+// renewBatch renews the loans of one batch and reports whether the call succeeded.
+func (a *Allowance) renewBatch(ctx context.Context, key batch, names []string, part float64) bool {
 	renewal := PoolRenewal{
 		Node:  a.config.Node,
 		Part:  part,
-		Apart: at.apart,
+		Apart: key.domainPool,
 	}
 	for _, name := range names {
 		renewal.Loans = append(renewal.Loans, PoolLoan{
 			Organisation: name,
-			Starts:       a.lend(name, at.holder.ID, at.apart),
+			Starts:       a.lend(name, key.holder.ID, key.domainPool),
 		})
 	}
-	if at.holder.ID == a.config.Node {
-		a.pool(at.apart).RenewAll(renewal)
+	if key.holder.ID == a.config.Node {
+		a.pool(key.domainPool).RenewAll(renewal)
 		return true
 	}
-	return a.callRenew(ctx, at.holder, renewal)
+	return a.callRenew(ctx, key.holder, renewal)
 }
 
-// callRenew says whether another node took a renewal.
+// callRenew sends a renewal to another node and reports whether the call succeeded.
 func (a *Allowance) callRenew(ctx context.Context, holder Holder, renewal PoolRenewal) bool {
-	asked, cancel := context.WithTimeout(ctx, poolTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, poolTimeout)
 	defer cancel()
-	if err := a.config.Renew(asked, holder.Address, renewal); err != nil {
-		a.shun(holder, err)
+	if err := a.config.Renew(callCtx, holder.Address, renewal); err != nil {
+		a.suspect(holder, err)
 		for _, loan := range renewal.Loans {
-			a.takeBack(loan.Organisation, holder.ID, renewal.Apart, err)
+			a.undoLend(loan.Organisation, holder.ID, renewal.Apart, err)
 		}
 		return false
 	}
 	return true
 }
 
-// probe asks nodes that did not answer, without lending, until it meets some
-// that still do not.
+// probe calls suspected nodes that are due, until maxFailedProbes of them have not
+// answered.
 //
-// Failure: a node that is cut off tried its pool's node again every two seconds.
-// Each try lent its part for 2.5 s to a pool that it did not reach, so that its
-// part was nobody's for as long as the cut lasted.
+// A probe lends nothing: if a partitioned node retried its pool's node every two
+// seconds with a loan, each attempt would lend its part for 2.5 s to a pool that it
+// cannot reach, so the part would count nowhere for the whole partition.
 func (a *Allowance) probe(ctx context.Context, holders []Holder) {
 	failed := 0
-	for _, holder := range a.suspects(holders) {
-		if failed == probesFailed {
+	for _, holder := range a.suspectsDue(holders) {
+		if failed == maxFailedProbes {
 			return
 		}
 		if !a.callRenew(ctx, holder, PoolRenewal{
@@ -145,33 +148,34 @@
 			continue
 		}
 		a.mu.Lock()
-		delete(a.shunned, holder.ID)
+		delete(a.suspected, holder.ID)
 		a.mu.Unlock()
 	}
 }
 
-// rejoin asks one node elsewhere, without lending, whether it answers again, and
-// goes back to the pools of the fleet if it does: to lend at each try would leave
-// the part nowhere for the time of a loan.
+// rejoin probes nodes outside the failure domain and returns to the fleet pools if
+// one answers. The probes lend nothing, since a loan with each attempt would leave
+// the part counting nowhere for the duration of a loan.
 func (a *Allowance) rejoin(ctx context.Context, holders []Holder) {
-	apart := a.apartFrom()
-	if len(apart) == 0 {
+	isolated := a.isolatedOrganisations()
+	if len(isolated) == 0 {
 		return
 	}
-	if !a.reachesElsewhere(ctx, holders) {
+	if !a.reachesOutside(ctx, holders) {
 		return
 	}
-	for _, name := range apart {
-		a.setApart(name, false)
+	for _, name := range isolated {
+		a.setIsolated(name, false)
 	}
 }
 
-// reachesElsewhere says whether a node elsewhere answers; true if there is none.
-// Several are asked, since after a loss of power most are not back yet.
-func (a *Allowance) reachesElsewhere(ctx context.Context, holders []Holder) bool {
-	for range probesFailed {
-		other, there := a.elsewhere(holders)
-		if !there {
+// reachesOutside reports whether a node outside the failure domain (any other node
+// if there is one domain) answers; it returns true if there is none. It tries
+// several nodes, since after a power loss most are not running yet.
+func (a *Allowance) reachesOutside(ctx context.Context, holders []Holder) bool {
+	for range maxFailedProbes {
+		other, exists := a.outsideHolder(holders)
+		if !exists {
 			return true
 		}
 		if other.ID == "" {
@@ -186,56 +190,57 @@
 	return false
 }
 
-// lend notes, before a call goes out, that this node's part is lent: whether
-// the call arrives is not known. It returns when the part counts there: what
-// goes to or comes from a failure domain's pool, or comes back to this node,
-// counts in one place alone. Where another node's pool of the fleet follows one,
-// that one has mostly died.
-func (a *Allowance) lend(organisation, to string, apart bool) time.Duration {
+// lend records that this node's part is lent. It runs before the call is sent,
+// since it is not known whether the call arrives. It returns the delay after which
+// the part counts in the new pool. A part that moves to or from a domain pool, or
+// to a pool of this node, counts there only once the old loan has expired, so that
+// it never counts twice. A part that moves from one fleet pool to another node's
+// counts there at once, since the node of the old pool has most likely died.
+func (a *Allowance) lend(organisation, holder string, domainPool bool) time.Duration {
 	now := a.config.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.lent[organisation]
-	if l.to != to || l.apart != apart {
+	l := a.outgoing[organisation]
+	if l.holder != holder || l.domainPool != domainPool {
 		from := now
-		if (l.apart || apart || to == a.config.Node) && l.until.After(now) {
+		if (l.domainPool || domainPool || holder == a.config.Node) && l.until.After(now) {
 			from = l.until
 		}
 		old := l
-		old.before = nil
-		l = lending{
-			to:     to,
-			apart:  apart,
-			from:   from,
-			before: &old,
+		old.previous = nil
+		l = outgoingLoan{
+			holder:     holder,
+			domainPool: domainPool,
+			from:       from,
+			previous:   &old,
 		}
 	}
 	l.calls++
 	starts := max(0, l.from.Sub(now))
 	l.until = now.Add(poolLease + loanMargin)
-	a.lent[organisation] = l
+	a.outgoing[organisation] = l
 	return starts
 }
 
-// takeBack undoes what lend noted for a call that surely did not arrive, where
-// no other call lent the part there.
+// undoLend reverts lend for a call that certainly did not arrive, unless another
+// call has lent the part to the same pool.
 //
-// Failure: all nodes lose power and the one that holds a pool starts last. Each
-// other one that asks it notes its part as lent there and may not count it as its
-// own for 2.5 s, though nothing was sent.
-func (a *Allowance) takeBack(organisation, to string, apart bool, err error) {
+// If all nodes lose power and the node that holds a pool starts last, every other
+// node that calls it would otherwise record its part as lent there and could not
+// use it for 2.5 s, although nothing was sent.
+func (a *Allowance) undoLend(organisation, holder string, domainPool bool, err error) {
 	if a.config.NotSent == nil || !a.config.NotSent(err) {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l := a.lent[organisation]
-	if l.to != to || l.apart != apart {
+	l := a.outgoing[organisation]
+	if l.holder != holder || l.domainPool != domainPool {
 		return
 	}
 	l.calls--
-	if l.calls == 0 && l.before != nil {
-		l = *l.before
+	if l.calls == 0 && l.previous != nil {
+		l = *l.previous
 	}
-	a.lent[organisation] = l
+	a.outgoing[organisation] = l
 }
--- a/limits/run.go
+++ b/limits/run.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// tick is how often Run looks whether usage is to be shared.
-const tick = 250 * time.Millisecond
+// tickInterval is how often Run checks whether usage is due to be published.
+const tickInterval = 250 * time.Millisecond
 
-// Run shares the organisations' usage with other nodes until ctx ends.
+// Run publishes the organisations' usage to other nodes until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -22,5 +22,5 @@
 	}
 }
 
-// Tick does what Run does each quarter of a second.
+// Tick publishes usage if it is due; Run calls it every tickInterval.
 func (l *Limiter) Tick() { l.publishUsage(l.config.Now()) }
--- a/limits/share_test.go
+++ b/limits/share_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// pass serves the backlog for a time, the first priority first.
-func (q *queue) pass(d time.Duration) {
+// advance serves the backlog for a time, the first priority first.
+func (q *queue) advance(d time.Duration) {
 	q.now = q.now.Add(d)
 	left := q.capacity * d.Seconds()
 	for priority := range q.backlog {
@@ -55,17 +55,17 @@
 
 // bus carries news to all other nodes after a delay, wide news to all domains.
 type bus struct {
-	ports []*port
-	later []func() bool
-	bytes int
+	ports   []*port
+	pending []func() bool
+	bytes   int
 }
 
 type port struct {
-	bus    *bus
-	node   string
-	domain string
-	hear   func(zinniamast.News)
-	clock  func() time.Time
+	bus     *bus
+	node    string
+	domain  string
+	receive func(zinniamast.News)
+	clock   func() time.Time
 }
 
 func (p *port) Publish(news zinniamast.News) {
@@ -76,26 +76,26 @@
 			continue
 		}
 		p.bus.bytes += len(news.Value)
-		p.bus.later = append(p.bus.later, func() bool {
+		p.bus.pending = append(p.bus.pending, func() bool {
 			if p.clock().Before(due) {
 				return false
 			}
-			other.hear(news)
+			other.receive(news)
 			return true
 		})
 	}
 }
 
-func (p *port) Subscribe(_ zinniamast.Topic, hear func(zinniamast.News)) { p.hear = hear }
+func (p *port) Subscribe(_ zinniamast.Topic, hear func(zinniamast.News)) { p.receive = hear }
 
 func (b *bus) deliver() {
 	var later []func() bool
-	for _, item := range b.later {
+	for _, item := range b.pending {
 		if !item() {
 			later = append(later, item)
 		}
 	}
-	b.later = later
+	b.pending = later
 }
 
 // sender is one organisation's requests at a service.
@@ -178,7 +178,7 @@
 				s.send(from, s.queue.now.Sub(begin) >= warm)
 			}
 		}
-		s.queue.pass(step)
+		s.queue.advance(step)
 		s.bus.deliver()
 		if tick%25 == 0 {
 			for _, node := range s.nodes {
@@ -284,7 +284,7 @@
 // queue will be short enough. Order: thirty seconds of work wait, then a
 // request comes that has twenty. A deadline that even an idle service misses
 // gets no time to come back.
-func TestWhatCannotArriveOnTimeIsRefusedAtOnce(t *testing.T) {
+func TestUnmetDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSite([]string{"x"}, map[string]float64{"a": 1})
 	s.queue.backlog[1] = 300
--- a/limits/ticket.go
+++ b/limits/ticket.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// memoryRetryAfter is how long a node at its memory cap asks callers to stay
-// away; the balancer's next connection will usually meet another node.
+// memoryRetryAfter is the retry time of refusals at the memory cap. It is short
+// because the load balancer usually assigns the next connection to another node.
 const memoryRetryAfter = time.Second
 
-// ticket is one admitted request's place.
+// ticket counts the memory of one admitted request.
 type ticket struct {
 	limiter  *Limiter
 	bytes    atomic.Int64
 	released atomic.Bool
 }
 
-// Grow implements zinniamast.Ticket. A node that holds prompts and partial
-// answers without bound is killed by the kernel with all its streams; one
-// that refuses the next byte loses that one request at most.
+// Grow implements zinniamast.Ticket. Without a bound on prompts and partial answers,
+// the kernel would kill the node and end all its streams; refusing memory loses at
+// most the one request.
 func (t *ticket) Grow(bytes int) bool {
 	if t.released.Load() {
 		return false
--- a/limits/usage.go
+++ b/limits/usage.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// usageWindow is how long work counts; it is longer than the exchange
-	// between nodes takes, and shorter than an organisation is willing to wait.
+	// usageWindow is the time constant with which work decays. It is longer than the
+	// exchange between nodes takes and shorter than an organisation is willing to wait.
 	usageWindow = 10 * time.Second
-	// wellWithin is how far below its share an organisation may wait longest.
-	wellWithin = 0.2
-	// classFloor is the part of a service's work that each class may count on
-	// while it asks for it: strict priorities alone would let a flood of urgent
-	// requests starve the rest for as long as it lasts.
+	// fullHeadroom is how far below its share, as a fraction of it, an organisation
+	// must be to get the full maximum wait.
+	fullHeadroom = 0.2
+	// classFloor is the fraction of a service's work guaranteed to each class that
+	// has demand: with strict priorities alone, a flood of urgent requests would
+	// starve the other classes for as long as it lasts.
 	classFloor = 0.1
 )
 
-// accountKey names who uses what.
+// accountKey identifies an organisation's account at a service.
 type accountKey struct {
 	service      string
 	organisation string
 }
 
-// account counts an organisation's work at a service, by class, in machine
-// seconds, each worth less the longer ago it was.
+// account counts an organisation's work at a service, by class, in seconds of
+// compute time that decay exponentially.
 type account struct {
 	key      accountKey
 	hash     uint64
-	offered  [classes]float64
-	admitted [classes]float64
+	offered  [classCount]float64
+	admitted [classCount]float64
 }
 
-func sum(values [classes]float64) float64 {
+func sum(values [classCount]float64) float64 {
 	total := 0.0
 	for _, value := range values {
 		total += value
@@ -42,82 +43,83 @@
 	return total
 }
 
-// usage is what is known of all organisations' work.
+// usage holds the work of all organisations, as far as this node knows it.
 type usage struct {
-	accounts map[accountKey]*account
-	remote   remoteUsage
-	decayed  time.Time
-	// divisions are kept between two agings, by the service's hash.
-	divisions map[uint32]division
-	// waited is when requests of a class last waited long, by service.
-	waited map[string]*[classes]time.Time
+	accounts  map[accountKey]*account
+	remote    remoteUsage
+	decayedAt time.Time
+	// shares caches the shares until the next decay, by the service's hash.
+	shares map[uint32]serviceShares
+	// longWaits holds when requests of each class last had a long wait, by service.
+	longWaits map[string]*[classCount]time.Time
 }
 
 func newUsage() usage {
 	return usage{
 		accounts:  map[accountKey]*account{},
 		remote:    newRemoteUsage(),
-		divisions: map[uint32]division{},
-		waited:    map[string]*[classes]time.Time{},
+		shares:    map[uint32]serviceShares{},
+		longWaits: map[string]*[classCount]time.Time{},
 	}
 }
 
 func (u *usage) account(key accountKey) *account {
-	known, ok := u.accounts[key]
+	a, ok := u.accounts[key]
 	if ok {
-		return known
+		return a
 	}
-	known = &account{
+	a = &account{
 		key:  key,
 		hash: hashAccount(key.service, key.organisation),
 	}
-	u.accounts[key] = known
-	return known
+	u.accounts[key] = a
+	return a
 }
 
-// hashAccount names an account between nodes.
+// hashAccount returns the hash that identifies an account in gossip.
 func hashAccount(service, organisation string) uint64 {
 	return uint64(uint32(xxh3.HashString(service)))<<32 | uint64(uint32(xxh3.HashString(organisation)))
 }
 
-// serviceOf returns the service's part of an account's hash.
+// serviceOf returns the service's hash, the upper half of an account's hash.
 func serviceOf(hash uint64) uint32 { return uint32(hash >> 32) }
 
-// decayEvery bounds the work of aging the counts.
-const decayEvery = 50 * time.Millisecond
+// decayInterval limits how often the counts are decayed, which bounds its cost.
+const decayInterval = 50 * time.Millisecond
 
-// forgotten is the work below which an account is dropped.
-const forgotten = 1e-6
+// minAccountWork is the work, in seconds, below which an account is deleted.
+const minAccountWork = 1e-6
 
-// decay ages all counts to now and forgets what has become nothing.
+// decay decays all counts up to now and deletes negligible accounts and expired
+// remote usage.
 func (u *usage) decay(now time.Time) {
-	elapsed := now.Sub(u.decayed)
-	if elapsed < decayEvery {
+	elapsed := now.Sub(u.decayedAt)
+	if elapsed < decayInterval {
 		return
 	}
-	u.decayed = now
-	clear(u.divisions)
-	keep := math.Exp(-float64(elapsed) / float64(usageWindow))
+	u.decayedAt = now
+	clear(u.shares)
+	factor := math.Exp(-float64(elapsed) / float64(usageWindow))
 	for key, a := range u.accounts {
 		for i := range a.offered {
-			a.offered[i] *= keep
-			a.admitted[i] *= keep
+			a.offered[i] *= factor
+			a.admitted[i] *= factor
 		}
-		if sum(a.offered) < forgotten {
+		if sum(a.offered) < minAccountWork {
 			delete(u.accounts, key)
 		}
 	}
 	u.remote.expire(now)
 }
 
-// totals is the work of one account over all nodes.
+// totals is the work of one account, over all its classes.
 type totals struct {
 	offered  float64
 	admitted float64
 }
 
-// fleet sums the accounts of one service over all nodes.
-func (u *usage) fleet(service uint32) map[uint64]totals {
+// fleetTotals returns the sums of a service's accounts over all nodes.
+func (u *usage) fleetTotals(service uint32) map[uint64]totals {
 	all := map[uint64]totals{}
 	for _, a := range u.accounts {
 		if serviceOf(a.hash) == service {
@@ -131,33 +133,33 @@
 	return all
 }
 
-// waits notes that a class's requests wait long at a service.
-func (u *usage) waits(service string, of int, now time.Time) {
-	known, ok := u.waited[service]
+// noteLongWait records that requests of a class have a long wait at a service.
+func (u *usage) noteLongWait(service string, class int, now time.Time) {
+	times, ok := u.longWaits[service]
 	if !ok {
-		known = &[classes]time.Time{}
-		u.waited[service] = known
+		times = &[classCount]time.Time{}
+		u.longWaits[service] = times
 	}
-	known[of] = now
+	times[class] = now
 }
 
-// waitedRecently is how long a long wait counts.
-const waitedRecently = 2 * time.Second
+// longWaitTTL is how long a recorded long wait is taken into account.
+const longWaitTTL = 2 * time.Second
 
-// crowdsOut says whether a class takes so much of a service that a class after
-// it, which waits long, falls below its floor.
-func (u *usage) crowdsOut(service string, of int, now time.Time) bool {
-	waited, ok := u.waited[service]
+// starvesLowerClass reports whether a class less urgent than the given one has had
+// a long wait recently and is below its floor at a service.
+func (u *usage) starvesLowerClass(service string, class int, now time.Time) bool {
+	times, ok := u.longWaits[service]
 	if !ok {
 		return false
 	}
-	var admitted [classes]float64
-	for i := of + 1; i < classes; i++ {
-		if now.Sub(waited[i]) > waitedRecently {
+	var admitted [classCount]float64
+	for i := class + 1; i < classCount; i++ {
+		if now.Sub(times[i]) > longWaitTTL {
 			continue
 		}
 		if sum(admitted) == 0 {
-			admitted = u.byClass(service)
+			admitted = u.admittedByClass(service)
 		}
 		if admitted[i] < classFloor*sum(admitted) {
 			return true
@@ -166,9 +168,9 @@
 	return false
 }
 
-// byClass sums what this node admitted at a service.
-func (u *usage) byClass(service string) [classes]float64 {
-	var admitted [classes]float64
+// admittedByClass returns the work that this node admitted at a service, by class.
+func (u *usage) admittedByClass(service string) [classCount]float64 {
+	var admitted [classCount]float64
 	for _, a := range u.accounts {
 		if a.key.service != service {
 			continue
--- a/limits/weights.go
+++ b/limits/weights.go
@@ -7,16 +7,17 @@
 	"zinniamast/config"
 )
 
-// weightTable remembers the organisations' shares under one version of the configuration.
+// weightTable caches the organisations' weights, by service, for one version of the
+// configuration.
 type weightTable struct {
 	mu       sync.Mutex
 	version  *blackboard.Version
 	services map[string]map[uint64]float64
 }
 
-// weights returns the shares of a service's organisations by the hash of their account.
+// weights returns the weights of a service's organisations by account hash.
 func (l *Limiter) weights(service string) map[uint64]float64 {
-	t := &l.table
+	t := &l.cachedWeights
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	version := l.config.Board.Configuration.Current()
@@ -24,25 +25,25 @@
 		t.version = version
 		t.services = map[string]map[uint64]float64{}
 	}
-	known, ok := t.services[service]
+	weights, ok := t.services[service]
 	if ok {
-		return known
+		return weights
 	}
-	known = l.resolve(service)
-	t.services[service] = known
-	return known
+	weights = l.resolveWeights(service)
+	t.services[service] = weights
+	return weights
 }
 
-func (l *Limiter) resolve(service string) map[uint64]float64 {
-	inForce := l.config.Board.Configuration.Config()
+func (l *Limiter) resolveWeights(service string) map[uint64]float64 {
+	current := l.config.Board.Configuration.Config()
 	weights := map[uint64]float64{}
-	for _, organisation := range inForce.Organisations {
-		where := config.Match{
+	for _, organisation := range current.Organisations {
+		match := config.Match{
 			Organisation:  organisation.Name,
 			Model:         service,
 			FailureDomain: l.config.FailureDomain,
 		}
-		weights[hashAccount(service, organisation.Name)] = inForce.Resolve(where).Share
+		weights[hashAccount(service, organisation.Name)] = current.Resolve(match).Share
 	}
 	return weights
 }
