--- a/limits/allowance.go
+++ b/limits/allowance.go
@@ -71,7 +71,7 @@
 // the largest requests when it is half used, whereas a pooled one admits them.
 // The same applies while a failure domain is partitioned: at a load of 0.6 of the
 // domain's part, nodes that each use their own part refuse 31 of 200 requests, and
-// nodes with a domain pool refuse none (TestCutOffFailureDomainPoolsItsParts).
+// nodes with a domain pool refuse none (TestPartitionedFailureDomainPoolsItsParts).
 type Allowance struct {
 	config AllowanceConfig
 
--- a/limits/news_test.go
+++ b/limits/gossip_test.go
@@ -11,9 +11,9 @@
 	"zinniamast/limits"
 )
 
-// Requests are admitted as before. Order: a peer of another version, or one
-// that is broken, sends usage news of any bytes. It must change nothing that
-// is not well formed, and never stop the node.
+// Guards against malformed usage from a faulty peer or one of another version: any
+// bytes received by gossip must neither crash the node nor make an idle service
+// refuse a request.
 func TestMalformedUsageIsIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite([]string{"x", "y"}, map[string]float64{"a": 1})
@@ -31,13 +31,13 @@
 			Priority:     1,
 		})
 		if err != nil {
-			t.Fatalf("an idle service refuses: %v", err)
+			t.Fatalf("request refused by an idle service: %v", err)
 		}
 	})
 }
 
-// The node's memory never counts above its cap, and nothing is left after all
-// tickets are released, whatever the order.
+// Guards against memory that is counted wrongly: whatever the order of admissions
+// and releases, a request is admitted exactly if its memory fits under the cap.
 func TestMemoryIsCountedExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 1000
@@ -45,7 +45,7 @@
 			Board:     blackboard.New(),
 			MemoryCap: capacity,
 		})
-		held := 0
+		used := 0
 		var tickets []zinniamast.Ticket
 		var sizes []int
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -53,16 +53,16 @@
 			if len(tickets) > 0 && rapid.Bool().Draw(t, "release") {
 				last := len(tickets) - 1
 				tickets[last].Release()
-				held -= sizes[last]
+				used -= sizes[last]
 				tickets, sizes = tickets[:last], sizes[:last]
 				continue
 			}
 			ticket, err := limiter.Admit(zinniamast.Admission{Bytes: size})
-			if (err == nil) != (held+size <= capacity) {
-				t.Fatalf("%d held, %d asked for: %v", held, size, err)
+			if (err == nil) != (used+size <= capacity) {
+				t.Fatalf("%d bytes in use, %d requested: %v", used, size, err)
 			}
 			if err == nil {
-				held += size
+				used += size
 				tickets = append(tickets, ticket)
 				sizes = append(sizes, size)
 			}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -70,7 +70,8 @@
 	mu            sync.Mutex
 	usage         usage
 	cachedWeights weightTable
-	// nextUsage is when usage is published next; only Run accesses it.
+	// nextUsage is when usage is published next. Only Run's goroutine accesses it,
+	// without the lock.
 	nextUsage time.Time
 }
 
@@ -128,8 +129,9 @@
 }
 
 // check refuses requests that cannot meet their deadline or exceed their
-// organisation's share. A request refused here has not run and gets a retry
-// time, whereas the work of one that is admitted and misses its deadline is wasted.
+// organisation's share. A request refused here has not run and gets a retry time
+// if a retry can succeed, whereas the work of one that is admitted and misses its
+// deadline is wasted.
 func (l *Limiter) check(ask *zinniamast.Admission, now time.Time) *zinniamast.Refusal {
 	if !ask.Deadline.IsZero() && !now.Before(ask.Deadline) {
 		return zinniamast.Refuse(zinniamast.ReasonPastDeadline, "the deadline has passed")
@@ -156,7 +158,8 @@
 	return l.checkShare(ask, &forecast, now)
 }
 
-// noUpstreamRetryAfter is the retry time for a service without replicas.
+// noUpstreamRetryAfter is the time after which a service without replicas may have
+// one again.
 const noUpstreamRetryAfter = 5 * time.Second
 
 // checkDeadline refuses a request whose complete answer would miss its deadline.
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -9,9 +9,9 @@
 	"zinniamast/limits"
 )
 
-// The caller sees memory_full with "not run" and a time to come back. Order:
-// open requests fill the node's cap, then one more comes. Taking it would get
-// the node killed by the kernel with every stream it carries.
+// Guards against admitting requests beyond the memory cap, after which the kernel
+// would kill the node with all its streams: open requests fill the cap, and another
+// one must be refused with memory_full, "not run" and a retry time.
 func TestMemoryCapRefuses(t *testing.T) {
 	is := is.New(t)
 	limiter := limits.New(limits.Config{MemoryCap: 1000})
--- a/limits/crowd_test.go
+++ b/limits/overload_test.go
@@ -11,22 +11,22 @@
 	"zinniamast/limits"
 )
 
-// requestKind is a kind of request in a crowd.
+// requestKind is a kind of request of an overloading organisation.
 type requestKind struct {
 	name   string
 	amount float64
 	rank   int
-	// perSecond is how many come in a second.
+	// perSecond is the number of requests a second in overload.
 	perSecond int
 
 	sent, granted int
 }
 
-// An organisation sends six times its usual. Its long summaries, the most
-// urgent, met an allowance that short labels had just used up: nine in ten were
-// refused, while labels, the least urgent, all went through. Summaries now get
-// what labels leave, questions and bookings go on nearly untouched, and in a
-// quiet second nothing at all is refused.
+// Guards against small requests starving urgent large ones: an organisation sends
+// six times its usual load, and short labels, the least urgent, use up the allowance
+// before long summaries, the most urgent, find their amount in it. Without amounts
+// kept for urgent requests, nine in ten summaries are refused and all labels are
+// granted. At the usual load no request may be refused.
 func TestOverloadedAllowanceFavoursUrgentRequests(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(1)
@@ -63,12 +63,12 @@
 		perSecond: 30,
 	}
 	kinds := []*requestKind{summary, question, label, booking}
-	play := func(seconds int, usual int) {
+	send := func(seconds int, divisor int) {
 		random := rand.New(rand.NewPCG(1, 2))
 		var order []*requestKind
 		for _, k := range kinds {
 			k.sent, k.granted = 0, 0
-			for range k.perSecond / usual {
+			for range k.perSecond / divisor {
 				order = append(order, k)
 			}
 		}
@@ -84,22 +84,22 @@
 			}
 		}
 	}
-	share := func(k *requestKind) float64 { return float64(k.granted) / float64(k.sent) }
+	grantedFraction := func(k *requestKind) float64 { return float64(k.granted) / float64(k.sent) }
 
 	for range 4 {
 		f.allowances["node-0"].Renew(context.Background())
 		f.now = f.now.Add(time.Second) // the pool fills
 	}
-	play(2, 6)
+	send(2, 6)
 	for _, k := range kinds {
 		check.Equal(k.granted, k.sent)
 	}
-	play(10, 1)
+	send(10, 1)
 	for _, k := range kinds {
-		t.Logf("%s: %.2f of %d", k.name, share(k), k.sent)
+		t.Logf("%s: %.2f of %d granted", k.name, grantedFraction(k), k.sent)
 	}
-	check.True(share(summary) > 0.2) // 0.06 without
-	check.True(share(question) > 0.7)
-	check.True(share(booking) > 0.7)
-	check.True(share(label) < share(summary))
+	check.True(grantedFraction(summary) > 0.2) // 0.06 without kept amounts
+	check.True(grantedFraction(question) > 0.7)
+	check.True(grantedFraction(booking) > 0.7)
+	check.True(grantedFraction(label) < grantedFraction(summary))
 }
--- a/limits/pool_ask.go
+++ b/limits/pool_ask.go
@@ -23,7 +23,7 @@
 // keepFactors holds, by rank, how many times its own amount a request must leave
 // for more urgent requests of its organisation; higher ranks use the last factor.
 //
-// Without it, any request takes its amount if the allowance has it, which favours
+// Without them, any request takes its amount if the allowance has it, which favours
 // small requests: of an organisation at six times its usual load, nine in ten
 // requests above 8,000 tokens were refused and one in twenty below 1,500, although
 // the long ones were the most urgent. With these factors, requests of the second
--- a/limits/pool_test.go
+++ b/limits/pool_test.go
@@ -15,8 +15,8 @@
 	"zinniamast/routes"
 )
 
-// fleet is nodes that share one organisation's allowance, with cuts between
-// them, in virtual time.
+// fleet simulates nodes that share one organisation's allowance, with partitions
+// between them, in virtual time.
 type fleet struct {
 	now          time.Time
 	organisation routes.Organisation
@@ -25,15 +25,16 @@
 	allowances   map[string]*limits.Allowance
 	pools        map[string]*limits.Pool
 	domainPools  map[string]*limits.Pool
-	// rosterUnread hides all nodes, as before a node has read the roster.
+	// rosterUnread makes the roster empty, as before a node has read it.
 	rosterUnread bool
-	// domains holds where nodes run that do not run in the first failure domain.
+	// domains holds the nodes' failure domains; the default is the empty name.
 	domains map[string]string
-	// partitioned holds nodes that reach no other, and failure domains that reach no other.
+	// partitioned holds nodes that reach no other node, and failure domains that reach
+	// no other failure domain.
 	partitioned map[string]bool
-	// down holds nodes that do not run: calls to them surely do not arrive.
+	// down holds nodes that are not running; calls to them certainly do not arrive.
 	down map[string]bool
-	// granted holds what was given out, and when.
+	// granted holds all grants in order of time.
 	granted []grant
 }
 
@@ -43,7 +44,7 @@
 }
 
 var (
-	errPartitioned = errors.New("cut")
+	errPartitioned = errors.New("partitioned")
 	errDown        = errors.New("connection refused")
 )
 
@@ -77,7 +78,7 @@
 	return f
 }
 
-// reaches says whether calls from one node to another arrive.
+// reaches reports whether calls from one node to another arrive.
 func (f *fleet) reaches(from, to string) bool {
 	if f.partitioned[from] || f.partitioned[to] {
 		return false
@@ -86,7 +87,7 @@
 	return here == there || !f.partitioned[here] && !f.partitioned[there]
 }
 
-// callError is a call's fate on its way.
+// callError returns the error of a call from one node to another, or nil if it arrives.
 func (f *fleet) callError(from, to string) error {
 	if f.down[to] {
 		return errDown
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// start starts a node, or starts it again with nothing known.
+// start starts a node, or restarts it without state.
 func (f *fleet) start(name string) {
 	clock := func() time.Time { return f.now }
 	config := limits.PoolConfig{
@@ -134,8 +135,8 @@
 	})
 }
 
-func (f *fleet) pool(node string, apart bool) *limits.Pool {
-	if apart {
+func (f *fleet) pool(node string, domainPool bool) *limits.Pool {
+	if domainPool {
 		return f.domainPools[node]
 	}
 	return f.pools[node]
@@ -156,7 +157,7 @@
 	return holders
 }
 
-// take asks at a node and says whether it was granted.
+// take takes an amount at a node and reports whether it was granted.
 func (f *fleet) take(node string, amount float64) bool {
 	_, granted := f.allowances[node].Take(context.Background(), &f.organisation, amount, 0)
 	if granted && amount > 0 {
@@ -168,7 +169,7 @@
 	return granted
 }
 
-// renew lets every node renew its loan, as Run does.
+// renew renews the loans of all running nodes, as Run does.
 func (f *fleet) renew() {
 	for _, name := range f.names {
 		if !f.down[name] {
@@ -177,29 +178,28 @@
 	}
 }
 
-// maxWindowGrants is the largest sum of grants in one window, less the one that ends it:
-// a bucket may be left in debt by its last grant.
+// maxWindowGrants returns the largest sum of grants in one window.
 func (f *fleet) maxWindowGrants() float64 {
-	most := 0.0
+	largest := 0.0
 	for i := range f.granted {
 		sum := 0.0
 		for j := i; j < len(f.granted) && f.granted[j].at.Sub(f.granted[i].at) < f.tolerance.Window; j++ {
 			sum += f.granted[j].amount
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
 
-// tolerated is what the platform tolerates in one window.
+// tolerated returns what the platform tolerates in one window.
 func (f *fleet) tolerated() float64 {
 	o := f.organisation
 	return (o.Rate*f.tolerance.Window.Seconds()+o.Burst)*(1+f.tolerance.Overage) + f.tolerance.Slack
 }
 
-// An organisation asks for far more than it may. Nodes are cut off and come
-// back, and processes start again, in any order and more than once. All nodes
-// together never give out more than is tolerated: parts are lent or used, not both.
+// Guards against granting more than is tolerated because a part is both lent and
+// used: an organisation requests far more than its allowance while nodes and failure
+// domains are partitioned and reconnected and nodes restart, in any order.
 func TestAllowanceHoldsThroughPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 9).Draw(t, "nodes"))
@@ -245,14 +245,14 @@
 			}
 		}
 		if f.maxWindowGrants() > f.tolerated() {
-			t.Fatalf("%.0f given out in one window, %.0f tolerated", f.maxWindowGrants(), f.tolerated())
+			t.Fatalf("%.0f granted in one window, %.0f tolerated", f.maxWindowGrants(), f.tolerated())
 		}
 	})
 }
 
-// One organisation's requests come unevenly to nine nodes, some of them larger
-// than a ninth of its burst, and use two thirds of its rate. None is refused:
-// divided into fixed parts the same load loses the large ones.
+// Guards against refusing large requests while the allowance suffices: requests that
+// use two thirds of the rate arrive at three of nine nodes, some of them larger than
+// a ninth of the burst. Fixed parts would refuse the large ones.
 func TestPooledAllowanceAdmitsLargeRequests(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(9)
@@ -264,7 +264,7 @@
 	for i := range 300 {
 		f.now = f.now.Add(100 * time.Millisecond)
 		f.renew()
-		node := f.names[(i*i)%3] // three of the nine get all callers
+		node := f.names[(i*i)%3] // three of the nine receive all requests
 		amount := 20.0
 		if i%10 == 0 {
 			amount = 480
@@ -276,9 +276,9 @@
 	check.Equal(refused, 0)
 }
 
-// A node that reaches no other goes on giving out its own part once its loan
-// has run out.
-func TestCutOffNodeServesItsPart(t *testing.T) {
+// Guards against a partitioned node refusing all requests: once its loan has
+// expired, it grants from its own part.
+func TestPartitionedNodeServesItsPart(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(4)
 	f.renew()
@@ -294,12 +294,12 @@
 	check.True(granted < 0.25*f.tolerated()*10/8)
 }
 
-// What callers see: while their failure domain is cut off, requests of an
-// organisation that uses six tenths of its allowance are refused: 31 of 200.
-// The domain's nodes reach no pool of the fleet. Each gave out its own part,
-// which a large request overdraws for long, and callers come unevenly to the
-// nodes. They now pool their parts among themselves, and go back after the cut.
-func TestCutOffFailureDomainPoolsItsParts(t *testing.T) {
+// Guards against refusals in a partitioned failure domain, whose nodes reach no fleet
+// pool: if each node grants from its own part, large requests overdraw parts for long
+// and requests arrive unevenly, so 31 of 200 are refused at six tenths of the
+// domain's part. With a domain pool none is, and after the partition the nodes return
+// to the fleet pool.
+func TestPartitionedFailureDomainPoolsItsParts(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(64)
 	for i, name := range f.names {
@@ -307,9 +307,9 @@
 		f.start(name)
 	}
 	inside := []string{"node-1", "node-5", "node-9", "node-13", "node-17", "node-21", "node-25", "node-29"}
-	refused, asked := 0, 0
-	play := func(length time.Duration) {
-		refused, asked = 0, 0
+	refused, sent := 0, 0
+	send := func(length time.Duration) {
+		refused, sent = 0, 0
 		for i := range int(length / (50 * time.Millisecond)) {
 			f.now = f.now.Add(50 * time.Millisecond)
 			if i%10 == 0 {
@@ -319,30 +319,29 @@
 			if i%60 == 0 {
 				amount = 200 // with these, six tenths of the domain's part
 			}
-			asked++
+			sent++
 			if !f.take(inside[i%13%8], amount) {
 				refused++
 			}
 		}
 	}
-	play(2 * time.Second) // the pool fills
-	play(6 * time.Second)
+	send(2 * time.Second) // the pool fills
+	send(6 * time.Second)
 	check.Equal(refused, 0)
 	f.partitioned["domain-1"] = true
-	play(4 * time.Second) // loans to pools outside run out, the domain's pool fills
-	play(10 * time.Second)
-	t.Logf("%d of %d refused in the cut", refused, asked)
+	send(4 * time.Second) // loans to pools outside expire, the domain pool fills
+	send(10 * time.Second)
+	t.Logf("%d of %d refused during the partition", refused, sent)
 	check.Equal(refused, 0)
 	delete(f.partitioned, "domain-1")
-	play(3 * time.Second)
-	play(6 * time.Second)
+	send(3 * time.Second)
+	send(6 * time.Second)
 	check.Equal(refused, 0)
 	check.True(f.maxWindowGrants() <= f.tolerated())
 }
 
-// What callers see: right after all nodes lost power, requests of an
-// organisation that uses a tenth of its allowance are refused for a second.
-// Every pool begins empty, and fills with what comes from then on.
+// Guards against refusals for a second after all nodes lost power: if every pool
+// starts empty, even an organisation that uses a tenth of its allowance is refused.
 func TestNewPoolsServeAtOnce(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(9)
@@ -352,11 +351,10 @@
 	check.True(f.maxWindowGrants() <= f.tolerated())
 }
 
-// What callers see: after a loss of power a node refuses an organisation's
-// requests for up to a second more than it takes to start. Its first request came
-// before it knew of any other node; it took itself for cut off, until the next
-// renewal of loans showed that others answer.
-func TestNodeThatHasJustStartedIsNotCutOff(t *testing.T) {
+// Guards against a restarted node that considers itself isolated because its first
+// request arrives before it has read the roster. It would refuse requests until the
+// next renewal of loans, up to a second later, shows that other nodes answer.
+func TestStartingNodeIsNotIsolated(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(9)
 	for range 60 {
@@ -370,11 +368,10 @@
 	check.True(f.take("node-0", 300))
 }
 
-// What callers see: a node that has just lost the others refuses even a small
-// request for 2.5 s, and says to come back after ten. Its part is lent to a pool
-// that it no longer reaches, so that its own pool has nothing. Small requests are
-// now served by what the platform tolerates, and a larger one is told the time
-// at which it is served indeed.
+// Guards against a newly partitioned node that refuses even small requests for 2.5 s
+// with a retry time of 10 s, because its part is lent to a pool that it no longer
+// reaches. Small requests must be granted from the tolerance, and a large one must be
+// granted after the retry time of its refusal.
 func TestPartitionedNodeServesWhileItsPartIsLent(t *testing.T) {
 	for _, name := range []string{"node-0", "node-1"} {
 		t.Run(name, func(t *testing.T) {
@@ -389,11 +386,11 @@
 			check.True(f.take(name, 20))
 			wait, granted := f.allowances[name].Take(context.Background(), &f.organisation, 450, 0)
 			if granted {
-				return // this node holds the pool, which is full
+				return // this node holds the fleet pool, which is full
 			}
-			t.Logf("come back after %v", wait)
+			t.Logf("refused with a retry time of %v", wait)
 			check.True(wait < 5*time.Second)
-			for back := f.now.Add(wait); f.now.Before(back); f.now = f.now.Add(100 * time.Millisecond) {
+			for retryAt := f.now.Add(wait); f.now.Before(retryAt); f.now = f.now.Add(100 * time.Millisecond) {
 				f.renew()
 			}
 			check.True(f.take(name, 450))
@@ -402,10 +399,10 @@
 	}
 }
 
-// What callers see: a node that starts alone, where nothing is tolerated beyond
-// the allowance, refuses all for 2.5 s after one request came before it had read
-// the roster. That request noted its part as lent.
-func TestFirstRequestBeforeTheRosterLendsNothing(t *testing.T) {
+// Guards against a single node that refuses all requests for 2.5 s after its start,
+// without any tolerance: a request that arrives before the node has read the roster
+// must not record its part as lent.
+func TestRequestBeforeRosterIsReadLendsNothing(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(1)
 	f.tolerance = limits.Tolerance{
@@ -420,9 +417,9 @@
 	check.True(f.take("node-0", 1))
 }
 
-// What callers see: all nodes lose power; the one that starts first refuses its
-// callers for 2.5 s. It asked two others that did not run yet, and its part
-// counted as lent to the second of them, though nothing was sent.
+// Guards against the first node that starts after a power loss refusing its callers
+// for 2.5 s: it calls two nodes that are not running yet, and its part must not count
+// as lent to the second of them, since nothing was sent.
 func TestPartIsNotLentByCallsThatWereNotSent(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(4)
--- a/limits/share_test.go
+++ b/limits/share_test.go
@@ -14,11 +14,12 @@
 	"zinniamast/limits"
 )
 
-// queue is a service of fixed capacity that serves by priority, and tells each
-// node how long a request would wait.
+// queue simulates a service of fixed capacity that serves requests by priority. It
+// implements limits.Predictor.
 type queue struct {
 	now time.Time
-	// capacity is machine seconds a second, backlog what waits, by priority.
+	// capacity is in seconds of compute time per second; backlog and served are the
+	// waiting and the completed compute time, by priority.
 	capacity float64
 	backlog  [3]float64
 	served   [3]float64
@@ -41,19 +42,20 @@
 	}
 }
 
-// advance serves the backlog for a time, the first priority first.
+// advance moves time forward and serves the backlog in order of priority.
 func (q *queue) advance(d time.Duration) {
 	q.now = q.now.Add(d)
-	left := q.capacity * d.Seconds()
+	remaining := q.capacity * d.Seconds()
 	for priority := range q.backlog {
-		part := min(left, q.backlog[priority])
-		q.backlog[priority] -= part
-		q.served[priority] += part
-		left -= part
+		done := min(remaining, q.backlog[priority])
+		q.backlog[priority] -= done
+		q.served[priority] += done
+		remaining -= done
 	}
 }
 
-// bus carries news to all other nodes after a delay, wide news to all domains.
+// bus simulates gossip: it delivers items after a delay to the other nodes of the
+// failure domain, and wide items to all other nodes.
 type bus struct {
 	ports   []*port
 	pending []func() bool
@@ -86,29 +88,29 @@
 	}
 }
 
-func (p *port) Subscribe(_ zinniamast.Topic, hear func(zinniamast.News)) { p.receive = hear }
+func (p *port) Subscribe(_ zinniamast.Topic, receive func(zinniamast.News)) { p.receive = receive }
 
 func (b *bus) deliver() {
-	var later []func() bool
-	for _, item := range b.pending {
-		if !item() {
-			later = append(later, item)
+	var pending []func() bool
+	for _, deliver := range b.pending {
+		if !deliver() {
+			pending = append(pending, deliver)
 		}
 	}
-	b.pending = later
+	b.pending = pending
 }
 
-// sender is one organisation's requests at a service.
+// sender generates one organisation's requests at a service.
 type sender struct {
 	organisation string
-	// rate is machine seconds asked for a second, over all the nodes it reaches.
+	// rate is the demand in seconds of compute time per second, over all nodes.
 	rate     float64
 	nodes    []int
 	priority int
 	admitted float64
 }
 
-// site is some nodes before one service.
+// site simulates nodes in front of one service.
 type site struct {
 	queue  *queue
 	bus    *bus
@@ -168,14 +170,14 @@
 	return s
 }
 
-// run sends for a time and counts what is admitted after the first part of it.
-func (s *site) run(senders []*sender, warm, length time.Duration) {
+// run sends requests for a time and counts the work admitted after the warm-up.
+func (s *site) run(senders []*sender, warmup, length time.Duration) {
 	const step = 10 * time.Millisecond
 	begin := s.queue.now
 	for tick := 0; s.queue.now.Sub(begin) < length; tick++ {
 		for _, from := range senders {
 			if s.random.Float64() < from.rate*step.Seconds()/work.Seconds() {
-				s.send(from, s.queue.now.Sub(begin) >= warm)
+				s.send(from, s.queue.now.Sub(begin) >= warmup)
 			}
 		}
 		s.queue.advance(step)
@@ -205,11 +207,10 @@
 	}
 }
 
-// Small organisations see their requests admitted. Order: one organisation
-// sends five times the capacity through other nodes and failure domains than
-// the rest. No node sees the whole, yet each organisation must get its share
-// within a tenth, what one leaves unused must go to the rest, and the capacity
-// must be used.
+// Guards against one organisation taking the shares of others: it sends five times
+// the capacity through other nodes and failure domains than they use, so no node
+// observes the whole load. Each organisation must get its share within a tenth, unused
+// shares must go to the others, and the capacity must be used.
 func TestSharesHoldAcrossNodesAndDomains(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -249,11 +250,11 @@
 					priority:     1,
 				})
 			}
-			const warm, length = 30 * time.Second, 150 * time.Second
-			s.run(senders, warm, length)
+			const warmup, length = 30 * time.Second, 150 * time.Second
+			s.run(senders, warmup, length)
 			total := 0.0
 			for _, from := range senders {
-				got := from.admitted / (length - warm).Seconds()
+				got := from.admitted / (length - warmup).Seconds()
 				total += got
 				t.Logf("%s: %.2f of %.2f", from.organisation, got, c.expects[from.organisation])
 				is.True(got >= 0.9*c.expects[from.organisation])
@@ -261,29 +262,29 @@
 			}
 			is.True(total >= 9.5)
 			perNode := float64(s.bus.bytes) / length.Seconds() / float64(len(s.nodes))
-			t.Logf("%.0f bytes a second heard by each node", perNode)
+			t.Logf("%.0f bytes a second received by each node", perNode)
 			is.True(perNode < 1000)
 		})
 	}
 }
 
-// Long summaries see answers, if fewer. Order: urgent requests come at twice
-// the capacity and go first in every queue. Bulk requests must still get their
-// floor of a tenth.
+// Guards against bulk requests starving while urgent requests, which are first in
+// every queue, arrive at twice the capacity: bulk requests must get their floor of a
+// tenth.
 func TestUrgentFloodDoesNotStarveBulk(t *testing.T) {
 	is := is.New(t)
 	s := newSite([]string{"x"}, map[string]float64{"a": 1})
 	flood := &sender{organisation: "a", rate: 20, nodes: []int{0}, priority: 0}
-	long := &sender{organisation: "a", rate: 5, nodes: []int{0}, priority: 2}
-	s.run([]*sender{flood, long}, 30*time.Second, 150*time.Second)
+	bulk := &sender{organisation: "a", rate: 5, nodes: []int{0}, priority: 2}
+	s.run([]*sender{flood, bulk}, 30*time.Second, 150*time.Second)
 	t.Logf("served urgent %.0f, bulk %.0f", s.queue.served[0], s.queue.served[2])
 	is.True(s.queue.served[2] >= 0.08*(s.queue.served[0]+s.queue.served[2]))
 }
 
-// The caller sees deadline_unmet at once, with "not run" and the time when the
-// queue will be short enough. Order: thirty seconds of work wait, then a
-// request comes that has twenty. A deadline that even an idle service misses
-// gets no time to come back.
+// Guards against admitting requests that miss their deadline: with thirty seconds of
+// queued work, a request with a deadline in twenty must be refused with
+// deadline_unmet, "not run" and the time until the queue is short enough. A deadline
+// that even an idle service would miss gets no retry time.
 func TestUnmetDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSite([]string{"x"}, map[string]float64{"a": 1})
