--- a/limits/allowance.go
+++ b/limits/allowance.go
@@ -168,7 +168,7 @@
 			break
 		}
 		if attempts == maxPoolAttempts {
-			a.useOwnPart(ask.Organisation)
+			a.fallBackToOwnPart(ask.Organisation)
 			break
 		}
 		if answer, err := a.askPool(ctx, holder, ask); err == nil {
--- a/limits/holders.go
+++ b/limits/holders.go
@@ -86,9 +86,9 @@
 	return a.config.Now().Before(a.ownPartUntil[organisation])
 }
 
-// useOwnPart stops calls to the domain pool until this node's loan has expired and
+// fallBackToOwnPart stops calls to the domain pool until this node's loan has expired and
 // the node has used its own part for ownPartDuration.
-func (a *Allowance) useOwnPart(organisation string) {
+func (a *Allowance) fallBackToOwnPart(organisation string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ownPartUntil[organisation] = a.outgoing[organisation].until.Add(ownPartDuration)
