--- a/claims/begin.go
+++ b/claims/begin.go
@@ -8,8 +8,8 @@
 	"zinniamast"
 )
 
-// Standing is what a key stands at.
-type Standing struct {
+// BeginResult is what a key stands at.
+type BeginResult struct {
 	// Claim is set if the caller's request now holds the key and may be sent.
 	Claim *Claim
 	// Record is the claim of another request otherwise.
@@ -20,39 +20,39 @@
 
 // Times between tries while the table does not do what is asked.
 const (
-	firstPause = 20 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
-	retryStore = 5 * time.Second
-	retryHeld  = time.Second
+	minRetryDelay        = 20 * time.Millisecond
+	maxRetryDelay        = 400 * time.Millisecond
+	storeRetryAfter      = 5 * time.Second
+	inProgressRetryAfter = time.Second
 )
 
 // Begin takes the key for a call, or tells what it stands at. Its errors are *Refusal.
-func (c *Claims) Begin(ctx context.Context, call Call) (Standing, error) {
+func (c *Claims) Begin(ctx context.Context, call Call) (BeginResult, error) {
 	for {
-		claim, mine, err := c.enter(call)
+		claim, mine, err := c.register(call)
 		if err != nil {
-			return Standing{}, err
+			return BeginResult{}, err
 		}
 		if mine {
 			standing, err := c.acquire(ctx, claim)
-			c.recall(ctx, &standing.Record)
+			c.loadAnswer(ctx, &standing.Record)
 			return standing, err
 		}
-		record, err := claim.watch(ctx, call.First)
+		record, err := claim.awaitOutcome(ctx, call.First)
 		if err != nil {
-			return Standing{}, err
+			return BeginResult{}, err
 		}
 		if record.State != StateFree {
-			c.recall(ctx, &record)
-			return Standing{
+			c.loadAnswer(ctx, &record)
+			return BeginResult{
 				Record: record,
 			}, nil
 		}
 	}
 }
 
-// enter puts a claim into the node's own table, or returns the one that is there.
-func (c *Claims) enter(call Call) (*Claim, bool, error) {
+// register puts a claim into the node's own table, or returns the one that is there.
+func (c *Claims) register(call Call) (*Claim, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := call.name()
@@ -83,12 +83,12 @@
 func unavailable(fresh bool) *zinniamast.Refusal {
 	if fresh {
 		return zinniamast.Refuse(zinniamast.ReasonStoreUnavailable,
-			"the platform's table does not answer; nothing was run").After(retryStore)
+			"the platform's table does not answer; nothing was run").After(storeRetryAfter)
 	}
 	return zinniamast.Refuse(zinniamast.ReasonStoreUnavailable,
 		"the platform's table does not answer; nothing was run for this request, but an earlier one "+
 			"under the same key may have: send the same key again later").
-		With(zinniamast.Unknown).After(retryStore)
+		With(zinniamast.Unknown).After(storeRetryAfter)
 }
 
 // acquisition is one try to write a claim.
@@ -98,15 +98,15 @@
 	// free is the record that the claim is to follow, at revision expect.
 	free   Record
 	expect uint64
-	// open means that a write was sent whose effect is not known.
-	open bool
+	// writeUncertain means that a write was sent whose effect is not known.
+	writeUncertain bool
 	// throttled means that the table answered last, and refused for its rate.
 	throttled bool
 }
 
 // acquire writes the claim. Where that ends without the claim, no write of it
 // is left that could take effect later unseen.
-func (c *Claims) acquire(ctx context.Context, claim *Claim) (Standing, error) {
+func (c *Claims) acquire(ctx context.Context, claim *Claim) (BeginResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
 	defer cancel()
 	a := &acquisition{
@@ -116,48 +116,48 @@
 			State: StateFree,
 		},
 	}
-	pause := firstPause
+	pause := minRetryDelay
 	for {
 		standing, done, err := a.try(ctx)
 		if done || err != nil {
 			return standing, err
 		}
 		if err := wait(ctx, pause); err != nil {
-			return Standing{}, a.giveUp()
+			return BeginResult{}, a.giveUp()
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
 // try sends the write once, and reads the table where its answer leaves the effect open.
-func (a *acquisition) try(ctx context.Context) (Standing, bool, error) {
+func (a *acquisition) try(ctx context.Context) (BeginResult, bool, error) {
 	record := a.claim.record
-	err := a.claims.write(ctx, writes(&a.free, &record, a.expect, a.claims.config.Retention))
+	err := a.claims.write(ctx, recordWrites(&a.free, &record, a.expect, a.claims.config.Retention))
 	if err == nil {
 		return a.owned(record, a.expect+1, begunOwned), true, nil
 	}
 	a.throttled = errors.Is(err, zinniamast.ErrThrottled)
 	if a.throttled {
-		return Standing{}, false, nil
+		return BeginResult{}, false, nil
 	}
 	if errors.Is(err, zinniamast.ErrUnavailable) {
 		// The table is known to be out: the caller hears so at once.
-		return Standing{}, false, a.giveUp()
+		return BeginResult{}, false, a.giveUp()
 	}
 	if !errors.Is(err, zinniamast.ErrConflict) {
-		a.open = true
+		a.writeUncertain = true
 	}
-	return a.read(ctx)
+	return a.readHolder(ctx)
 }
 
-// read finds out who holds the key.
-func (a *acquisition) read(ctx context.Context) (Standing, bool, error) {
+// readHolder finds out who holds the key.
+func (a *acquisition) readHolder(ctx context.Context) (BeginResult, bool, error) {
 	record, revision, err := a.claims.get(ctx, a.claim.name)
 	if errors.Is(err, zinniamast.ErrUnavailable) {
-		return Standing{}, false, a.giveUp()
+		return BeginResult{}, false, a.giveUp()
 	}
 	if err != nil {
-		return Standing{}, false, nil
+		return BeginResult{}, false, nil
 	}
 	switch {
 	case record.Nonce == a.claim.record.Nonce && record.State == StateHeld:
@@ -167,33 +167,33 @@
 	case record.State == StateFree:
 		a.free = record
 		a.expect = revision
-		return Standing{}, false, nil
+		return BeginResult{}, false, nil
 	default:
-		a.claims.forget(a.claim)
-		a.claim.drop()
-		return a.taken(record, revision)
+		a.claims.removeLocal(a.claim)
+		a.claim.discard()
+		return a.takenByOther(record, revision)
 	}
 }
 
-// taken returns another request's claim on the key. Its revision is above what
+// takenByOther returns another request's claim on the key. Its revision is above what
 // our write expects, so that write cannot take effect any more.
-func (a *acquisition) taken(record Record, revision uint64) (Standing, bool, error) {
+func (a *acquisition) takenByOther(record Record, revision uint64) (BeginResult, bool, error) {
 	if record.BodyHash != a.claim.record.BodyHash {
 		a.claims.metrics.begun.WithLabelValues(begunConflict).Inc()
-		return Standing{}, true, Conflict(record.Key)
+		return BeginResult{}, true, Conflict(record.Key)
 	}
 	a.claims.metrics.begun.WithLabelValues(begunTaken).Inc()
-	return Standing{
+	return BeginResult{
 		Record:   record,
 		Revision: revision,
 	}, true, nil
 }
 
 // owned makes the claim ready for use.
-func (a *acquisition) owned(record Record, revision uint64, result string) Standing {
+func (a *acquisition) owned(record Record, revision uint64, result string) BeginResult {
 	a.claims.metrics.begun.WithLabelValues(result).Inc()
-	a.claim.hold(record, revision)
-	return Standing{
+	a.claim.markHeld(record, revision)
+	return BeginResult{
 		Claim: a.claim,
 	}
 }
@@ -202,20 +202,20 @@
 // by a free record at a higher revision before the node forgets the key.
 func (a *acquisition) giveUp() *zinniamast.Refusal {
 	a.claims.metrics.begun.WithLabelValues(begunUnavailable).Inc()
-	refusal := unavailable(a.claim.first || a.untouched())
-	if !a.open {
-		a.claims.forget(a.claim)
-		a.claim.drop()
+	refusal := unavailable(a.claim.firstSending || a.hasNotRun())
+	if !a.writeUncertain {
+		a.claims.removeLocal(a.claim)
+		a.claim.discard()
 		return refusal
 	}
 	a.claim.abandon(a.free, a.expect)
 	return refusal
 }
 
-// untouched asks a table that is only short of writes whether nothing runs
+// hasNotRun asks a table that is only short of writes whether nothing runs
 // under the key. What it showed earlier would not do: another request under
 // the key may have run through another node since.
-func (a *acquisition) untouched() bool {
+func (a *acquisition) hasNotRun() bool {
 	if !a.throttled {
 		return false
 	}
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -13,8 +13,8 @@
 	claims *Claims
 	name   string
 	// hash binds the key to what it was first sent with; it does not change.
-	hash  string
-	first bool
+	hash         string
+	firstSending bool
 	// ended is closed when the outcome is known here or the claim was not got.
 	ended chan struct{}
 	// saved is closed when the table or nobody needs this node's memory of it any more.
@@ -24,17 +24,17 @@
 	record   Record
 	revision uint64
 	held     bool
-	over     bool
+	finished bool
 }
 
 func newClaim(c *Claims, call Call) *Claim {
 	return &Claim{
-		claims: c,
-		name:   call.name(),
-		hash:   call.Hash(),
-		first:  call.First,
-		ended:  make(chan struct{}),
-		saved:  make(chan struct{}),
+		claims:       c,
+		name:         call.name(),
+		hash:         call.Hash(),
+		firstSending: call.First,
+		ended:        make(chan struct{}),
+		saved:        make(chan struct{}),
 		record: Record{
 			Organisation: call.Organisation,
 			Service:      call.Service,
@@ -51,8 +51,8 @@
 	}
 }
 
-// hold records that the table confirmed the claim.
-func (l *Claim) hold(record Record, revision uint64) {
+// markHeld records that the table confirmed the claim.
+func (l *Claim) markHeld(record Record, revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record = record
@@ -66,7 +66,7 @@
 func (l *Claim) MayDispatch() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held && !l.over && time.Now().Before(l.record.Deadline)
+	return l.held && !l.finished && time.Now().Before(l.record.Deadline)
 }
 
 // Answer ends the claim with the whole answer.
@@ -87,7 +87,7 @@
 // free the key before the claim has settled, so until then it is true.
 func (l *Claim) Release() zinniamast.Ran {
 	l.end(EventRelease, nil)
-	if l.claims.settled(&l.record) {
+	if l.claims.isSettled(&l.record) {
 		return zinniamast.Unknown
 	}
 	return zinniamast.NotRun
@@ -99,14 +99,14 @@
 func (l *Claim) end(event Event, answer *zinniamast.ServiceAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.held || l.over {
+	if !l.held || l.finished {
 		return
 	}
 	l.finish(l.record, event, answer)
 }
 
-// keep ends a claim that never stood in the table.
-func (l *Claim) keep(event Event, answer *zinniamast.ServiceAnswer) {
+// endUnclaimed ends a claim that never stood in the table.
+func (l *Claim) endUnclaimed(event Event, answer *zinniamast.ServiceAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.finish(Record{
@@ -116,11 +116,11 @@
 
 // finish sets the outcome and starts to save it; the caller holds the lock.
 func (l *Claim) finish(before Record, event Event, answer *zinniamast.ServiceAnswer) {
-	state, err := next(l.record.State, event)
+	state, err := nextState(l.record.State, event)
 	if err != nil {
 		return
 	}
-	l.over = true
+	l.finished = true
 	l.record.State = state
 	after := l.record
 	var large *upload
@@ -138,7 +138,7 @@
 			"service", l.record.Service, "key", l.record.Key, "reason", zinniamast.ReasonOutcomeUnknown)
 	}
 	close(l.ended)
-	l.claims.save(l, &saving{
+	l.claims.save(l, &pendingOutcome{
 		before: before,
 		after:  after,
 		expect: l.revision,
@@ -147,11 +147,11 @@
 	})
 }
 
-// drop gives up a claim of which no trace can come into the table.
-func (l *Claim) drop() {
+// discard gives up a claim of which no trace can come into the table.
+func (l *Claim) discard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.finished = true
 	l.record.State = StateFree
 	close(l.ended)
 	close(l.saved)
@@ -161,10 +161,10 @@
 func (l *Claim) abandon(free Record, expect uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.finished = true
 	l.record.State = StateFree
 	close(l.ended)
-	l.claims.save(l, &saving{
+	l.claims.save(l, &pendingOutcome{
 		before: free,
 		after:  l.record,
 		expect: expect,
@@ -172,8 +172,8 @@
 	})
 }
 
-// watch waits for the outcome of another request's claim on this node.
-func (l *Claim) watch(ctx context.Context, first bool) (Record, error) {
+// awaitOutcome waits for the outcome of another request's claim on this node.
+func (l *Claim) awaitOutcome(ctx context.Context, first bool) (Record, error) {
 	select {
 	case <-l.ended:
 	case <-ctx.Done():
@@ -200,5 +200,5 @@
 func InProgress() *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonInProgress,
 		"a request under the same key is running; ask again with the same key").
-		With(zinniamast.Unknown).After(retryHeld)
+		With(zinniamast.Unknown).After(inProgressRetryAfter)
 }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -61,7 +61,7 @@
 	defaultMaxUnsaved     = 10_000
 )
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	if c.Retention == 0 {
 		c.Retention = defaultRetention
 	}
@@ -96,12 +96,12 @@
 
 // Claims takes and ends claims for one node. Lock order: Claims, one Claim, writers.
 type Claims struct {
-	config  Config
-	metrics *metrics
-	closing context.Context
-	close   context.CancelFunc
-	slots   chan struct{}
-	objects *objects
+	config     Config
+	metrics    *metrics
+	closing    context.Context
+	close      context.CancelFunc
+	writeSlots chan struct{}
+	objects    *objects
 
 	writers writers
 	// unsaved counts the outcomes that wait for the table.
@@ -112,36 +112,36 @@
 	local map[string]*Claim
 }
 
-// maxWriters bounds the outcomes that are written at once; writes that run
+// maxConcurrentWrites bounds the outcomes that are written at once; writes that run
 // concurrently share a table call, so it need not be large.
-const maxWriters = 64
+const maxConcurrentWrites = 64
 
 // New returns a node's claims.
 func New(config Config) *Claims {
-	config.fill()
+	config.setDefaults()
 	closing, cancel := context.WithCancel(context.Background())
 	m := newMetrics(config.Registerer)
 	return &Claims{
-		config:  config,
-		metrics: m,
-		objects: newObjects(&config, m),
-		closing: closing,
-		close:   cancel,
-		slots:   make(chan struct{}, maxWriters),
-		local:   map[string]*Claim{},
+		config:     config,
+		metrics:    m,
+		objects:    newObjects(&config, m),
+		closing:    closing,
+		close:      cancel,
+		writeSlots: make(chan struct{}, maxConcurrentWrites),
+		local:      map[string]*Claim{},
 	}
 }
 
 // Close waits until every outcome is saved, or until ctx ends, and returns how
 // many are not: their keys will read as unknown.
 func (c *Claims) Close(ctx context.Context) int {
-	for c.unsaved.Load() > 0 && wait(ctx, closePoll) == nil {
+	for c.unsaved.Load() > 0 && wait(ctx, closePollInterval) == nil {
 		continue
 	}
 	// An object store that hangs must not use up the time that a node has to leave.
 	grace, cancel := context.WithTimeout(ctx, uploadGrace)
 	defer cancel()
-	for c.writers.busy() && wait(grace, closePoll) == nil {
+	for c.writers.isBusy() && wait(grace, closePollInterval) == nil {
 		continue
 	}
 	c.close()
@@ -154,8 +154,8 @@
 // uploadGrace is how long Close waits for large answers once every outcome is saved.
 const uploadGrace = 500 * time.Millisecond
 
-// closePoll is how often Close looks whether all is saved.
-const closePoll = 5 * time.Millisecond
+// closePollInterval is how often Close looks whether all is saved.
+const closePollInterval = 5 * time.Millisecond
 
 // writers counts the goroutines that save outcomes.
 type writers struct {
@@ -182,7 +182,7 @@
 	return true
 }
 
-func (w *writers) busy() bool {
+func (w *writers) isBusy() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count > 0
@@ -199,8 +199,8 @@
 // newNonce returns a name that no other claim has.
 func newNonce() string { return rand.Text() }
 
-// forget drops a claim that the table now answers for.
-func (c *Claims) forget(claim *Claim) {
+// removeLocal drops a claim that the table now answers for.
+func (c *Claims) removeLocal(claim *Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.local[claim.name] == claim {
--- a/claims/objects_test.go
+++ b/claims/faulty_objects_test.go
@@ -11,18 +11,18 @@
 // What the faulty object store does to one write.
 const (
 	objectNone = iota
-	// objectLost loses the answer of a write that took effect.
-	objectLost
-	// objectNever loses the write.
-	objectNever
+	// objectAnswerLost loses the answer of a write that took effect.
+	objectAnswerLost
+	// objectWriteLost loses the write.
+	objectWriteLost
 	// objectHangs answers nothing until the caller gives up.
 	objectHangs
-	// objectShort keeps half of the object and confirms it.
-	objectShort
-	// objectForeign keeps another object of the same length and confirms it.
-	objectForeign
-	// objectVanishes confirms the object and has none.
-	objectVanishes
+	// objectTruncated keeps half of the object and confirms it.
+	objectTruncated
+	// objectReplaced keeps another object of the same length and confirms it.
+	objectReplaced
+	// objectMissing confirms the object and has none.
+	objectMissing
 	objectFaultCount
 )
 
@@ -52,13 +52,13 @@
 	return fault
 }
 
-func (o *faultyObjects) keep(name string, content []byte) {
+func (o *faultyObjects) store(name string, content []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.content[name] = content
 }
 
-func (o *faultyObjects) names() int {
+func (o *faultyObjects) count() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.content)
@@ -70,23 +70,23 @@
 		return ctx.Err()
 	}
 	switch o.nextFault() {
-	case objectLost:
-		o.keep(name, content)
+	case objectAnswerLost:
+		o.store(name, content)
 		return errBroken
-	case objectNever:
+	case objectWriteLost:
 		return errBroken
 	case objectHangs:
 		<-ctx.Done()
 		return ctx.Err()
-	case objectShort:
-		o.keep(name, content[:len(content)/2])
-	case objectForeign:
+	case objectTruncated:
+		o.store(name, content[:len(content)/2])
+	case objectReplaced:
 		foreign := append([]byte{}, content...)
 		foreign[len(foreign)-1]++
-		o.keep(name, foreign)
-	case objectVanishes:
+		o.store(name, foreign)
+	case objectMissing:
 	default:
-		o.keep(name, content)
+		o.store(name, content)
 	}
 	return nil
 }
--- /dev/null
+++ b/claims/faulty_table_test.go
@@ -0,0 +1,151 @@
+package claims_test
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"zinniamast"
+	"zinniamast/standin/platform"
+)
+
+// What the faulty table does to one write.
+const (
+	faultNone = iota
+	// faultAnswerLost loses the answer of a write that took effect.
+	faultAnswerLost
+	// faultWriteLost loses the write before it takes effect.
+	faultWriteLost
+	// faultDelayed reports an error and lets the write take effect later.
+	faultDelayed
+	// faultDuplicated delivers the write a second time, later.
+	faultDuplicated
+	// faultThrottled refuses the write.
+	faultThrottled
+	faultCount
+)
+
+var errBroken = errors.New("connection broken")
+
+// faultyTable is the table that all nodes share, with drawn faults.
+type faultyTable struct {
+	table     zinniamast.Table
+	objects   *faultyObjects
+	faults    []int
+	lateDelay time.Duration
+
+	mu         sync.Mutex
+	faultsUsed int
+}
+
+func newFaultyTable(faults []int, late time.Duration) *faultyTable {
+	return &faultyTable{
+		table:     platform.New(platform.Config{}).Table,
+		objects:   newFaultyObjects(nil),
+		faults:    faults,
+		lateDelay: late,
+	}
+}
+
+func (w *faultyTable) nextFault() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.faultsUsed >= len(w.faults) {
+		return faultNone
+	}
+	w.faultsUsed++
+	return w.faults[w.faultsUsed-1]
+}
+
+// deliverLate delivers a write after a while, whatever has become of its sender.
+func (w *faultyTable) deliverLate(writes []zinniamast.Write) {
+	go func() {
+		time.Sleep(w.lateDelay)
+		w.table.Write(context.Background(), writes)
+	}()
+}
+
+// link is one node's way to the table; it can be cut.
+type link struct {
+	table *faultyTable
+
+	mu      sync.Mutex
+	outages []outage
+	start   time.Time
+	dead    bool
+}
+
+// outage is a stretch of time in which a node does not reach the table.
+type outage struct {
+	from, until time.Duration
+}
+
+func newLink(w *faultyTable, cuts ...outage) *link {
+	return &link{
+		table:   w,
+		outages: cuts,
+		start:   time.Now(),
+	}
+}
+
+// kill cuts the link for good.
+func (l *link) kill() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.dead = true
+}
+
+func (l *link) isDown() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.dead {
+		return true
+	}
+	now := time.Since(l.start)
+	for _, c := range l.outages {
+		if now >= c.from && now < c.until {
+			return true
+		}
+	}
+	return false
+}
+
+func (l *link) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
+	time.Sleep(time.Millisecond)
+	if l.isDown() {
+		return zinniamast.Item{}, errBroken
+	}
+	return l.table.table.Get(ctx, key)
+}
+
+func (l *link) Query(ctx context.Context, partition, after string, limit int) ([]zinniamast.Item, error) {
+	if l.isDown() {
+		return nil, errBroken
+	}
+	return l.table.table.Query(ctx, partition, after, limit)
+}
+
+func (l *link) Write(ctx context.Context, writes []zinniamast.Write) error {
+	time.Sleep(time.Millisecond)
+	if l.isDown() {
+		return errBroken
+	}
+	switch l.table.nextFault() {
+	case faultAnswerLost:
+		l.table.table.Write(ctx, writes)
+		return errBroken
+	case faultWriteLost:
+		return errBroken
+	case faultDelayed:
+		l.table.deliverLate(writes)
+		return errBroken
+	case faultDuplicated:
+		l.table.deliverLate(writes)
+		return l.table.table.Write(ctx, writes)
+	case faultThrottled:
+		return zinniamast.ErrThrottled
+	default:
+		return l.table.table.Write(ctx, writes)
+	}
+}
--- a/claims/large_test.go
+++ b/claims/large_test.go
@@ -23,7 +23,7 @@
 		Key:          key,
 		Method:       "POST",
 		Path:         "/reservations",
-		Deadline:     time.Now().Add(budget),
+		Deadline:     time.Now().Add(requestTimeout),
 	}
 }
 
@@ -33,32 +33,32 @@
 	objects []int
 	// table faults meet the claim, the outcome and the pointer in turn.
 	table []int
-	// bytes is the body's length, 200 if zero.
-	bytes int
-	// dies is when the node's process dies after the answer; zero is never.
-	dies time.Duration
-	kept bool
-	left int // objects in the store in the end
+	// bodyBytes is the body's length, 200 if zero.
+	bodyBytes int
+	// diesAfter is when the node's process dies after the answer; zero is never.
+	diesAfter   time.Duration
+	answerKept  bool
+	objectsLeft int // objects in the store in the end
 }
 
 var largeCases = []largeCase{
-	{name: "no fault", kept: true, left: 1},
-	{name: "object write lost", objects: []int{objectNever, objectNever}, kept: true, left: 1},
-	{name: "its answer lost", objects: []int{objectLost}, kept: true, left: 1},
+	{name: "no fault", answerKept: true, objectsLeft: 1},
+	{name: "object write lost", objects: []int{objectWriteLost, objectWriteLost}, answerKept: true, objectsLeft: 1},
+	{name: "its answer lost", objects: []int{objectAnswerLost}, answerKept: true, objectsLeft: 1},
 	{name: "store hangs", objects: []int{objectHangs}},
-	{name: "store down", objects: []int{objectNever, objectNever, objectNever, objectNever, objectNever, objectNever}},
-	{name: "object cut short", objects: []int{objectShort}, left: 1},
-	{name: "foreign object", objects: []int{objectForeign}, left: 1},
-	{name: "object vanished", objects: []int{objectVanishes}},
-	{name: "outcome's answer lost", table: []int{faultNone, faultLost}, kept: true, left: 1},
-	{name: "pointer's answer lost", table: []int{faultNone, faultNone, faultLost}, kept: true, left: 1},
-	{name: "pointer lost", table: []int{faultNone, faultNone, faultNever}, kept: true, left: 1},
-	{name: "pointer late", table: []int{faultNone, faultNone, faultLate}, kept: true, left: 1},
-	{name: "process dies before the object", dies: 10 * time.Millisecond},
-	{name: "process dies between object and pointer", dies: 30 * time.Millisecond, left: 1,
-		table: []int{faultNone, faultNone, faultNever}},
-	{name: "above MaxObject", bytes: 900},
-	{name: "above the bytes on their way", bytes: 600},
+	{name: "store down", objects: []int{objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost}},
+	{name: "object cut short", objects: []int{objectTruncated}, objectsLeft: 1},
+	{name: "foreign object", objects: []int{objectReplaced}, objectsLeft: 1},
+	{name: "object vanished", objects: []int{objectMissing}},
+	{name: "outcome's answer lost", table: []int{faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
+	{name: "pointer's answer lost", table: []int{faultNone, faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
+	{name: "pointer lost", table: []int{faultNone, faultNone, faultWriteLost}, answerKept: true, objectsLeft: 1},
+	{name: "pointer late", table: []int{faultNone, faultNone, faultDelayed}, answerKept: true, objectsLeft: 1},
+	{name: "process dies before the object", diesAfter: 10 * time.Millisecond},
+	{name: "process dies between object and pointer", diesAfter: 30 * time.Millisecond, objectsLeft: 1,
+		table: []int{faultNone, faultNone, faultWriteLost}},
+	{name: "above MaxObject", bodyBytes: 900},
+	{name: "above the bytes on their way", bodyBytes: 600},
 }
 
 // A booking's answer is too large for the table, and each step of keeping it
@@ -69,14 +69,14 @@
 func TestLargeAnswers(t *testing.T) {
 	for _, c := range largeCases {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { keepLarge(is.New(t), c) })
+			synctest.Test(t, func(t *testing.T) { checkLargeAnswer(is.New(t), c) })
 		})
 	}
 }
 
-func keepLarge(is *is.I, c largeCase) {
+func checkLargeAnswer(is *is.I, c largeCase) {
 	ctx := context.Background()
-	w := newWorld(c.table, time.Second)
+	w := newFaultyTable(c.table, time.Second)
 	w.objects = newFaultyObjects(c.objects)
 	newNode := func(name string) (*claims.Claims, *link) {
 		l := newLink(w)
@@ -95,14 +95,14 @@
 	answer := zinniamast.ServiceAnswer{
 		Status: 201,
 		Header: map[string][]string{"Content-Type": {"text/plain"}},
-		Body:   []byte(strings.Repeat("whole ", 200)[:max(c.bytes, 200)]),
+		Body:   []byte(strings.Repeat("whole ", 200)[:max(c.bodyBytes, 200)]),
 	}
 	before := time.Now()
 	standing.Claim.Answer(answer)
 	is.Equal(time.Since(before), time.Duration(0)) // the caller waits for nothing
 
-	if c.dies > 0 {
-		time.Sleep(c.dies)
+	if c.diesAfter > 0 {
+		time.Sleep(c.diesAfter)
 		way.kill()
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
@@ -110,7 +110,7 @@
 	}
 	other, _ := newNode("node-1")
 	if c.table == nil {
-		time.Sleep(15*time.Millisecond - min(c.dies, 15*time.Millisecond))
+		time.Sleep(15*time.Millisecond - min(c.diesAfter, 15*time.Millisecond))
 		saved, err := other.Read(ctx, largeCall("k"))
 		is.NoErr(err)
 		is.Equal(saved.State, claims.StateDone) // the outcome waits for no object
@@ -120,11 +120,11 @@
 	is.NoErr(err)
 	is.True(again.Claim == nil) // no second run
 	is.Equal(again.Record.State, claims.StateDone)
-	is.Equal(again.Record.Answer != nil, c.kept)
-	if c.kept {
+	is.Equal(again.Record.Answer != nil, c.answerKept)
+	if c.answerKept {
 		is.Equal(*again.Record.Answer, answer)
 	}
-	is.Equal(w.objects.names(), c.left)
+	is.Equal(w.objects.count(), c.objectsLeft)
 	is.Equal(holder.Close(ctx), 0)
 	is.Equal(other.Close(ctx), 0)
 }
@@ -200,7 +200,7 @@
 			var waited, replayed time.Duration
 			saved, answers, bytes, items := 0, 0, 0, 0
 			for i := range bookings {
-				table.drain()
+				table.takeCounts()
 				standing, err := held.Begin(ctx, largeCall(fmt.Sprint(i)))
 				is.NoErr(err)
 				before := time.Now()
@@ -216,7 +216,7 @@
 					saved++
 				}
 				time.Sleep(time.Second)
-				wroteBytes, wroteItems := table.drain()
+				wroteBytes, wroteItems := table.takeCounts()
 				bytes += wroteBytes
 				items += wroteItems
 				before = time.Now()
@@ -238,8 +238,8 @@
 	}
 }
 
-// drain returns what was written since the last call.
-func (c *countingTable) drain() (bytes, items int) {
+// takeCounts returns what was written since the last call.
+func (c *countingTable) takeCounts() (bytes, items int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	bytes, items = c.bytes, c.items
--- a/claims/model_test.go
+++ b/claims/model_test.go
@@ -13,13 +13,13 @@
 	phaseHeld
 	phaseReleased
 	phaseRan
-	phaseGone
+	phaseRejected
 )
 
 const (
 	requests = 3
-	// copies is how often the network may deliver one write.
-	copies = 2
+	// maxDeliveries is how often the network may deliver one write.
+	maxDeliveries = 2
 	// maxRevision ends the search where requests repeat claims for ever.
 	maxRevision = 6
 )
@@ -38,13 +38,13 @@
 // the record, so that revisions start again, or leaves it free.
 func (m model) steps(deletes bool, visit func(model)) {
 	for i := range uint8(requests) {
-		m.network(i, deletes, visit)
+		m.deliver(i, deletes, visit)
 		n := m
 		switch m.phase[i] {
 		case phaseIdle:
 			if m.owner == 0 && m.revision < maxRevision {
 				n.phase[i] = phaseClaiming
-				n.claims[i] = copies
+				n.claims[i] = maxDeliveries
 				n.claimAt[i] = m.revision
 				visit(n)
 			}
@@ -53,7 +53,7 @@
 			case m.owner == i+1:
 				n.phase[i] = phaseHeld
 			case m.owner != 0:
-				n.phase[i] = phaseGone
+				n.phase[i] = phaseRejected
 			default:
 				n.phase[i] = phaseIdle
 			}
@@ -64,15 +64,15 @@
 			visit(n)
 			n = m
 			n.phase[i] = phaseReleased
-			n.releases[i] = copies
+			n.releases[i] = maxDeliveries
 			n.releaseAt[i] = m.revision
 			visit(n)
 		}
 	}
 }
 
-// network delivers or loses one write of a request.
-func (m model) network(i uint8, deletes bool, visit func(model)) {
+// deliver delivers or loses one write of a request.
+func (m model) deliver(i uint8, deletes bool, visit func(model)) {
 	if m.claims[i] > 0 {
 		n := m
 		n.claims[i]--
@@ -124,7 +124,7 @@
 // once. If a release deleted the record, a late copy of it would remove
 // another request's claim: the model finds two runs then, which shows that it
 // can find them.
-func TestModelOfTheClaim(t *testing.T) {
+func TestClaimModel(t *testing.T) {
 	is := is.New(t)
 	states, runs := explore(false)
 	t.Logf("free record: %d states, at most %d runs", states, runs)
--- a/claims/object.go
+++ b/claims/object.go
@@ -29,8 +29,8 @@
 // those who can read the record know.
 func objectName(nonce string) string { return objectPrefix + nonce }
 
-// proof returns what the record keeps of an object.
-func proof(content []byte) *Object {
+// objectFor returns what the record keeps of an object.
+func objectFor(content []byte) *Object {
 	sum := sha256.Sum256(content)
 	return &Object{
 		Bytes: len(content),
@@ -64,13 +64,13 @@
 // caller would get half an answer or somebody else's. Length and hash come
 // from the record, which only the claim's holder wrote, so neither passes.
 func decodeObject(object *Object, content []byte) (*zinniamast.ServiceAnswer, error) {
-	if len(content) != object.Bytes || *proof(content) != *object {
-		return nil, errForeign
+	if len(content) != object.Bytes || *objectFor(content) != *object {
+		return nil, errObjectMismatch
 	}
 	line, body, _ := bytes.Cut(content, []byte("\n"))
 	var head objectHead
 	if err := json.Unmarshal(line, &head); err != nil {
-		return nil, errForeign
+		return nil, errObjectMismatch
 	}
 	return &zinniamast.ServiceAnswer{
 		Status: head.Status,
@@ -79,33 +79,33 @@
 	}, nil
 }
 
-// errForeign means that an object is not the one that the record names.
-var errForeign = errors.New("claims: the object is not the one that the record names")
+// errObjectMismatch means that an object is not the one that the record names.
+var errObjectMismatch = errors.New("claims: the object is not the one that the record names")
 
-// maxHead bounds what an object may hold beside the answer's body, in bytes.
-const maxHead = 1 << 20
+// maxHeadBytes bounds what an object may hold beside the answer's body, in bytes.
+const maxHeadBytes = 1 << 20
 
 // objects keeps the answers that are too large for the table.
 type objects struct {
-	store   zinniamast.ObjectStore
-	max     int
-	timeout time.Duration
-	// writes and reads bound the bytes in memory on their way to and from the
+	store    zinniamast.ObjectStore
+	maxBytes int
+	timeout  time.Duration
+	// writeBudget and reads bound the bytes in memory on their way to and from the
 	// store. A store that hangs fills its budget, and answers are not kept then;
 	// without them it would fill the node's memory.
-	writes  *semaphore.Weighted
-	reads   *semaphore.Weighted
-	metrics *metrics
+	writeBudget *semaphore.Weighted
+	readBudget  *semaphore.Weighted
+	metrics     *metrics
 }
 
 func newObjects(c *Config, m *metrics) *objects {
 	return &objects{
-		store:   c.Objects,
-		max:     c.MaxObject,
-		timeout: c.ObjectTimeout,
-		writes:  semaphore.NewWeighted(c.MaxObjectBytes),
-		reads:   semaphore.NewWeighted(c.MaxObjectBytes),
-		metrics: m,
+		store:       c.Objects,
+		maxBytes:    c.MaxObject,
+		timeout:     c.ObjectTimeout,
+		writeBudget: semaphore.NewWeighted(c.MaxObjectBytes),
+		readBudget:  semaphore.NewWeighted(c.MaxObjectBytes),
+		metrics:     m,
 	}
 }
 
@@ -114,38 +114,38 @@
 	switch {
 	case o.store == nil:
 		return false
-	case len(answer.Body) > o.max:
+	case len(answer.Body) > o.maxBytes:
 		o.metrics.objects.WithLabelValues(objectOversized).Inc()
 		return false
-	case !o.writes.TryAcquire(int64(len(answer.Body))):
+	case !o.writeBudget.TryAcquire(int64(len(answer.Body))):
 		o.metrics.objects.WithLabelValues(objectBusy).Inc()
 		return false
 	}
 	return true
 }
 
-// put writes an admitted answer and returns its proof, or nil if the store did
+// putAnswer writes an admitted answer and returns its proof, or nil if the store did
 // not confirm it in time. Writing it again after a lost answer is harmless.
-func (c *Claims) put(nonce string, answer *zinniamast.ServiceAnswer) *Object {
-	defer c.objects.writes.Release(int64(len(answer.Body)))
+func (c *Claims) putAnswer(nonce string, answer *zinniamast.ServiceAnswer) *Object {
+	defer c.objects.writeBudget.Release(int64(len(answer.Body)))
 	ctx, cancel := context.WithTimeout(c.closing, c.objects.timeout)
 	defer cancel()
 	content, err := encodeObject(answer)
-	if err == nil && len(content) <= c.objects.max+maxHead {
-		if c.putUntilDone(ctx, objectName(nonce), content) {
-			return proof(content)
+	if err == nil && len(content) <= c.objects.maxBytes+maxHeadBytes {
+		if c.putUntilStored(ctx, objectName(nonce), content) {
+			return objectFor(content)
 		}
 	}
 	c.metrics.objects.WithLabelValues(objectFailed).Inc()
 	return nil
 }
 
-// firstPut is the pause after the first failed write; each further one is four
+// firstPutDelay is the pause after the first failed write; each further one is four
 // times as long, so that a store that is down sees four tries an answer.
-const firstPut = 100 * time.Millisecond
+const firstPutDelay = 100 * time.Millisecond
 
-func (c *Claims) putUntilDone(ctx context.Context, name string, content []byte) bool {
-	for pause := firstPut; ; pause *= 4 {
+func (c *Claims) putUntilStored(ctx context.Context, name string, content []byte) bool {
+	for pause := firstPutDelay; ; pause *= 4 {
 		if c.objects.store.Put(ctx, name, content) == nil {
 			return true
 		}
@@ -155,9 +155,9 @@
 	}
 }
 
-// discard deletes an object that no record names; what it misses, the bucket's
+// deleteObject deletes an object that no record names; what it misses, the bucket's
 // expiry takes.
-func (c *Claims) discard(nonce string) {
+func (c *Claims) deleteObject(nonce string) {
 	ctx, cancel := context.WithTimeout(c.closing, c.objects.timeout)
 	defer cancel()
 	result := objectOrphaned
@@ -167,19 +167,19 @@
 	c.metrics.objects.WithLabelValues(result).Inc()
 }
 
-// recall completes a record whose answer lies in the object store. Whatever
+// loadAnswer completes a record whose answer lies in the object store. Whatever
 // goes wrong, the record stays as it is: the call ran and its answer is not at hand.
-func (c *Claims) recall(ctx context.Context, record *Record) {
+func (c *Claims) loadAnswer(ctx context.Context, record *Record) {
 	object := record.Object
 	if record.State != StateDone || record.Answer != nil || object == nil || c.objects.store == nil {
 		return
 	}
-	answer, err := c.fetch(ctx, record.Nonce, object)
+	answer, err := c.fetchAnswer(ctx, record.Nonce, object)
 	switch {
 	case err == nil:
 		record.Answer = answer
 		c.metrics.objects.WithLabelValues(objectRead).Inc()
-	case errors.Is(err, errForeign):
+	case errors.Is(err, errObjectMismatch):
 		c.metrics.objects.WithLabelValues(objectForeign).Inc()
 		c.config.Logger.Warn("object is not the answer", "organisation", record.Organisation,
 			"service", record.Service, "key", record.Key)
@@ -188,17 +188,17 @@
 	}
 }
 
-func (c *Claims) fetch(ctx context.Context, nonce string, object *Object) (*zinniamast.ServiceAnswer, error) {
+func (c *Claims) fetchAnswer(ctx context.Context, nonce string, object *Object) (*zinniamast.ServiceAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.objects.timeout)
 	defer cancel()
-	if object.Bytes > c.objects.max+maxHead {
-		return nil, errForeign
+	if object.Bytes > c.objects.maxBytes+maxHeadBytes {
+		return nil, errObjectMismatch
 	}
 	size := min(int64(object.Bytes), c.config.MaxObjectBytes)
-	if err := c.objects.reads.Acquire(ctx, size); err != nil {
+	if err := c.objects.readBudget.Acquire(ctx, size); err != nil {
 		return nil, err
 	}
-	defer c.objects.reads.Release(size)
+	defer c.objects.readBudget.Release(size)
 	content, err := c.objects.store.Get(ctx, objectName(nonce))
 	if err != nil {
 		return nil, err
--- a/claims/property_test.go
+++ b/claims/property_test.go
@@ -26,8 +26,8 @@
 	attemptCount
 )
 
-// sending is one drawn request.
-type sending struct {
+// drawnRequest is one drawn request.
+type drawnRequest struct {
 	Node    int
 	Key     int
 	Body    int
@@ -39,115 +39,115 @@
 
 // plan is a drawn history.
 type plan struct {
-	Sendings []sending
-	Faults   []int
-	Late     int // milliseconds until a late write takes effect
-	Cuts     [2]cut
-	Operator bool
-	// Large is the length of the answers' bodies; above maxAnswer they go to
+	Requests  []drawnRequest
+	Faults    []int
+	LateDelay int // milliseconds until a late write takes effect
+	Outages   [2]outage
+	Operator  bool
+	// Padding is the length of the answers' bodies; above maxAnswer they go to
 	// the object store, whose writes meet the faults of Objects.
-	Large   int
+	Padding int
 	Objects []int
 }
 
 const (
-	budget = 5 * time.Second
+	requestTimeout = 5 * time.Second
 	// maxAnswer and maxObjectBytes make answers of a few hundred bytes large ones.
 	maxAnswer      = 64
 	maxObjectBytes = 1000
-	settle         = 30 * time.Second
+	settleTime     = 30 * time.Second
 )
 
-// books are the service's: what truly ran, and what callers were told.
-type books struct {
+// ledger are the service's: what truly ran, and what callers were told.
+type ledger struct {
 	mu         sync.Mutex
 	runs       map[string][]string // key to the IDs of requests that ran
-	large      int
+	padding    int
 	violations []string
 }
 
-func (b *books) run(key, id string) {
+func (b *ledger) recordRun(key, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[key] = append(b.runs[key], id)
 	if len(b.runs[key]) > 1 {
-		b.violate("key %s ran for %v", key, b.runs[key])
+		b.addViolation("key %s ran for %v", key, b.runs[key])
 	}
 }
 
-func (b *books) ran(key string) bool {
+func (b *ledger) hasRun(key string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.runs[key]) > 0
 }
 
-func (b *books) violate(format string, args ...any) {
+func (b *ledger) addViolation(format string, args ...any) {
 	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-// told checks a "not run" when it is said: nothing has run under the key, and
+// checkReport checks a "not run" when it is said: nothing has run under the key, and
 // the request that it is said to never runs.
-func (b *books) told(key, id string, ran zinniamast.Ran, body bool) {
+func (b *ledger) checkReport(key, id string, ran zinniamast.Ran, body bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ran == zinniamast.NotRun && len(b.runs[key]) > 0 && !body {
-		b.violate("request %s was told not run, and key %s ran for %v", id, key, b.runs[key])
+		b.addViolation("request %s was told not run, and key %s ran for %v", id, key, b.runs[key])
 	}
 	if ran == zinniamast.DidRun && len(b.runs[key]) == 0 {
-		b.violate("request %s was told ran, and key %s did not run", id, key)
+		b.addViolation("request %s was told ran, and key %s did not run", id, key)
 	}
 }
 
-// body is the answer to a request; no two requests get the same.
-func (b *books) body(id string) []byte {
-	return []byte(id + strings.Repeat(".", b.large))
+// answerBody is the answer to a request; no two requests get the same.
+func (b *ledger) answerBody(id string) []byte {
+	return []byte(id + strings.Repeat(".", b.padding))
 }
 
-// answered checks an answer that was kept: it is that of the request that ran.
-func (b *books) answered(key string, record claims.Record) {
+// checkAnswer checks an answer that was kept: it is that of the request that ran.
+func (b *ledger) checkAnswer(key string, record claims.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if record.Answer == nil {
 		return
 	}
-	if len(b.runs[key]) != 1 || string(record.Answer.Body) != string(b.body(b.runs[key][0])) {
-		b.violate("key %s ran for %v and was answered %.8q", key, b.runs[key], record.Answer.Body)
+	if len(b.runs[key]) != 1 || string(record.Answer.Body) != string(b.answerBody(b.runs[key][0])) {
+		b.addViolation("key %s ran for %v and was answered %.8q", key, b.runs[key], record.Answer.Body)
 	}
 }
 
 // simulate plays a plan in virtual time and returns the broken promises.
 func simulate(p plan) []string {
-	w := newWorld(p.Faults, time.Duration(p.Late)*time.Millisecond)
+	w := newFaultyTable(p.Faults, time.Duration(p.LateDelay)*time.Millisecond)
 	w.objects = newFaultyObjects(p.Objects)
-	b := &books{runs: map[string][]string{}, large: p.Large}
-	nodes := make([]*node, len(p.Cuts))
+	b := &ledger{runs: map[string][]string{}, padding: p.Padding}
+	nodes := make([]*node, len(p.Outages))
 	for i := range nodes {
 		nodes[i] = &node{
 			name: fmt.Sprint("node-", i),
-			link: newLink(w, p.Cuts[i]),
+			link: newLink(w, p.Outages[i]),
 		}
 		nodes[i].restart()
 	}
 	var done sync.WaitGroup
-	for i, s := range p.Sendings {
+	for i, s := range p.Requests {
 		done.Go(func() {
 			time.Sleep(time.Duration(s.At) * time.Millisecond)
-			send(nodes[s.Node], b, s, fmt.Sprint("r", i))
+			sendRequest(nodes[s.Node], b, s, fmt.Sprint("r", i))
 		})
 	}
 	if p.Operator {
-		done.Go(func() { operate(nodes[0], b) })
+		done.Go(func() { resolveUnknowns(nodes[0], b) })
 	}
 	done.Wait()
 	time.Sleep(5 * time.Minute)
 	unknowns, err := nodes[0].current().Unknowns(context.Background(), 100)
 	for _, n := range nodes {
 		if left := n.current().Close(context.Background()); left > 0 {
-			b.violate("%d outcomes were not saved", left)
+			b.addViolation("%d outcomes were not saved", left)
 		}
 	}
 	if err != nil || (p.Operator && len(unknowns) > 0) {
-		b.violate("unknowns left: %v %v", unknowns, err)
+		b.addViolation("unknowns left: %v %v", unknowns, err)
 	}
 	return b.violations
 }
@@ -173,15 +173,15 @@
 	old := n.claims
 	if old != nil {
 		n.link.kill()
-		n.link = newLink(n.link.world, n.link.cuts...)
+		n.link = newLink(n.link.table, n.link.outages...)
 	}
 	n.claims = claims.New(claims.Config{
 		Table:          n.link,
-		Objects:        n.link.world.objects,
+		Objects:        n.link.table.objects,
 		MaxAnswer:      maxAnswer,
 		MaxObjectBytes: maxObjectBytes,
 		Node:           n.name,
-		Settle:         settle,
+		Settle:         settleTime,
 	})
 	n.mu.Unlock()
 	if old != nil {
@@ -191,8 +191,8 @@
 	}
 }
 
-// send plays what the services handler does with one request.
-func send(n *node, b *books, s sending, id string) {
+// sendRequest plays what the services handler does with one request.
+func sendRequest(n *node, b *ledger, s drawnRequest, id string) {
 	key := fmt.Sprint("k", s.Key)
 	call := claims.Call{
 		Organisation: "north",
@@ -201,70 +201,70 @@
 		Method:       "POST",
 		Path:         "/reservations",
 		Body:         []byte(fmt.Sprint(s.Body)),
-		Deadline:     time.Now().Add(budget),
+		Deadline:     time.Now().Add(requestTimeout),
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
 	defer cancel()
 	standing, err := n.current().Begin(ctx, call)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
-		b.told(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
+		b.checkReport(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
 		return
 	}
 	if standing.Claim == nil {
-		b.told(key, id, standing.Record.State.Ran(), false)
-		b.answered(key, standing.Record)
+		b.checkReport(key, id, standing.Record.State.Ran(), false)
+		b.checkAnswer(key, standing.Record)
 		return
 	}
 	time.Sleep(time.Duration(s.Pause) * time.Millisecond)
 	if !standing.Claim.MayDispatch() {
-		b.told(key, id, standing.Claim.Release(), false)
+		b.checkReport(key, id, standing.Claim.Release(), false)
 		return
 	}
 	dispatch(n, standing.Claim, b, s, key, id)
 }
 
-func dispatch(n *node, claim *claims.Claim, b *books, s sending, key, id string) {
+func dispatch(n *node, claim *claims.Claim, b *ledger, s drawnRequest, key, id string) {
 	switch s.Attempt {
 	case attemptNotRun:
-		b.told(key, id, claim.Release(), false)
+		b.checkReport(key, id, claim.Release(), false)
 		return
 	case attemptNeverArrives:
 	case attemptRunsLate:
 		go func() {
 			time.Sleep(20 * time.Second)
-			b.run(key, id)
+			b.recordRun(key, id)
 		}()
 	default:
-		b.run(key, id)
+		b.recordRun(key, id)
 	}
 	if s.Crash {
 		n.restart()
 		return
 	}
 	if s.Attempt == attemptAnswers {
-		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: b.body(id)})
+		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: b.answerBody(id)})
 		return
 	}
 	claim.Lose()
 }
 
-// operate decides open unknowns by the service's books, as an operator or a
+// resolveUnknowns decides open unknowns by the service's books, as an operator or a
 // lookup by key does, and races with callers and holders.
-func operate(n *node, b *books) {
+func resolveUnknowns(n *node, b *ledger) {
 	for range 60 {
 		time.Sleep(5 * time.Second)
 		unknowns, _ := n.current().Unknowns(context.Background(), 100)
 		for _, u := range unknowns {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, b.ran(u.Key), "operator")
+			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, b.hasRun(u.Key), "operator")
 			cancel()
 		}
 	}
 }
 
-// keptHistories failed before a fix and are kept unchanged.
-var keptHistories = []struct {
+// regressionPlans failed before a fix and are kept unchanged.
+var regressionPlans = []struct {
 	name string
 	plan plan
 }{
@@ -273,12 +273,12 @@
 		// runs under it, and the holder wakes and says "not run".
 		name: "holder wakes after its key was freed",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 40_000, Attempt: attemptAnswers, Crash: true},
 				{Node: 1, Key: 1, At: 0, Pause: 50_000, Attempt: attemptAnswers, Crash: true},
 			},
-			Late:     2,
-			Operator: true,
+			LateDelay: 2,
+			Operator:  true,
 		},
 	},
 	{
@@ -286,14 +286,14 @@
 		// ran through the other node. The second said "not run" for the first.
 		name: "second request beside a claim given up",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, At: 0, Attempt: attemptAnswers, Crash: true},
 				{Node: 1, At: 3, Pause: 4000, Attempt: attemptRunsLate},
 				{Node: 1, At: 3, Pause: 4000, Attempt: attemptRunsLate},
 			},
-			Faults: []int{faultNone},
-			Late:   45_000,
-			Cuts:   [2]cut{{}, {from: 5 * time.Millisecond, until: time.Minute}},
+			Faults:    []int{faultNone},
+			LateDelay: 45_000,
+			Outages:   [2]outage{{}, {from: 5 * time.Millisecond, until: time.Minute}},
 		},
 	},
 	{
@@ -301,21 +301,21 @@
 		// cut off, the key runs elsewhere, and the first node said "not run".
 		name: "release whose answer was lost",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 9000, Attempt: attemptRunsLate, Crash: true},
 				{Node: 1, Key: 1, Body: 1, At: 10, Attempt: attemptRanAnswerLost},
 				{Node: 0, Key: 1, At: 1, Attempt: attemptNotRun},
 			},
-			Faults: []int{faultLost, faultLost},
-			Late:   45_000,
-			Cuts:   [2]cut{{from: 5 * time.Millisecond, until: time.Minute}, {from: 2 * time.Millisecond, until: 102 * time.Millisecond}},
+			Faults:    []int{faultAnswerLost, faultAnswerLost},
+			LateDelay: 45_000,
+			Outages:   [2]outage{{from: 5 * time.Millisecond, until: time.Minute}, {from: 2 * time.Millisecond, until: 102 * time.Millisecond}},
 		},
 	},
 }
 
 // The histories that broke a promise once.
-func TestKeptHistories(t *testing.T) {
-	for _, kept := range keptHistories {
+func TestRegressionPlans(t *testing.T) {
+	for _, kept := range regressionPlans {
 		t.Run(kept.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				if violations := simulate(kept.plan); len(violations) > 0 {
@@ -328,8 +328,8 @@
 
 func drawPlan(t *rapid.T) plan {
 	return plan{
-		Sendings: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sending {
-			return sending{
+		Requests: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnRequest {
+			return drawnRequest{
 				Node:    rapid.IntRange(0, 1).Draw(t, "node"),
 				Key:     rapid.IntRange(0, 1).Draw(t, "key"),
 				Body:    rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "body"),
@@ -339,22 +339,22 @@
 				Crash:   rapid.IntRange(0, 4).Draw(t, "crash") == 0,
 			}
 		}), 2, 8).Draw(t, "sendings"),
-		Faults: rapid.SliceOfN(rapid.IntRange(0, faultCount-1), 0, 24).Draw(t, "faults"),
-		Late:   rapid.SampledFrom([]int{2, 50, 1500, 9000, 45_000}).Draw(t, "late"),
-		Cuts: [2]cut{
-			drawCut(t, "cut0"),
-			drawCut(t, "cut1"),
+		Faults:    rapid.SliceOfN(rapid.IntRange(0, faultCount-1), 0, 24).Draw(t, "faults"),
+		LateDelay: rapid.SampledFrom([]int{2, 50, 1500, 9000, 45_000}).Draw(t, "late"),
+		Outages: [2]outage{
+			drawOutage(t, "cut0"),
+			drawOutage(t, "cut1"),
 		},
 		Operator: rapid.Bool().Draw(t, "operator"),
-		Large:    rapid.SampledFrom([]int{0, 200, 600}).Draw(t, "large"),
+		Padding:  rapid.SampledFrom([]int{0, 200, 600}).Draw(t, "large"),
 		Objects:  rapid.SliceOfN(rapid.IntRange(0, objectFaultCount-1), 0, 8).Draw(t, "objects"),
 	}
 }
 
-func drawCut(t *rapid.T, label string) cut {
+func drawOutage(t *rapid.T, label string) outage {
 	from := rapid.SampledFrom([]int{0, 2, 5, 1000, 10_000}).Draw(t, label)
 	length := rapid.SampledFrom([]int{0, 0, 100, 5000, 60_000}).Draw(t, label+" length")
-	return cut{
+	return outage{
 		from:  time.Duration(from) * time.Millisecond,
 		until: time.Duration(from+length) * time.Millisecond,
 	}
@@ -364,7 +364,7 @@
 // repeats writes, nodes are cut off, paused past the deadline or forget what
 // they sent, and an operator decides what is left open. Whatever the order, a
 // key runs at most once, and "not run" is said of nothing that ran.
-func TestAKeyRunsAtMostOnce(t *testing.T) {
+func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
 		var violations []string
--- a/claims/record.go
+++ b/claims/record.go
@@ -16,8 +16,8 @@
 // openPartition lists the claims that have no known outcome, fleet-wide.
 const openPartition = "claims_open"
 
-// claimSort is the sort key of a claim, which has a partition of its own.
-const claimSort = "claim"
+// claimSortKey is the sort key of a claim, which has a partition of its own.
+const claimSortKey = "claim"
 
 // Call is a call that may not be repeated, with the key its caller gave it.
 type Call struct {
@@ -98,7 +98,7 @@
 func claimKey(name string) zinniamast.Key {
 	return zinniamast.Key{
 		Partition: "claim/" + name,
-		Sort:      claimSort,
+		Sort:      claimSortKey,
 	}
 }
 
@@ -125,7 +125,7 @@
 	return raw
 }
 
-// writes returns the writes that bring a record from its revision in the table
+// recordWrites returns the writes that bring a record from its revision in the table
 // to a new state: the claim and its entry in the open list change together.
 //
 // Failure: the release of a claim is delayed in the network, sent again, and
@@ -133,9 +133,9 @@
 // release deleted the item, the new claim would stand at the revision that the
 // late copy expects and vanish, and a third node would run the call again. A
 // released claim therefore stays as free and its revision only rises.
-func writes(before, after *Record, expect uint64, retention time.Duration) []zinniamast.Write {
+func recordWrites(before, after *Record, expect uint64, retention time.Duration) []zinniamast.Write {
 	name := after.name()
-	openBefore, openAfter := before.State.open(), after.State.open()
+	openBefore, openAfter := before.State.isOpen(), after.State.isOpen()
 	after.OpenRevision = 0
 	if openAfter {
 		after.OpenRevision = before.OpenRevision + 1
--- a/claims/save.go
+++ b/claims/save.go
@@ -8,8 +8,8 @@
 	"zinniamast"
 )
 
-// saving is an outcome on its way into the table.
-type saving struct {
+// pendingOutcome is an outcome on its way into the table.
+type pendingOutcome struct {
 	before Record
 	after  Record
 	expect uint64
@@ -20,7 +20,7 @@
 
 // save writes an outcome in the background until the table has it. After
 // Close nothing is started, and the claim counts as unsaved.
-func (c *Claims) save(claim *Claim, s *saving) {
+func (c *Claims) save(claim *Claim, s *pendingOutcome) {
 	c.metrics.unsaved.Inc()
 	c.unsaved.Add(1)
 	started := c.writers.start(func() {
@@ -31,9 +31,9 @@
 			return
 		}
 		if s.upload != nil {
-			c.point(claim.name, s)
+			c.linkObject(claim.name, s)
 		}
-		c.forget(claim)
+		c.removeLocal(claim)
 		close(claim.saved)
 	})
 	if !started {
@@ -45,27 +45,27 @@
 // because this process alone could dispatch its key. While too many outcomes
 // wait already it is dropped, and the key reads as unknown once this process has gone.
 func (c *Claims) Keep(call Call, event Event, answer *zinniamast.ServiceAnswer) {
-	claim, mine, err := c.enter(call)
+	claim, mine, err := c.register(call)
 	if err != nil || !mine {
 		c.config.Logger.Warn("outcome not kept", "organisation", call.Organisation,
 			"service", call.Service, "key", call.Key)
 		return
 	}
-	claim.keep(event, answer)
+	claim.endUnclaimed(event, answer)
 }
 
 // Read returns what the table says of a key.
 func (c *Claims) Read(ctx context.Context, call Call) (Record, error) {
 	record, _, err := c.get(ctx, call.name())
 	if err == nil {
-		c.recall(ctx, &record)
+		c.loadAnswer(ctx, &record)
 	}
 	return record, err
 }
 
 // saveUntilDone reports false if the node stops first.
-func (c *Claims) saveUntilDone(name string, s *saving) bool {
-	pause := firstPause
+func (c *Claims) saveUntilDone(name string, s *pendingOutcome) bool {
+	pause := minRetryDelay
 	for {
 		if c.saveOnce(name, s) {
 			return true
@@ -73,19 +73,19 @@
 		if wait(c.closing, pause) != nil {
 			return false
 		}
-		pause = min(2*pause, retryStore)
+		pause = min(2*pause, storeRetryAfter)
 	}
 }
 
 // saveOnce reports whether the table has the outcome, or a better one.
-func (c *Claims) saveOnce(name string, s *saving) bool {
+func (c *Claims) saveOnce(name string, s *pendingOutcome) bool {
 	select {
-	case c.slots <- struct{}{}:
+	case c.writeSlots <- struct{}{}:
 	case <-c.closing.Done():
 		return false
 	}
-	defer func() { <-c.slots }()
-	err := c.write(c.closing, writes(&s.before, &s.after, s.expect, c.config.Retention))
+	defer func() { <-c.writeSlots }()
+	err := c.write(c.closing, recordWrites(&s.before, &s.after, s.expect, c.config.Retention))
 	if err == nil {
 		return true
 	}
@@ -102,14 +102,14 @@
 // reconcile weighs what the table has against the outcome to be saved: an
 // earlier try of the same write whose answer was lost, or a decision that a
 // lookup or an operator took meanwhile.
-func (c *Claims) reconcile(s *saving, record Record, revision uint64) bool {
+func (c *Claims) reconcile(s *pendingOutcome, record Record, revision uint64) bool {
 	proven := s.event == EventRun || s.event == EventAnswer
 	mine := record.Nonce == s.after.Nonce
 	if mine && record.State == s.after.State {
 		return true
 	}
 	if !mine && record.State != StateFree {
-		c.contradiction(proven, record)
+		c.logContradiction(proven, record)
 		return true
 	}
 	if record.State == StateFree {
@@ -118,8 +118,8 @@
 		}
 		// Somebody decided that the call did not run, and it did. The key is
 		// closed again at once, so that nobody runs it a second time.
-		c.contradiction(true, record)
-	} else if _, err := next(record.State, s.event); err != nil {
+		c.logContradiction(true, record)
+	} else if _, err := nextState(record.State, s.event); err != nil {
 		return true
 	}
 	s.before = record
@@ -127,8 +127,8 @@
 	return false
 }
 
-// contradiction logs proof that a key was released although its call ran.
-func (c *Claims) contradiction(proven bool, record Record) {
+// logContradiction logs proof that a key was released although its call ran.
+func (c *Claims) logContradiction(proven bool, record Record) {
 	if !proven {
 		return
 	}
@@ -138,7 +138,7 @@
 
 // retryUntil calls f until it succeeds, conflicts or ctx ends.
 func (c *Claims) retryUntil(ctx context.Context, f func() error) error {
-	pause := firstPause
+	pause := minRetryDelay
 	for {
 		err := f()
 		if err == nil || errors.Is(err, zinniamast.ErrConflict) {
@@ -147,11 +147,11 @@
 		if wait(ctx, pause) != nil {
 			return err
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// settled says whether a call under the record can no longer run.
-func (c *Claims) settled(record *Record) bool {
+// isSettled says whether a call under the record can no longer run.
+func (c *Claims) isSettled(record *Record) bool {
 	return time.Now().After(record.Deadline.Add(c.config.Settle))
 }
--- a/claims/state.go
+++ b/claims/state.go
@@ -24,8 +24,8 @@
 	StateDone State = "done"
 )
 
-// open says whether the outcome is not known yet.
-func (s State) open() bool { return s == StateHeld || s == StateUnknown }
+// isOpen says whether the outcome is not known yet.
+func (s State) isOpen() bool { return s == StateHeld || s == StateUnknown }
 
 // Event moves a claim from one state to another.
 type Event string
@@ -77,8 +77,8 @@
 // errNoTransition means that the table has no such step.
 var errNoTransition = errors.New("claims: no such transition")
 
-// next returns the state that an event leads to.
-func next(state State, event Event) (State, error) {
+// nextState returns the state that an event leads to.
+func nextState(state State, event Event) (State, error) {
 	machine := fsm.NewFSM(string(state), transitions, fsm.Callbacks{})
 	if err := machine.Event(context.Background(), string(event)); err != nil {
 		return state, errNoTransition
--- a/claims/throughput_test.go
+++ b/claims/throughput_test.go
@@ -18,8 +18,8 @@
 	"zinniamast/tablebudget"
 )
 
-// measured is what a run of claims came to, in virtual time.
-type measured struct {
+// claimStats is what a run of claims came to, in virtual time.
+type claimStats struct {
 	owned, refused int
 	p50, p95, p99  time.Duration
 	calls          uint64
@@ -28,7 +28,7 @@
 
 // measureClaims lets nine nodes take claims at a table of 5 ms and 300 calls a
 // second; each call runs 20 ms upstream and its outcome is saved too.
-func measureClaims(t *testing.T, offered, maxBatch int) (m measured) {
+func measureClaims(t *testing.T, offered, maxBatch int) (m claimStats) {
 	const seconds, nodes = 4, 9
 	synctest.Test(t, func(*testing.T) {
 		p := platform.New(platform.Config{
@@ -100,7 +100,7 @@
 // Bookings come faster than the table takes calls. Without batching callers
 // wait and are refused; with it the claims and outcomes of concurrent requests
 // share calls, and the wait stays near the table's own 5 ms.
-func TestClaimsShareWrites(t *testing.T) {
+func TestClaimsBatchWrites(t *testing.T) {
 	is := is.New(t)
 	for _, offered := range []int{50, 100, 200, 500, 1000} {
 		single := measureClaims(t, offered, 2)
--- a/claims/unknowns.go
+++ b/claims/unknowns.go
@@ -23,8 +23,8 @@
 	Settled bool `json:"settled"`
 }
 
-// page bounds one query of the open list.
-const page = 200
+// pageSize bounds one query of the open list.
+const pageSize = 200
 
 // Unknowns lists the open unknowns of the whole fleet, at most limit. A claim
 // whose deadline has passed belongs to a node that died or was cut off.
@@ -32,7 +32,7 @@
 	var unknowns []Unknown
 	after := ""
 	for len(unknowns) < limit {
-		items, err := c.config.Table.Query(ctx, openPartition, after, page)
+		items, err := c.config.Table.Query(ctx, openPartition, after, pageSize)
 		if err != nil {
 			return unknowns, unavailable(true)
 		}
@@ -43,7 +43,7 @@
 				unknowns = append(unknowns, c.unknown(&record))
 			}
 		}
-		if len(items) < page {
+		if len(items) < pageSize {
 			break
 		}
 	}
@@ -64,7 +64,7 @@
 		Path:         record.Path,
 		Node:         record.Node,
 		Since:        record.Deadline,
-		Settled:      c.settled(record),
+		Settled:      c.isSettled(record),
 	}
 }
 
@@ -99,16 +99,16 @@
 	event := EventRun
 	if !ran {
 		event = EventRelease
-		if !c.settled(&record) {
+		if !c.isSettled(&record) {
 			return ErrUnsettled
 		}
 	}
-	return c.decide(ctx, record, revision, event, by)
+	return c.writeDecision(ctx, record, revision, event, by)
 }
 
-// decide writes the decision at the revision that was read.
-func (c *Claims) decide(ctx context.Context, record Record, revision uint64, event Event, by string) error {
-	state, err := next(record.State, event)
+// writeDecision writes the decision at the revision that was read.
+func (c *Claims) writeDecision(ctx context.Context, record Record, revision uint64, event Event, by string) error {
+	state, err := nextState(record.State, event)
 	if err != nil {
 		return ErrNotOpen
 	}
@@ -116,7 +116,7 @@
 	after.State = state
 	after.ResolvedBy = by
 	err = c.retryUntil(ctx, func() error {
-		return c.write(ctx, writes(&record, &after, revision, c.config.Retention))
+		return c.write(ctx, recordWrites(&record, &after, revision, c.config.Retention))
 	})
 	if !errors.Is(err, zinniamast.ErrConflict) {
 		return err
--- a/claims/point.go
+++ b/claims/upload.go
@@ -22,55 +22,55 @@
 	}
 	nonce := claim.record.Nonce
 	started := c.writers.start(func() {
-		object := c.put(nonce, answer)
-		claim.stored(object)
+		object := c.putAnswer(nonce, answer)
+		claim.setObject(object)
 		u.object <- object
 	})
 	if !started {
-		c.objects.writes.Release(int64(len(answer.Body)))
+		c.objects.writeBudget.Release(int64(len(answer.Body)))
 		u.object <- nil
 	}
 	return u
 }
 
-// stored replaces the answer in this node's memory by its object.
-func (l *Claim) stored(object *Object) {
+// setObject replaces the answer in this node's memory by its object.
+func (l *Claim) setObject(object *Object) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record.Answer = nil
 	l.record.Object = object
 }
 
-// point lets the saved record name its object. The object is whole in the
+// linkObject lets the saved record name its object. The object is whole in the
 // store by then, so a record never names one that is still to be written.
-func (c *Claims) point(name string, s *saving) {
+func (c *Claims) linkObject(name string, s *pendingOutcome) {
 	object := <-s.upload.object
 	if object == nil {
 		return
 	}
-	pause := firstPause
-	for !c.pointOnce(name, s.after.Nonce, object) {
+	pause := minRetryDelay
+	for !c.tryLinkObject(name, s.after.Nonce, object) {
 		if wait(c.closing, pause) != nil {
 			return
 		}
-		pause = min(2*pause, retryStore)
+		pause = min(2*pause, storeRetryAfter)
 	}
 }
 
-// pointOnce reports whether nothing is left to be done.
-func (c *Claims) pointOnce(name, nonce string, object *Object) bool {
+// tryLinkObject reports whether nothing is left to be done.
+func (c *Claims) tryLinkObject(name, nonce string, object *Object) bool {
 	select {
-	case c.slots <- struct{}{}:
+	case c.writeSlots <- struct{}{}:
 	case <-c.closing.Done():
 		return false
 	}
-	defer func() { <-c.slots }()
+	defer func() { <-c.writeSlots }()
 	record, revision, err := c.get(c.closing, name)
 	if err != nil {
 		return false
 	}
 	if record.Nonce != nonce || record.State != StateDone {
-		c.discard(nonce)
+		c.deleteObject(nonce)
 		return true
 	}
 	if record.Object != nil {
@@ -80,7 +80,7 @@
 	}
 	after := record
 	after.Object = object
-	err = c.write(c.closing, writes(&record, &after, revision, c.config.Retention))
+	err = c.write(c.closing, recordWrites(&record, &after, revision, c.config.Retention))
 	if err == nil {
 		c.metrics.objects.WithLabelValues(objectKept).Inc()
 	}
