--- a/claims/begin.go
+++ b/claims/begin.go
@@ -8,17 +8,20 @@
 	"zinniamast"
 )
 
-// BeginResult is what a key stands at.
+// BeginResult is the result of Begin: either the acquired claim or the record
+// of another request's claim.
 type BeginResult struct {
 	// Claim is set if the caller's request now holds the key and may be sent.
 	Claim *Claim
-	// Record is the claim of another request otherwise.
+	// Record is the claim of another request if Claim is nil.
 	Record Record
-	// Revision is the record's in the table; zero if it was read from this node's memory.
+	// Revision is the table revision of Record; zero if the record comes from
+	// this node's memory.
 	Revision uint64
 }
 
-// Times between tries while the table does not do what is asked.
+// Delays between attempts while the table fails, and the retry times returned
+// with refusals.
 const (
 	minRetryDelay        = 20 * time.Millisecond
 	maxRetryDelay        = 400 * time.Millisecond
@@ -26,17 +29,18 @@
 	inProgressRetryAfter = time.Second
 )
 
-// Begin takes the key for a call, or tells what it stands at. Its errors are *Refusal.
+// Begin acquires a claim on the key of a call, or returns the record of another
+// request's claim on it. Its errors are of type *zinniamast.Refusal.
 func (c *Claims) Begin(ctx context.Context, call Call) (BeginResult, error) {
 	for {
-		claim, mine, err := c.register(call)
+		claim, isNew, err := c.register(call)
 		if err != nil {
 			return BeginResult{}, err
 		}
-		if mine {
-			standing, err := c.acquire(ctx, claim)
-			c.loadAnswer(ctx, &standing.Record)
-			return standing, err
+		if isNew {
+			result, err := c.acquire(ctx, claim)
+			c.loadAnswer(ctx, &result.Record)
+			return result, err
 		}
 		record, err := claim.awaitOutcome(ctx, call.First)
 		if err != nil {
@@ -51,17 +55,18 @@
 	}
 }
 
-// register puts a claim into the node's own table, or returns the one that is there.
+// register adds a claim to the claims in memory, or returns the existing one
+// for the same key. It reports whether the claim is new.
 func (c *Claims) register(call Call) (*Claim, bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := call.name()
-	if known, ok := c.local[name]; ok {
-		if known.hash != call.Hash() {
+	if existing, ok := c.local[name]; ok {
+		if existing.hash != call.Hash() {
 			c.metrics.begun.WithLabelValues(begunConflict).Inc()
 			return nil, false, Conflict(call.Key)
 		}
-		return known, false, nil
+		return existing, false, nil
 	}
 	if len(c.local) >= c.config.MaxUnsaved {
 		return nil, false, unavailable(call.First)
@@ -71,17 +76,19 @@
 	return claim, true, nil
 }
 
-// Conflict refuses a key that came with another body. That body did not run.
+// Conflict returns the refusal of a request whose key was used with another
+// method, path or body. The refused request did not run.
 func Conflict(key string) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonKeyConflict,
 		"the idempotency key %q was used with another method, path or body", key)
 }
 
-// unavailable refuses for want of the table. Nothing was sent for this request;
-// but if the key may have been sent before, through another node, only the
-// table could tell what became of that.
-func unavailable(fresh bool) *zinniamast.Refusal {
-	if fresh {
+// unavailable returns the refusal of a request because the table is not
+// available. Nothing was sent for this request. If neverRan is false, an earlier
+// request under the key may have run through another node, which only the table
+// could show.
+func unavailable(neverRan bool) *zinniamast.Refusal {
+	if neverRan {
 		return zinniamast.Refuse(zinniamast.ReasonStoreUnavailable,
 			"the platform's table does not answer; nothing was run").After(storeRetryAfter)
 	}
@@ -91,21 +98,21 @@
 		With(zinniamast.Unknown).After(storeRetryAfter)
 }
 
-// acquisition is one try to write a claim.
+// acquisition is the state of an attempt to write a claim to the table.
 type acquisition struct {
 	claims *Claims
 	claim  *Claim
-	// free is the record that the claim is to follow, at revision expect.
+	// free is the record that the claim replaces, at revision expect.
 	free   Record
 	expect uint64
-	// writeUncertain means that a write was sent whose effect is not known.
+	// writeUncertain means that a write was sent and may or may not take effect.
 	writeUncertain bool
-	// throttled means that the table answered last, and refused for its rate.
+	// throttled means that the last write was refused by the table's rate limit.
 	throttled bool
 }
 
-// acquire writes the claim. Where that ends without the claim, no write of it
-// is left that could take effect later unseen.
+// acquire writes the claim to the table. If it returns without the claim, no
+// write of the claim can take effect later without being noticed.
 func (c *Claims) acquire(ctx context.Context, claim *Claim) (BeginResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
 	defer cancel()
@@ -116,20 +123,21 @@
 			State: StateFree,
 		},
 	}
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for {
-		standing, done, err := a.try(ctx)
+		result, done, err := a.try(ctx)
 		if done || err != nil {
-			return standing, err
+			return result, err
 		}
-		if err := wait(ctx, pause); err != nil {
+		if err := wait(ctx, delay); err != nil {
 			return BeginResult{}, a.giveUp()
 		}
-		pause = min(2*pause, maxRetryDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// try sends the write once, and reads the table where its answer leaves the effect open.
+// try sends the write once. If the response does not show whether the write
+// took effect, it reads the table. The bool reports whether the attempt is over.
 func (a *acquisition) try(ctx context.Context) (BeginResult, bool, error) {
 	record := a.claim.record
 	err := a.claims.write(ctx, recordWrites(&a.free, &record, a.expect, a.claims.config.Retention))
@@ -141,7 +149,7 @@
 		return BeginResult{}, false, nil
 	}
 	if errors.Is(err, zinniamast.ErrUnavailable) {
-		// The table is known to be out: the caller hears so at once.
+		// The table is existing to be unavailable, so the request is refused at once.
 		return BeginResult{}, false, a.giveUp()
 	}
 	if !errors.Is(err, zinniamast.ErrConflict) {
@@ -150,7 +158,7 @@
 	return a.readHolder(ctx)
 }
 
-// readHolder finds out who holds the key.
+// readHolder reads from the table which claim holds the key.
 func (a *acquisition) readHolder(ctx context.Context) (BeginResult, bool, error) {
 	record, revision, err := a.claims.get(ctx, a.claim.name)
 	if errors.Is(err, zinniamast.ErrUnavailable) {
@@ -161,8 +169,9 @@
 	}
 	switch {
 	case record.Nonce == a.claim.record.Nonce && record.State == StateHeld:
-		// The write took effect and its answer was lost: the claim knows itself
-		// by its nonce. Without this the call would wait for itself for ever.
+		// The write took effect and its response was lost: the record has this
+		// claim's nonce. Without this check the call would wait for its own
+		// claim to end.
 		return a.owned(record, revision, begunRecognised), true, nil
 	case record.State == StateFree:
 		a.free = record
@@ -175,8 +184,8 @@
 	}
 }
 
-// takenByOther returns another request's claim on the key. Its revision is above what
-// our write expects, so that write cannot take effect any more.
+// takenByOther returns another request's claim on the key. Its revision is above
+// the one that this claim's write expects, so that write can no longer take effect.
 func (a *acquisition) takenByOther(record Record, revision uint64) (BeginResult, bool, error) {
 	if record.BodyHash != a.claim.record.BodyHash {
 		a.claims.metrics.begun.WithLabelValues(begunConflict).Inc()
@@ -189,7 +198,7 @@
 	}, true, nil
 }
 
-// owned makes the claim ready for use.
+// owned marks the claim as held and returns it.
 func (a *acquisition) owned(record Record, revision uint64, result string) BeginResult {
 	a.claims.metrics.begun.WithLabelValues(result).Inc()
 	a.claim.markHeld(record, revision)
@@ -198,8 +207,9 @@
 	}
 }
 
-// giveUp ends without the claim. A write that may still take effect is barred
-// by a free record at a higher revision before the node forgets the key.
+// giveUp ends the acquisition without the claim. If a write may still take
+// effect, a free record at a higher revision invalidates it before the claim is
+// removed from memory.
 func (a *acquisition) giveUp() *zinniamast.Refusal {
 	a.claims.metrics.begun.WithLabelValues(begunUnavailable).Inc()
 	refusal := unavailable(a.claim.firstSending || a.hasNotRun())
@@ -212,9 +222,9 @@
 	return refusal
 }
 
-// hasNotRun asks a table that is only short of writes whether nothing runs
-// under the key. What it showed earlier would not do: another request under
-// the key may have run through another node since.
+// hasNotRun reads the table again, if only its writes are throttled, and reports
+// whether no call has run under the key. An earlier read is not sufficient:
+// another request under the key may have run through another node since.
 func (a *acquisition) hasNotRun() bool {
 	if !a.throttled {
 		return false
@@ -223,14 +233,15 @@
 	return err == nil && (record.State == StateFree || record.Nonce == a.claim.record.Nonce)
 }
 
-// write sends one table write with its own timeout.
+// write sends one table write, limited by CallTimeout.
 func (c *Claims) write(ctx context.Context, all []zinniamast.Write) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
 	return c.config.Table.Write(ctx, all)
 }
 
-// get reads a record; one that does not exist reads as free at revision zero.
+// get reads a record and its revision; a record that does not exist is returned
+// as free at revision zero.
 func (c *Claims) get(ctx context.Context, name string) (Record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.CallTimeout)
 	defer cancel()
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -11,14 +11,15 @@
 	"zinniamast/standin/platform"
 )
 
-// BenchmarkClaim takes a claim and ends it with an answer of 1 KB, at a table without delay.
+// BenchmarkClaim acquires a claim and ends it with an answer of 1 KB, with a
+// table without delay.
 func BenchmarkClaim(b *testing.B) {
 	table := platform.New(platform.Config{}).Table
 	node := claims.New(claims.Config{Table: table, Node: "node-1"})
 	answer := zinniamast.ServiceAnswer{Status: 200, Body: make([]byte, 1024)}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		standing, err := node.Begin(context.Background(), claims.Call{
+		result, err := node.Begin(context.Background(), claims.Call{
 			Organisation: "north",
 			Service:      "booking",
 			Key:          fmt.Sprint(i),
@@ -29,7 +30,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		standing.Claim.Answer(answer)
+		result.Claim.Answer(answer)
 	}
 	node.Close(context.Background())
 	item, err := table.Get(context.Background(), zinniamast.Key{Partition: "claim/north/booking/0", Sort: "claim"})
@@ -40,7 +41,7 @@
 }
 
 // BenchmarkLargeAnswer ends claims with answers of 200 KiB, without an object
-// store and with one; answer-ns is what the caller's path pays.
+// store and with one; answer-ns is the time that the caller waits for Answer.
 func BenchmarkLargeAnswer(b *testing.B) {
 	for name, store := range map[string]zinniamast.ObjectStore{
 		"dropped": nil,
@@ -54,13 +55,13 @@
 			})
 			var answering time.Duration
 			for i := 0; b.Loop(); i++ {
-				standing, err := node.Begin(context.Background(), largeCall(fmt.Sprint(b.N, "-", i)))
+				result, err := node.Begin(context.Background(), largeCall(fmt.Sprint(b.N, "-", i)))
 				if err != nil {
 					b.Fatal(err)
 				}
 				answer := zinniamast.ServiceAnswer{Status: 200, Body: make([]byte, 200<<10)}
 				before := time.Now()
-				standing.Claim.Answer(answer)
+				result.Claim.Answer(answer)
 				answering += time.Since(before)
 			}
 			node.Close(context.Background())
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -8,16 +8,18 @@
 	"zinniamast"
 )
 
-// Claim is a key held by this node for one request.
+// Claim is an idempotency key that this node holds, or tries to acquire, for one request.
 type Claim struct {
 	claims *Claims
 	name   string
-	// hash binds the key to what it was first sent with; it does not change.
+	// hash identifies the method, path and body that the key is bound to; it
+	// does not change.
 	hash         string
 	firstSending bool
-	// ended is closed when the outcome is known here or the claim was not got.
+	// ended is closed when this node knows the outcome or failed to acquire the claim.
 	ended chan struct{}
-	// saved is closed when the table or nobody needs this node's memory of it any more.
+	// saved is closed when the outcome is stored in the table, or when there is
+	// none to store; the copy in this node's memory is not needed after that.
 	saved chan struct{}
 
 	mu       sync.Mutex
@@ -51,7 +53,7 @@
 	}
 }
 
-// markHeld records that the table confirmed the claim.
+// markHeld stores the record and revision that the table confirmed.
 func (l *Claim) markHeld(record Record, revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,16 +62,16 @@
 	l.held = true
 }
 
-// MayDispatch says whether the call may be sent now. A holder that was paused
-// past its deadline must not send: its caller has been told that the outcome
-// is unknown, and an operator may have decided it since.
+// MayDispatch reports whether the call may be sent now. A holder that was
+// paused past its deadline must not send: its caller has already received an
+// unknown outcome, and an operator may have resolved it since.
 func (l *Claim) MayDispatch() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held && !l.finished && time.Now().Before(l.record.Deadline)
 }
 
-// Answer ends the claim with the whole answer.
+// Answer ends the claim with the complete answer of the call.
 func (l *Claim) Answer(answer zinniamast.ServiceAnswer) { l.end(EventAnswer, &answer) }
 
 // Run ends the claim of a call that ran and whose answer is not known.
@@ -78,13 +80,14 @@
 // Lose ends the claim of a call that was sent and whose outcome is not known.
 func (l *Claim) Lose() { l.end(EventLose, nil) }
 
-// Release ends the claim of a call that did not run and will not, and returns
-// what may be said of the key.
+// Release ends the claim of a call that did not run and will not run, and
+// returns the run state to report to the caller.
 //
-// Failure: a holder was paused so long that an operator freed the key, and
-// another request has run under it since. Its own call did not run, but a
-// caller who hears "not run" and takes a new key would book twice. Nobody can
-// free the key before the claim has settled, so until then it is true.
+// While a holder is paused, an operator can free the key and another request
+// can run under it. The holder's own call did not run, but a caller that
+// receives "not run" and retries with a new key would book twice. The key
+// cannot be freed before the claim has settled, so "not run" is correct until
+// then; afterwards Release returns Unknown.
 func (l *Claim) Release() zinniamast.Ran {
 	l.end(EventRelease, nil)
 	if l.claims.isSettled(&l.record) {
@@ -93,9 +96,10 @@
 	return zinniamast.NotRun
 }
 
-// end moves the claim and saves its outcome. The caller need not wait for the
-// table: until it has the outcome, this node's memory answers for the key, and
-// should the node die first, the key reads as unknown, which is true.
+// end applies the event to the claim and saves its outcome in the background.
+// The caller need not wait for the table: until the outcome is stored, requests
+// for the key on this node are answered from memory. If the node dies first,
+// the key reads as unknown, which is correct.
 func (l *Claim) end(event Event, answer *zinniamast.ServiceAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +109,7 @@
 	l.finish(l.record, event, answer)
 }
 
-// endUnclaimed ends a claim that never stood in the table.
+// endUnclaimed ends a claim that was never written to the table.
 func (l *Claim) endUnclaimed(event Event, answer *zinniamast.ServiceAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,7 +118,7 @@
 	}, event, answer)
 }
 
-// finish sets the outcome and starts to save it; the caller holds the lock.
+// finish sets the outcome and starts saving it; the caller must hold l.mu.
 func (l *Claim) finish(before Record, event Event, answer *zinniamast.ServiceAnswer) {
 	state, err := nextState(l.record.State, event)
 	if err != nil {
@@ -128,13 +132,13 @@
 		after.Answer = answer
 		l.record.Answer = answer
 	} else if answer != nil && l.claims.objects.admit(answer) {
-		// Until the store has it, this node's memory answers for the key.
+		// Until the object is stored, this node answers from memory.
 		l.record.Answer = answer
 		large = l.claims.startUpload(l, answer)
 	}
 	l.claims.metrics.ended.WithLabelValues(string(state)).Inc()
 	if state == StateUnknown {
-		l.claims.config.Logger.Warn("outcome unknown", "organisation", l.record.Organisation,
+		l.claims.config.Logger.Warn("claim ended with unknown outcome", "organisation", l.record.Organisation,
 			"service", l.record.Service, "key", l.record.Key, "reason", zinniamast.ReasonOutcomeUnknown)
 	}
 	close(l.ended)
@@ -147,7 +151,7 @@
 	})
 }
 
-// discard gives up a claim of which no trace can come into the table.
+// discard gives up a claim of which no write can take effect in the table.
 func (l *Claim) discard() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +161,8 @@
 	close(l.saved)
 }
 
-// abandon gives up a claim whose write may still take effect.
+// abandon gives up a claim whose write may still take effect, and writes a free
+// record in the background that invalidates that write.
 func (l *Claim) abandon(free Record, expect uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,12 +196,13 @@
 	case <-time.After(l.claims.config.Patience):
 	case <-ctx.Done():
 	}
-	// The release may have taken effect although its answer was lost, and
-	// another node may have run the key since: this node cannot vouch for it.
+	// The release may have taken effect although the table's response was lost,
+	// and another node may have run a call under the key since, so this node
+	// cannot confirm that the key is free.
 	return Record{}, unavailable(first)
 }
 
-// InProgress refuses a request whose key another request holds.
+// InProgress returns the refusal of a request whose key another request holds.
 func InProgress() *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonInProgress,
 		"a request under the same key is running; ask again with the same key").
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -13,38 +13,43 @@
 	"zinniamast"
 )
 
-// Config says where claims are kept and how long.
+// Config holds the stores, limits and timeouts of a node's claims.
 type Config struct {
-	// Table is the platform's table; concurrent writes may share a call below it.
+	// Table is the platform's table; its client may batch concurrent writes.
 	Table zinniamast.Table
-	// Node names this process; a restarted one has another name or is told
-	// apart by its claims' nonces.
+	// Node names this process. A restarted process may have the same name: the
+	// nonces of its claims distinguish it.
 	Node string
-	// Retention is how long an ended claim is kept; 24 h if zero.
+	// Retention is how long the table retains an ended claim; 24 h if zero.
 	Retention time.Duration
-	// Patience bounds the wait for a claim while the table does not answer; 2 s if zero.
+	// Patience is the timeout for acquiring a claim while the table does not
+	// respond; 2 s if zero.
 	Patience time.Duration
-	// CallTimeout bounds one table call; 1 s if zero.
+	// CallTimeout is the timeout of one table call; 1 s if zero.
 	CallTimeout time.Duration
 	// Settle is how long after a claim's deadline a call that was sent can still
-	// run, clock differences included; 30 s if zero.
+	// run, including clock skew between nodes; 30 s if zero.
 	Settle time.Duration
-	// MaxAnswer bounds the answers that are kept, in bytes; 128 KiB if zero.
+	// MaxAnswer is the maximum body size of answers stored in the table, in
+	// bytes; 128 KiB if zero.
 	MaxAnswer int
-	// Objects takes the answers above MaxAnswer; nil keeps none of them.
+	// Objects stores the answers above MaxAnswer; if nil, they are not stored.
 	Objects zinniamast.ObjectStore
-	// MaxObject bounds the answers that go there, in bytes; 8 MiB if zero.
+	// MaxObject is the maximum body size of answers in the object store, in
+	// bytes; 8 MiB if zero.
 	MaxObject int
-	// MaxObjectBytes bounds what is on its way there at once, and as much again
-	// on its way back, in bytes; 16 MiB if zero.
+	// MaxObjectBytes bounds the bytes of concurrent object writes, and separately
+	// those of concurrent object reads; 16 MiB each if zero.
 	MaxObjectBytes int64
-	// ObjectTimeout bounds the writing or reading of one object; 5 s if zero.
+	// ObjectTimeout is the timeout for writing or reading one object, retries
+	// included; 5 s if zero.
 	ObjectTimeout time.Duration
-	// MaxUnsaved bounds the outcomes that wait for the table; 10,000 if zero.
+	// MaxUnsaved bounds the claims in memory that are held or wait to be saved;
+	// 10,000 if zero.
 	MaxUnsaved int
-	// Logger hears of each claim that ends unknown; nil is silent.
+	// Logger receives a warning for each claim that ends unknown; nil discards.
 	Logger *slog.Logger
-	// Registerer takes the counters; nil keeps them unregistered.
+	// Registerer registers the metrics; if nil, they are not registered.
 	Registerer prometheus.Registerer
 }
 
@@ -94,7 +99,8 @@
 	}
 }
 
-// Claims takes and ends claims for one node. Lock order: Claims, one Claim, writers.
+// Claims acquires and ends claims for one node. Locks are acquired in the order
+// Claims, one Claim, writers.
 type Claims struct {
 	config     Config
 	metrics    *metrics
@@ -104,19 +110,19 @@
 	objects    *objects
 
 	writers writers
-	// unsaved counts the outcomes that wait for the table.
+	// unsaved counts the outcomes that are not stored in the table yet.
 	unsaved atomic.Int64
 
 	mu sync.Mutex
-	// local holds the claims that this node holds or has not saved yet.
+	// local contains the claims that this node holds or has not saved yet, by name.
 	local map[string]*Claim
 }
 
-// maxConcurrentWrites bounds the outcomes that are written at once; writes that run
-// concurrently share a table call, so it need not be large.
+// maxConcurrentWrites bounds the outcomes that are written concurrently. Concurrent
+// writes share a table call, so it need not be large.
 const maxConcurrentWrites = 64
 
-// New returns a node's claims.
+// New returns the claims of one node.
 func New(config Config) *Claims {
 	config.setDefaults()
 	closing, cancel := context.WithCancel(context.Background())
@@ -132,13 +138,13 @@
 	}
 }
 
-// Close waits until every outcome is saved, or until ctx ends, and returns how
-// many are not: their keys will read as unknown.
+// Close waits until every outcome is saved or ctx ends, and returns the number
+// of unsaved claims: their keys will read as unknown.
 func (c *Claims) Close(ctx context.Context) int {
 	for c.unsaved.Load() > 0 && wait(ctx, closePollInterval) == nil {
 		continue
 	}
-	// An object store that hangs must not use up the time that a node has to leave.
+	// A hanging object store must not use up the time that a node has to shut down.
 	grace, cancel := context.WithTimeout(ctx, uploadGrace)
 	defer cancel()
 	for c.writers.isBusy() && wait(grace, closePollInterval) == nil {
@@ -151,13 +157,13 @@
 	return len(c.local)
 }
 
-// uploadGrace is how long Close waits for large answers once every outcome is saved.
+// uploadGrace is how long Close waits for pending uploads once every outcome is saved.
 const uploadGrace = 500 * time.Millisecond
 
-// closePollInterval is how often Close looks whether all is saved.
+// closePollInterval is how often Close checks whether all outcomes are saved.
 const closePollInterval = 5 * time.Millisecond
 
-// writers counts the goroutines that save outcomes.
+// writers tracks the goroutines that save outcomes and upload answers.
 type writers struct {
 	mu      sync.Mutex
 	stopped bool
@@ -165,7 +171,7 @@
 	running sync.WaitGroup
 }
 
-// start runs f in a goroutine; after stop it reports false instead.
+// start runs f in a goroutine; after stop it does not run f and reports false.
 func (w *writers) start(f func()) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -188,7 +194,7 @@
 	return w.count > 0
 }
 
-// stop bars new goroutines and waits for those that run.
+// stop prevents new goroutines and waits for the running ones to return.
 func (w *writers) stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -196,10 +202,10 @@
 	w.running.Wait()
 }
 
-// newNonce returns a name that no other claim has.
+// newNonce returns a random text that is unique to one claim.
 func newNonce() string { return rand.Text() }
 
-// removeLocal drops a claim that the table now answers for.
+// removeLocal removes a claim that need not be answered from memory any more.
 func (c *Claims) removeLocal(claim *Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +214,7 @@
 	}
 }
 
-// wait sleeps unless ctx ends first.
+// wait sleeps for d, or returns the error of ctx if it ends first.
 func wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/claims/large_test.go
+++ b/claims/large_test.go
@@ -27,45 +27,46 @@
 	}
 }
 
-// largeCase is a fault at one step of keeping a large answer.
+// largeCase is a fault at one step of storing a large answer.
 type largeCase struct {
 	name    string
 	objects []int
-	// table faults meet the claim, the outcome and the pointer in turn.
+	// table has the faults of the claim's, the outcome's and the link's write.
 	table []int
-	// bodyBytes is the body's length, 200 if zero.
+	// bodyBytes is the length of the answer's body; 200 if zero.
 	bodyBytes int
-	// diesAfter is when the node's process dies after the answer; zero is never.
+	// diesAfter is the time from the answer to the death of the node's process;
+	// the process survives if zero.
 	diesAfter   time.Duration
 	answerKept  bool
-	objectsLeft int // objects in the store in the end
+	objectsLeft int // objects in the store at the end
 }
 
 var largeCases = []largeCase{
 	{name: "no fault", answerKept: true, objectsLeft: 1},
 	{name: "object write lost", objects: []int{objectWriteLost, objectWriteLost}, answerKept: true, objectsLeft: 1},
-	{name: "its answer lost", objects: []int{objectAnswerLost}, answerKept: true, objectsLeft: 1},
-	{name: "store hangs", objects: []int{objectHangs}},
-	{name: "store down", objects: []int{objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost}},
-	{name: "object cut short", objects: []int{objectTruncated}, objectsLeft: 1},
-	{name: "foreign object", objects: []int{objectReplaced}, objectsLeft: 1},
-	{name: "object vanished", objects: []int{objectMissing}},
-	{name: "outcome's answer lost", table: []int{faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
-	{name: "pointer's answer lost", table: []int{faultNone, faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
-	{name: "pointer lost", table: []int{faultNone, faultNone, faultWriteLost}, answerKept: true, objectsLeft: 1},
-	{name: "pointer late", table: []int{faultNone, faultNone, faultDelayed}, answerKept: true, objectsLeft: 1},
-	{name: "process dies before the object", diesAfter: 10 * time.Millisecond},
-	{name: "process dies between object and pointer", diesAfter: 30 * time.Millisecond, objectsLeft: 1,
+	{name: "response of object write lost", objects: []int{objectAnswerLost}, answerKept: true, objectsLeft: 1},
+	{name: "object store hangs", objects: []int{objectHangs}},
+	{name: "object store down", objects: []int{objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost, objectWriteLost}},
+	{name: "object truncated", objects: []int{objectTruncated}, objectsLeft: 1},
+	{name: "object replaced", objects: []int{objectReplaced}, objectsLeft: 1},
+	{name: "object missing", objects: []int{objectMissing}},
+	{name: "response of outcome write lost", table: []int{faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
+	{name: "response of link write lost", table: []int{faultNone, faultNone, faultAnswerLost}, answerKept: true, objectsLeft: 1},
+	{name: "link write lost", table: []int{faultNone, faultNone, faultWriteLost}, answerKept: true, objectsLeft: 1},
+	{name: "link write delayed", table: []int{faultNone, faultNone, faultDelayed}, answerKept: true, objectsLeft: 1},
+	{name: "process dies before object write", diesAfter: 10 * time.Millisecond},
+	{name: "process dies between object and link writes", diesAfter: 30 * time.Millisecond, objectsLeft: 1,
 		table: []int{faultNone, faultNone, faultWriteLost}},
 	{name: "above MaxObject", bodyBytes: 900},
-	{name: "above the bytes on their way", bodyBytes: 600},
+	{name: "above MaxObjectBytes", bodyBytes: 600},
 }
 
-// A booking's answer is too large for the table, and each step of keeping it
-// fails in turn. The caller's own answer waits for none of it; the outcome is
-// in the table within 15 ms whatever the object store does; a repeat through
-// another node gets the very answer or hears that the call ran, never a part
-// of the answer, another one, or a second run.
+// Each step of storing an answer that is too large for the table fails in turn.
+// The caller must not wait for any of them, and the outcome must be in the table
+// within 15 ms whatever the object store does. A repeated request through another
+// node must receive the same answer or that the call ran, never part of the
+// answer, another answer or a second run.
 func TestLargeAnswers(t *testing.T) {
 	for _, c := range largeCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,8 +90,8 @@
 			MaxObjectBytes: 500,
 		}), l
 	}
-	holder, way := newNode("node-0")
-	standing, err := holder.Begin(ctx, largeCall("k"))
+	holder, holderLink := newNode("node-0")
+	result, err := holder.Begin(ctx, largeCall("k"))
 	is.NoErr(err)
 	answer := zinniamast.ServiceAnswer{
 		Status: 201,
@@ -98,12 +99,12 @@
 		Body:   []byte(strings.Repeat("whole ", 200)[:max(c.bodyBytes, 200)]),
 	}
 	before := time.Now()
-	standing.Claim.Answer(answer)
-	is.Equal(time.Since(before), time.Duration(0)) // the caller waits for nothing
+	result.Claim.Answer(answer)
+	is.Equal(time.Since(before), time.Duration(0)) // the caller does not wait for the stores
 
 	if c.diesAfter > 0 {
 		time.Sleep(c.diesAfter)
-		way.kill()
+		holderLink.kill()
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		holder.Close(ended)
@@ -113,7 +114,7 @@
 		time.Sleep(15*time.Millisecond - min(c.diesAfter, 15*time.Millisecond))
 		saved, err := other.Read(ctx, largeCall("k"))
 		is.NoErr(err)
-		is.Equal(saved.State, claims.StateDone) // the outcome waits for no object
+		is.Equal(saved.State, claims.StateDone) // the outcome does not wait for the object
 	}
 	time.Sleep(10 * time.Second)
 	again, err := other.Begin(ctx, largeCall("k"))
@@ -129,9 +130,9 @@
 	is.Equal(other.Close(ctx), 0)
 }
 
-// A repeat reaches the holder while the object store hangs: the answer comes
-// from the holder's memory. Once the write is given up, the repeat hears that
-// the call ran; the outcome was in the table all the while.
+// While the object store hangs, the holder answers a repeated request from
+// memory. After the object write has timed out, a repeated request must still
+// receive that the call ran, from the outcome in the table.
 func TestLargeAnswerFromMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -141,9 +142,9 @@
 			Objects:   newFaultyObjects([]int{objectHangs}),
 			MaxAnswer: maxAnswer,
 		})
-		standing, err := held.Begin(ctx, largeCall("k"))
+		result, err := held.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
-		standing.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200)})
+		result.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200)})
 		time.Sleep(time.Second)
 		again, err := held.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
@@ -157,9 +158,9 @@
 	})
 }
 
-// The node stops while the object store hangs. Its outcomes are in the table
-// and count as saved, and it waits half a second for the object at most:
-// longer would take the notice of a reclaim from the requests that still run.
+// A node stops while the object store hangs. Its outcomes are in the table and
+// count as saved, and Close waits at most half a second for the object: a longer
+// wait would use up the reclaim notice period that running requests need.
 func TestCloseWithHangingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -169,9 +170,9 @@
 			Table:   table,
 			Objects: newFaultyObjects([]int{objectHangs}),
 		})
-		standing, err := held.Begin(ctx, largeCall("k"))
+		result, err := held.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
-		standing.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200<<10)})
+		result.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200<<10)})
 		before := time.Now()
 		is.Equal(held.Close(ctx), 0)
 		is.True(time.Since(before) <= 600*time.Millisecond)
@@ -183,8 +184,9 @@
 	})
 }
 
-// The figures of docs/design/0301-claims.md for answers of 200 KiB: table bytes
-// and writes a booking without an object store and with one of 20 ms.
+// This test logs the figures of docs/design/0301-claims.md for answers of 200 KiB:
+// table bytes and writes per booking, without an object store and with one that
+// has a delay of 20 ms.
 func TestLargeAnswersCost(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -201,10 +203,10 @@
 			saved, answers, bytes, items := 0, 0, 0, 0
 			for i := range bookings {
 				table.takeCounts()
-				standing, err := held.Begin(ctx, largeCall(fmt.Sprint(i)))
+				result, err := held.Begin(ctx, largeCall(fmt.Sprint(i)))
 				is.NoErr(err)
 				before := time.Now()
-				standing.Claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: make([]byte, 200<<10)})
+				result.Claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: make([]byte, 200<<10)})
 				waited += time.Since(before)
 				time.Sleep(6 * time.Millisecond)
 				item, err := table.Table.Get(ctx, zinniamast.Key{
@@ -231,14 +233,14 @@
 			is.Equal(saved, bookings)
 			is.Equal(answers == bookings, kept)
 			is.True(bytes/bookings < 4096) // the answer itself is not in the table
-			t.Logf("objects %v: %d of %d repeats answered in %v each, caller waits %v, %d bytes and %d items written a booking",
+			t.Logf("objects %v: %d of %d repeats answered in %v each, caller waits %v, %d bytes and %d items written per booking",
 				kept, answers, bookings, replayed/bookings, waited/bookings, bytes/bookings, items/bookings)
 			is.Equal(held.Close(ctx), 0)
 		})
 	}
 }
 
-// takeCounts returns what was written since the last call.
+// takeCounts returns the bytes and items written since the last call.
 func (c *countingTable) takeCounts() (bytes, items int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,7 +249,7 @@
 	return bytes, items
 }
 
-// countingTable counts what is written.
+// countingTable counts the bytes and items written.
 type countingTable struct {
 	zinniamast.Table
 
--- a/claims/metrics.go
+++ b/claims/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics counts what became of claims.
+// metrics holds the metrics of claims and of answers in the object store.
 type metrics struct {
 	begun   *prometheus.CounterVec
 	ended   *prometheus.CounterVec
@@ -13,7 +13,7 @@
 	objects *prometheus.CounterVec
 }
 
-// Results of asking for a claim, as metric labels.
+// Results of acquiring a claim, as metric label values.
 const (
 	begunOwned       = "owned"
 	begunRecognised  = "recognised"
@@ -22,7 +22,8 @@
 	begunUnavailable = "store_unavailable"
 )
 
-// What became of answers above the table's bound, as metric labels.
+// Results of writing, reading and deleting answers above MaxAnswer, as metric
+// label values.
 const (
 	objectKept      = "kept"
 	objectBusy      = "busy"
--- a/claims/model_test.go
+++ b/claims/model_test.go
@@ -18,15 +18,15 @@
 
 const (
 	requests = 3
-	// maxDeliveries is how often the network may deliver one write.
+	// maxDeliveries is how often the network may deliver the same write.
 	maxDeliveries = 2
-	// maxRevision ends the search where requests repeat claims for ever.
+	// maxRevision bounds the search, since requests can repeat claims indefinitely.
 	maxRevision = 6
 )
 
-// model is one state of three requests under one key and the table's record.
-// Every write may be lost, delayed without bound and delivered twice; a
-// request learns what became of its own only by reading.
+// model is one state of three requests under one key and of the table's record.
+// Every write may be lost, delayed indefinitely and delivered twice; a request
+// learns the effect of its own write only by reading.
 type model struct {
 	revision, owner        uint8
 	phase, claims, claimAt [requests]uint8
@@ -34,8 +34,8 @@
 	runs                   uint8
 }
 
-// steps calls visit with every state that can follow. A release either deletes
-// the record, so that revisions start again, or leaves it free.
+// steps calls visit with every possible next state. A release either deletes the
+// record, so that revisions start again at zero, or leaves a free record.
 func (m model) steps(deletes bool, visit func(model)) {
 	for i := range uint8(requests) {
 		m.deliver(i, deletes, visit)
@@ -71,7 +71,8 @@
 	}
 }
 
-// deliver delivers or loses one write of a request.
+// deliver calls visit with the states after one write of a request is delivered
+// or lost.
 func (m model) deliver(i uint8, deletes bool, visit func(model)) {
 	if m.claims[i] > 0 {
 		n := m
@@ -100,8 +101,8 @@
 	visit(n)
 }
 
-// explore visits every reachable state and returns how many there are and the
-// most runs in any.
+// explore visits every reachable state and returns the number of states and the
+// highest number of runs in any of them.
 func explore(deletes bool) (states int, runs uint8) {
 	seen := map[model]bool{{}: true}
 	queue := []model{{}}
@@ -119,11 +120,11 @@
 	return len(seen), runs
 }
 
-// Three requests, perhaps on three nodes, send one key. In every order of
-// claims, releases, losses, delays and second deliveries the call runs at most
-// once. If a release deleted the record, a late copy of it would remove
-// another request's claim: the model finds two runs then, which shows that it
-// can find them.
+// Three requests, possibly on three nodes, use the same key. In every order of
+// claims, releases, losses, delays and duplicate deliveries the call must run at
+// most once. If a release deleted the record, a late copy of the release would
+// remove another request's claim. The model must find two runs in that variant,
+// which shows that it detects the fault.
 func TestClaimModel(t *testing.T) {
 	is := is.New(t)
 	states, runs := explore(false)
--- a/claims/object.go
+++ b/claims/object.go
@@ -14,22 +14,24 @@
 	"zinniamast"
 )
 
-// Object proves which object holds an answer that is too large for the table.
+// Object describes the object that holds an answer that is too large for the
+// table, so that its content can be verified.
 type Object struct {
-	// Bytes is the object's length.
+	// Bytes is the length of the object.
 	Bytes int `json:"bytes"`
 	// Hash is the SHA-256 of the object, in hexadecimal.
 	Hash string `json:"hash"`
 }
 
-// objectPrefix begins the names of all answers, so that the bucket can expire them.
+// objectPrefix is the prefix of all answers' object names, so that the bucket can
+// expire them by prefix.
 const objectPrefix = "answers/"
 
-// objectName derives the object's name from the claim's nonce, which only
-// those who can read the record know.
+// objectName derives the object's name from the claim's nonce, which is known
+// only to readers of the record.
 func objectName(nonce string) string { return objectPrefix + nonce }
 
-// objectFor returns what the record keeps of an object.
+// objectFor returns the description of an object with the given content.
 func objectFor(content []byte) *Object {
 	sum := sha256.Sum256(content)
 	return &Object{
@@ -38,7 +40,8 @@
 	}
 }
 
-// objectHead is the first line of an object; the answer's body follows raw.
+// objectHead is the first line of an object, in JSON; the unencoded body of the
+// answer follows it.
 type objectHead struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header"`
@@ -58,11 +61,11 @@
 	return append(content, answer.Body...), nil
 }
 
-// decodeObject reads an answer from an object that the record proves whole.
+// decodeObject verifies the content of an object and returns the answer in it.
 //
-// Failure: the object was cut short, or another one lies under its name, and a
-// caller would get half an answer or somebody else's. Length and hash come
-// from the record, which only the claim's holder wrote, so neither passes.
+// If the object was truncated, or another one is stored under its name, a caller
+// would receive part of the answer or another caller's. Comparing the length and
+// hash in the record, which only the claim's holder writes, detects both.
 func decodeObject(object *Object, content []byte) (*zinniamast.ServiceAnswer, error) {
 	if len(content) != object.Bytes || *objectFor(content) != *object {
 		return nil, errObjectMismatch
@@ -79,20 +82,20 @@
 	}, nil
 }
 
-// errObjectMismatch means that an object is not the one that the record names.
-var errObjectMismatch = errors.New("claims: the object is not the one that the record names")
+// errObjectMismatch means that an object does not match its record.
+var errObjectMismatch = errors.New("claims: object does not match its record")
 
-// maxHeadBytes bounds what an object may hold beside the answer's body, in bytes.
+// maxHeadBytes bounds the part of an object that precedes the answer's body.
 const maxHeadBytes = 1 << 20
 
-// objects keeps the answers that are too large for the table.
+// objects stores the answers that are too large for the table.
 type objects struct {
 	store    zinniamast.ObjectStore
 	maxBytes int
 	timeout  time.Duration
-	// writeBudget and reads bound the bytes in memory on their way to and from the
-	// store. A store that hangs fills its budget, and answers are not kept then;
-	// without them it would fill the node's memory.
+	// writeBudget and readBudget bound the bytes in memory of object writes and
+	// reads in progress. When the store hangs, the budget is used up and further
+	// answers are not stored; without it they would fill the node's memory.
 	writeBudget *semaphore.Weighted
 	readBudget  *semaphore.Weighted
 	metrics     *metrics
@@ -109,7 +112,8 @@
 	}
 }
 
-// admit says whether an answer may go to the store; it never waits.
+// admit reports whether an answer may be written to the store, and reserves its
+// bytes of the write budget if so. It does not block.
 func (o *objects) admit(answer *zinniamast.ServiceAnswer) bool {
 	switch {
 	case o.store == nil:
@@ -124,8 +128,9 @@
 	return true
 }
 
-// putAnswer writes an admitted answer and returns its proof, or nil if the store did
-// not confirm it in time. Writing it again after a lost answer is harmless.
+// putAnswer writes an admitted answer and returns its description, or nil if the
+// store did not confirm the write in time. Writing it again after a lost
+// response is harmless.
 func (c *Claims) putAnswer(nonce string, answer *zinniamast.ServiceAnswer) *Object {
 	defer c.objects.writeBudget.Release(int64(len(answer.Body)))
 	ctx, cancel := context.WithTimeout(c.closing, c.objects.timeout)
@@ -140,23 +145,24 @@
 	return nil
 }
 
-// firstPutDelay is the pause after the first failed write; each further one is four
-// times as long, so that a store that is down sees four tries an answer.
+// firstPutDelay is the delay after the first failed write. Each further delay is
+// four times as long, so that a store that is down receives four attempts per
+// answer.
 const firstPutDelay = 100 * time.Millisecond
 
 func (c *Claims) putUntilStored(ctx context.Context, name string, content []byte) bool {
-	for pause := firstPutDelay; ; pause *= 4 {
+	for delay := firstPutDelay; ; delay *= 4 {
 		if c.objects.store.Put(ctx, name, content) == nil {
 			return true
 		}
-		if wait(ctx, pause) != nil {
+		if wait(ctx, delay) != nil {
 			return false
 		}
 	}
 }
 
-// deleteObject deletes an object that no record names; what it misses, the bucket's
-// expiry takes.
+// deleteObject deletes an object that no record refers to. Objects that it fails
+// to delete expire by the rule of the bucket.
 func (c *Claims) deleteObject(nonce string) {
 	ctx, cancel := context.WithTimeout(c.closing, c.objects.timeout)
 	defer cancel()
@@ -167,8 +173,9 @@
 	c.metrics.objects.WithLabelValues(result).Inc()
 }
 
-// loadAnswer completes a record whose answer lies in the object store. Whatever
-// goes wrong, the record stays as it is: the call ran and its answer is not at hand.
+// loadAnswer adds the answer to a record whose answer is in the object store. On
+// any error the record stays unchanged: the call ran and its answer is not
+// available.
 func (c *Claims) loadAnswer(ctx context.Context, record *Record) {
 	object := record.Object
 	if record.State != StateDone || record.Answer != nil || object == nil || c.objects.store == nil {
@@ -181,7 +188,7 @@
 		c.metrics.objects.WithLabelValues(objectRead).Inc()
 	case errors.Is(err, errObjectMismatch):
 		c.metrics.objects.WithLabelValues(objectForeign).Inc()
-		c.config.Logger.Warn("object is not the answer", "organisation", record.Organisation,
+		c.config.Logger.Warn("stored object does not match the claim's answer", "organisation", record.Organisation,
 			"service", record.Service, "key", record.Key)
 	default:
 		c.metrics.objects.WithLabelValues(objectMissed).Inc()
--- a/claims/faulty_objects_test.go
+++ b/claims/objects_faults_test.go
@@ -8,26 +8,26 @@
 	"zinniamast"
 )
 
-// What the faulty object store does to one write.
+// Faults of the object store on one write.
 const (
 	objectNone = iota
-	// objectAnswerLost loses the answer of a write that took effect.
+	// objectAnswerLost loses the response of a write that took effect.
 	objectAnswerLost
-	// objectWriteLost loses the write.
+	// objectWriteLost loses the write before it takes effect.
 	objectWriteLost
-	// objectHangs answers nothing until the caller gives up.
+	// objectHangs does not respond until the caller's context ends.
 	objectHangs
-	// objectTruncated keeps half of the object and confirms it.
+	// objectTruncated stores half of the object and confirms the write.
 	objectTruncated
-	// objectReplaced keeps another object of the same length and confirms it.
+	// objectReplaced stores another object of the same length and confirms the write.
 	objectReplaced
-	// objectMissing confirms the object and has none.
+	// objectMissing confirms the write and stores nothing.
 	objectMissing
 	objectFaultCount
 )
 
-// faultyObjects is an object store whose writes meet the faults in turn; after
-// them all goes well.
+// faultyObjects is an object store that applies the faults to its writes in
+// order; later writes succeed.
 type faultyObjects struct {
 	mu      sync.Mutex
 	faults  []int
--- a/claims/property_test.go
+++ b/claims/property_test.go
@@ -16,7 +16,7 @@
 	"zinniamast/claims"
 )
 
-// What a drawn attempt does.
+// Results of a drawn upstream attempt.
 const (
 	attemptAnswers = iota
 	attemptNotRun
@@ -26,42 +26,44 @@
 	attemptCount
 )
 
-// drawnRequest is one drawn request.
+// drawnRequest is one request of a plan.
 type drawnRequest struct {
 	Node    int
 	Key     int
 	Body    int
-	At      int // milliseconds
-	Pause   int // milliseconds between claim and dispatch, as by SIGSTOP
+	At      int // start time in milliseconds
+	Pause   int // milliseconds between claim and dispatch, for example after SIGSTOP
 	Attempt int
 	Crash   bool // the node's process dies after dispatch
 }
 
-// plan is a drawn history.
+// plan is a drawn sequence of requests, faults and outages.
 type plan struct {
 	Requests  []drawnRequest
 	Faults    []int
 	LateDelay int // milliseconds until a late write takes effect
 	Outages   [2]outage
 	Operator  bool
-	// Padding is the length of the answers' bodies; above maxAnswer they go to
-	// the object store, whose writes meet the faults of Objects.
+	// Padding is the number of bytes added to each answer's body. Bodies above
+	// maxAnswer go to the object store, whose writes have the faults in Objects.
 	Padding int
 	Objects []int
 }
 
 const (
 	requestTimeout = 5 * time.Second
-	// maxAnswer and maxObjectBytes make answers of a few hundred bytes large ones.
+	// maxAnswer and maxObjectBytes are low, so that answers of a few hundred bytes
+	// go to the object store.
 	maxAnswer      = 64
 	maxObjectBytes = 1000
 	settleTime     = 30 * time.Second
 )
 
-// ledger are the service's: what truly ran, and what callers were told.
+// ledger records which requests ran at the service, and the violations found in
+// what callers received.
 type ledger struct {
 	mu         sync.Mutex
-	runs       map[string][]string // key to the IDs of requests that ran
+	runs       map[string][]string // IDs of the requests that ran, by key
 	padding    int
 	violations []string
 }
@@ -85,25 +87,27 @@
 	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-// checkReport checks a "not run" when it is said: nothing has run under the key, and
-// the request that it is said to never runs.
-func (b *ledger) checkReport(key, id string, ran zinniamast.Ran, body bool) {
+// checkReport checks a run state when a request receives it. After "not run", no
+// request may have run under the key, unless the state is that of a key conflict;
+// after "ran", one must have run.
+func (b *ledger) checkReport(key, id string, ran zinniamast.Ran, keyConflict bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if ran == zinniamast.NotRun && len(b.runs[key]) > 0 && !body {
-		b.addViolation("request %s was told not run, and key %s ran for %v", id, key, b.runs[key])
+	if ran == zinniamast.NotRun && len(b.runs[key]) > 0 && !keyConflict {
+		b.addViolation("request %s received not run, but key %s ran for %v", id, key, b.runs[key])
 	}
 	if ran == zinniamast.DidRun && len(b.runs[key]) == 0 {
-		b.addViolation("request %s was told ran, and key %s did not run", id, key)
+		b.addViolation("request %s received ran, but key %s did not run", id, key)
 	}
 }
 
-// answerBody is the answer to a request; no two requests get the same.
+// answerBody returns the body of the answer to a request; it is unique to the
+// request.
 func (b *ledger) answerBody(id string) []byte {
 	return []byte(id + strings.Repeat(".", b.padding))
 }
 
-// checkAnswer checks an answer that was kept: it is that of the request that ran.
+// checkAnswer checks that a stored answer is that of the only request that ran.
 func (b *ledger) checkAnswer(key string, record claims.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,11 +115,11 @@
 		return
 	}
 	if len(b.runs[key]) != 1 || string(record.Answer.Body) != string(b.answerBody(b.runs[key][0])) {
-		b.addViolation("key %s ran for %v and was answered %.8q", key, b.runs[key], record.Answer.Body)
+		b.addViolation("key %s ran for %v, but the stored answer is %.8q", key, b.runs[key], record.Answer.Body)
 	}
 }
 
-// simulate plays a plan in virtual time and returns the broken promises.
+// simulate runs a plan in virtual time and returns the violations.
 func simulate(p plan) []string {
 	w := newFaultyTable(p.Faults, time.Duration(p.LateDelay)*time.Millisecond)
 	w.objects = newFaultyObjects(p.Objects)
@@ -142,17 +146,17 @@
 	time.Sleep(5 * time.Minute)
 	unknowns, err := nodes[0].current().Unknowns(context.Background(), 100)
 	for _, n := range nodes {
-		if left := n.current().Close(context.Background()); left > 0 {
-			b.addViolation("%d outcomes were not saved", left)
+		if unsaved := n.current().Close(context.Background()); unsaved > 0 {
+			b.addViolation("%d outcomes were not saved", unsaved)
 		}
 	}
 	if err != nil || (p.Operator && len(unknowns) > 0) {
-		b.addViolation("unknowns left: %v %v", unknowns, err)
+		b.addViolation("unresolved unknowns: %v, error: %v", unknowns, err)
 	}
 	return b.violations
 }
 
-// node is an entry instance whose process can be replaced.
+// node is an entry instance whose process can be restarted.
 type node struct {
 	name string
 	link *link
@@ -167,7 +171,7 @@
 	return n.claims
 }
 
-// restart kills the process, with all that it had not saved, and starts another.
+// restart kills the process, which loses its unsaved outcomes, and starts another.
 func (n *node) restart() {
 	n.mu.Lock()
 	old := n.claims
@@ -191,7 +195,7 @@
 	}
 }
 
-// sendRequest plays what the services handler does with one request.
+// sendRequest processes one request as the services handler does.
 func sendRequest(n *node, b *ledger, s drawnRequest, id string) {
 	key := fmt.Sprint("k", s.Key)
 	call := claims.Call{
@@ -205,23 +209,23 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
 	defer cancel()
-	standing, err := n.current().Begin(ctx, call)
+	result, err := n.current().Begin(ctx, call)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
 		b.checkReport(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
 		return
 	}
-	if standing.Claim == nil {
-		b.checkReport(key, id, standing.Record.State.Ran(), false)
-		b.checkAnswer(key, standing.Record)
+	if result.Claim == nil {
+		b.checkReport(key, id, result.Record.State.Ran(), false)
+		b.checkAnswer(key, result.Record)
 		return
 	}
 	time.Sleep(time.Duration(s.Pause) * time.Millisecond)
-	if !standing.Claim.MayDispatch() {
-		b.checkReport(key, id, standing.Claim.Release(), false)
+	if !result.Claim.MayDispatch() {
+		b.checkReport(key, id, result.Claim.Release(), false)
 		return
 	}
-	dispatch(n, standing.Claim, b, s, key, id)
+	dispatch(n, result.Claim, b, s, key, id)
 }
 
 func dispatch(n *node, claim *claims.Claim, b *ledger, s drawnRequest, key, id string) {
@@ -249,8 +253,8 @@
 	claim.Lose()
 }
 
-// resolveUnknowns decides open unknowns by the service's books, as an operator or a
-// lookup by key does, and races with callers and holders.
+// resolveUnknowns resolves open unknowns from the ledger, as an operator or a
+// lookup by key does, concurrently with callers and holders.
 func resolveUnknowns(n *node, b *ledger) {
 	for range 60 {
 		time.Sleep(5 * time.Second)
@@ -263,15 +267,16 @@
 	}
 }
 
-// regressionPlans failed before a fix and are kept unchanged.
+// regressionPlans are plans that found violations in earlier versions. They must
+// not be changed.
 var regressionPlans = []struct {
 	name string
 	plan plan
 }{
 	{
 		// A holder pauses for 50 s. An operator frees the key, another request
-		// runs under it, and the holder wakes and says "not run".
-		name: "holder wakes after its key was freed",
+		// runs under it, and the holder resumes and must not report "not run".
+		name: "holder resumes after its key was freed",
 		plan: plan{
 			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 40_000, Attempt: attemptAnswers, Crash: true},
@@ -282,9 +287,10 @@
 		},
 	},
 	{
-		// Two requests wait on one node that is cut off while it claims; the key
-		// ran through the other node. The second said "not run" for the first.
-		name: "second request beside a claim given up",
+		// Two requests wait on one node that is cut off while it claims the key;
+		// the key ran through the other node. When the node gives up the claim of
+		// the first request, the second must not receive "not run".
+		name: "second request waits for an abandoned claim",
 		plan: plan{
 			Requests: []drawnRequest{
 				{Node: 0, At: 0, Attempt: attemptAnswers, Crash: true},
@@ -297,9 +303,10 @@
 		},
 	},
 	{
-		// The release of a key takes effect and its answer is lost; the node is
-		// cut off, the key runs elsewhere, and the first node said "not run".
-		name: "release whose answer was lost",
+		// The release of a key takes effect and its response is lost. The node is
+		// cut off, the key runs through the other node, and the first node must
+		// not report "not run".
+		name: "response of release lost",
 		plan: plan{
 			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 9000, Attempt: attemptRunsLate, Crash: true},
@@ -313,12 +320,12 @@
 	},
 }
 
-// The histories that broke a promise once.
+// Plans that found violations in earlier versions must find none.
 func TestRegressionPlans(t *testing.T) {
-	for _, kept := range regressionPlans {
-		t.Run(kept.name, func(t *testing.T) {
+	for _, regression := range regressionPlans {
+		t.Run(regression.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if violations := simulate(kept.plan); len(violations) > 0 {
+				if violations := simulate(regression.plan); len(violations) > 0 {
 					t.Fatal(violations)
 				}
 			})
@@ -360,10 +367,11 @@
 	}
 }
 
-// Callers send the same keys to two nodes, while the table loses, delays and
-// repeats writes, nodes are cut off, paused past the deadline or forget what
-// they sent, and an operator decides what is left open. Whatever the order, a
-// key runs at most once, and "not run" is said of nothing that ran.
+// Callers send the same keys to two nodes while the table loses, delays and
+// duplicates writes, nodes are cut off, paused past the deadline or restarted
+// without their unsaved outcomes, and an operator resolves open unknowns. In every
+// order a key must run at most once, and no request may receive "not run" for a
+// call that ran.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
--- a/claims/record.go
+++ b/claims/record.go
@@ -1,6 +1,7 @@
-// Package claims sees to it that a call which may not be repeated runs at most
-// once: a node writes a claim on the caller's key into the platform's table
-// before the first byte goes upstream, and nobody ever takes a claim over.
+// Package claims ensures that a call which must not be repeated runs at most
+// once: a node writes a claim on the caller's idempotency key to the platform's
+// table before it sends the first byte upstream, and a claim is never transferred
+// to another holder.
 package claims
 
 import (
@@ -13,37 +14,41 @@
 	"zinniamast"
 )
 
-// openPartition lists the claims that have no known outcome, fleet-wide.
+// openPartition is the table partition that lists the claims of all nodes whose
+// outcome is not known.
 const openPartition = "claims_open"
 
-// claimSortKey is the sort key of a claim, which has a partition of its own.
+// claimSortKey is the sort key of a claim; each claim has its own partition.
 const claimSortKey = "claim"
 
-// Call is a call that may not be repeated, with the key its caller gave it.
+// Call is a call that must not be repeated, with the idempotency key that its
+// caller chose.
 type Call struct {
-	// Organisation is the caller's.
+	// Organisation is the organisation of the caller.
 	Organisation string
-	// Service is the plain service.
+	// Service is the name of the service that is called.
 	Service string
 	// Key is the caller's idempotency key.
 	Key string
-	// Method, Path and Body are what is asked; all three bind the key.
+	// Method, Path and Body describe the request; the key is bound to all three.
 	Method string
 	Path   string
 	Body   []byte
-	// Deadline is when the answer is worthless; nothing is sent after it.
+	// Deadline is when the caller no longer needs the answer; the call is not
+	// sent after it.
 	Deadline time.Time
-	// First means that the caller vouches that nothing can have run under the
-	// key: it was never sent, or every sending was answered with "not run".
+	// First means that the caller guarantees that no call has run under the key:
+	// it was never sent, or every earlier request was answered with "not run".
 	First bool
 }
 
-// name joins what makes a key unique; no part can run into the next.
+// name returns the unique name of the claim. The parts are escaped, so that two
+// different combinations cannot have the same name.
 func (c *Call) name() string {
 	return url.QueryEscape(c.Organisation) + "/" + url.QueryEscape(c.Service) + "/" + url.QueryEscape(c.Key)
 }
 
-// Hash binds a key to what it was first sent with.
+// Hash returns a hash of the method, path and body that the key is bound to.
 func (c *Call) Hash() string {
 	hash := sha256.New()
 	hash.Write([]byte(c.Method + " " + c.Path + "\n"))
@@ -51,13 +56,14 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// UpstreamKey is the key that the service sees. It contains the organisation,
-// so that two organisations which choose the same key cannot get each other's answer.
+// UpstreamKey returns the key that is sent to the service. It contains the
+// organisation, so that two organisations that choose the same key cannot
+// receive each other's answer.
 func UpstreamKey(organisation, key string) string {
 	return url.QueryEscape(organisation) + ":" + key
 }
 
-// Record is a claim as it stands in the table.
+// Record is a claim as it is stored in the table.
 type Record struct {
 	Organisation string `json:"organisation"`
 	Service      string `json:"service"`
@@ -65,27 +71,28 @@
 	Method       string `json:"method"`
 	Path         string `json:"path"`
 	BodyHash     string `json:"body_hash"`
-	// State is the claim's state.
-	State State `json:"state"`
+	State        State  `json:"state"`
 	// Node is the process that holds or held the claim.
 	Node string `json:"node"`
-	// Nonce tells this claim from every other, also of the same node.
+	// Nonce distinguishes this claim from all others, including those of the
+	// same node.
 	Nonce string `json:"nonce"`
-	// Claimed is when the claim was made.
+	// Claimed is when the claim was created.
 	Claimed time.Time `json:"claimed"`
-	// Deadline is when the holder gives up; it sends nothing after it.
+	// Deadline is when the holder gives up; it does not send the call after it.
 	Deadline time.Time `json:"deadline"`
-	// Answer is the whole answer of a done claim, unless it was too large for the table.
+	// Answer is the complete answer of a done claim, unless it was too large for
+	// the table.
 	Answer *zinniamast.ServiceAnswer `json:"answer,omitempty"`
-	// Object is set if the answer of a done claim lies in the object store.
+	// Object is set if the answer of a done claim is in the object store.
 	Object *Object `json:"object,omitempty"`
 	// OpenRevision is the revision of the entry in the list of open claims.
 	OpenRevision uint64 `json:"open_revision,omitempty"`
-	// ResolvedBy says who decided an unknown outcome: lookup or an operator's name.
+	// ResolvedBy is who resolved an unknown outcome: "lookup" or an operator's name.
 	ResolvedBy string `json:"resolved_by,omitempty"`
 }
 
-// name returns the same name as the call's.
+// name returns the same name as Call.name.
 func (r *Record) name() string {
 	call := Call{
 		Organisation: r.Organisation,
@@ -109,14 +116,14 @@
 	}
 }
 
-// decode reads a record from an item.
+// decode parses the record in a table item.
 func decode(item zinniamast.Item) (Record, error) {
 	var record Record
 	err := json.Unmarshal(item.Value, &record)
 	return record, err
 }
 
-// encode writes a record as an item's value.
+// encode returns the record as the value of a table item.
 func encode(record Record) []byte {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -125,14 +132,16 @@
 	return raw
 }
 
-// recordWrites returns the writes that bring a record from its revision in the table
-// to a new state: the claim and its entry in the open list change together.
+// recordWrites returns the writes that change a record from its revision in the
+// table to a new state. The claim and its entry in the list of open claims
+// change in one transaction.
 //
-// Failure: the release of a claim is delayed in the network, sent again, and
-// the late copy arrives when another node holds a new claim on the key. If
-// release deleted the item, the new claim would stand at the revision that the
-// late copy expects and vanish, and a third node would run the call again. A
-// released claim therefore stays as free and its revision only rises.
+// A release that is delayed in the network and sent again can arrive a second
+// time when another node holds a new claim on the key. If a release deleted the
+// item, the new claim could have the revision that the late copy expects; the
+// late copy would delete it, and a third node would run the call again. A
+// released claim is therefore retained as a free record, and its revision only
+// increases.
 func recordWrites(before, after *Record, expect uint64, retention time.Duration) []zinniamast.Write {
 	name := after.name()
 	openBefore, openAfter := before.State.isOpen(), after.State.isOpen()
--- a/claims/s3_test.go
+++ b/claims/s3_test.go
@@ -13,9 +13,9 @@
 	"zinniamast/standin/platform"
 )
 
-// The store loses the first answer after the object was written. The node
-// writes it again, the record points to it, and another node gives a repeat
-// the very answer, all through the S3 client.
+// The object store loses the first response after it wrote the object. The node
+// must write the object again through the S3 client and link it to the record, so
+// that another node reads the same answer.
 func TestLargeAnswerThroughS3(t *testing.T) {
 	is := is.New(t)
 	p := platform.New(platform.Config{})
@@ -38,14 +38,14 @@
 		})
 	}
 	holder, other := newNode(), newNode()
-	standing, err := holder.Begin(t.Context(), largeCall("k"))
+	result, err := holder.Begin(t.Context(), largeCall("k"))
 	is.NoErr(err)
 	answer := zinniamast.ServiceAnswer{
 		Status: 201,
 		Header: map[string][]string{"Content-Type": {"text/plain"}},
 		Body:   make([]byte, 1<<20),
 	}
-	standing.Claim.Answer(answer)
+	result.Claim.Answer(answer)
 	for {
 		record, err := other.Read(t.Context(), largeCall("k"))
 		is.NoErr(err)
--- a/claims/save.go
+++ b/claims/save.go
@@ -8,18 +8,18 @@
 	"zinniamast"
 )
 
-// pendingOutcome is an outcome on its way into the table.
+// pendingOutcome is an outcome that is not stored in the table yet.
 type pendingOutcome struct {
 	before Record
 	after  Record
 	expect uint64
 	event  Event
-	// upload is set if the answer goes to the object store.
+	// upload is set if the answer is written to the object store.
 	upload *upload
 }
 
-// save writes an outcome in the background until the table has it. After
-// Close nothing is started, and the claim counts as unsaved.
+// save writes an outcome in the background and retries until the table has
+// stored it. After Close no write is started, and the claim counts as unsaved.
 func (c *Claims) save(claim *Claim, s *pendingOutcome) {
 	c.metrics.unsaved.Inc()
 	c.unsaved.Add(1)
@@ -41,20 +41,21 @@
 	}
 }
 
-// Keep records in the background the outcome of a call that needed no claim,
-// because this process alone could dispatch its key. While too many outcomes
-// wait already it is dropped, and the key reads as unknown once this process has gone.
+// Keep saves in the background the outcome of a call that needed no claim,
+// because only this process could dispatch its key. If MaxUnsaved is reached,
+// the outcome is dropped, and the key reads as unknown once this process has
+// ended.
 func (c *Claims) Keep(call Call, event Event, answer *zinniamast.ServiceAnswer) {
-	claim, mine, err := c.register(call)
-	if err != nil || !mine {
-		c.config.Logger.Warn("outcome not kept", "organisation", call.Organisation,
+	claim, isNew, err := c.register(call)
+	if err != nil || !isNew {
+		c.config.Logger.Warn("outcome of unclaimed call not saved", "organisation", call.Organisation,
 			"service", call.Service, "key", call.Key)
 		return
 	}
 	claim.endUnclaimed(event, answer)
 }
 
-// Read returns what the table says of a key.
+// Read returns the record of a key from the table, with its stored answer.
 func (c *Claims) Read(ctx context.Context, call Call) (Record, error) {
 	record, _, err := c.get(ctx, call.name())
 	if err == nil {
@@ -63,21 +64,23 @@
 	return record, err
 }
 
-// saveUntilDone reports false if the node stops first.
+// saveUntilDone retries until the outcome is saved; it reports false if the node
+// stops first.
 func (c *Claims) saveUntilDone(name string, s *pendingOutcome) bool {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for {
 		if c.saveOnce(name, s) {
 			return true
 		}
-		if wait(c.closing, pause) != nil {
+		if wait(c.closing, delay) != nil {
 			return false
 		}
-		pause = min(2*pause, storeRetryAfter)
+		delay = min(2*delay, storeRetryAfter)
 	}
 }
 
-// saveOnce reports whether the table has the outcome, or a better one.
+// saveOnce writes the outcome once. It reports whether no further write is
+// needed: the table has this outcome or one that replaces it.
 func (c *Claims) saveOnce(name string, s *pendingOutcome) bool {
 	select {
 	case c.writeSlots <- struct{}{}:
@@ -99,16 +102,17 @@
 	return c.reconcile(s, record, revision)
 }
 
-// reconcile weighs what the table has against the outcome to be saved: an
-// earlier try of the same write whose answer was lost, or a decision that a
-// lookup or an operator took meanwhile.
+// reconcile handles a write that conflicted with the table's record. The record
+// comes from an earlier attempt of the same write whose response was lost, or
+// from a decision made by a lookup or an operator in the meantime. It reports
+// whether no further write is needed.
 func (c *Claims) reconcile(s *pendingOutcome, record Record, revision uint64) bool {
 	proven := s.event == EventRun || s.event == EventAnswer
-	mine := record.Nonce == s.after.Nonce
-	if mine && record.State == s.after.State {
+	sameClaim := record.Nonce == s.after.Nonce
+	if sameClaim && record.State == s.after.State {
 		return true
 	}
-	if !mine && record.State != StateFree {
+	if !sameClaim && record.State != StateFree {
 		c.logContradiction(proven, record)
 		return true
 	}
@@ -116,8 +120,9 @@
 		if !proven {
 			return s.event != EventRelease || record.Nonce != ""
 		}
-		// Somebody decided that the call did not run, and it did. The key is
-		// closed again at once, so that nobody runs it a second time.
+		// The key was released as not run although the call ran. The outcome is
+		// written over the free record at once, so that the call does not run a
+		// second time.
 		c.logContradiction(true, record)
 	} else if _, err := nextState(record.State, s.event); err != nil {
 		return true
@@ -127,7 +132,8 @@
 	return false
 }
 
-// logContradiction logs proof that a key was released although its call ran.
+// logContradiction logs an error if it is proven that a call ran whose key was
+// released as not run.
 func (c *Claims) logContradiction(proven bool, record Record) {
 	if !proven {
 		return
@@ -136,22 +142,23 @@
 		"service", record.Service, "key", record.Key, "resolved_by", record.ResolvedBy)
 }
 
-// retryUntil calls f until it succeeds, conflicts or ctx ends.
+// retryUntil calls f with backoff until it succeeds, it returns ErrConflict or
+// ctx ends.
 func (c *Claims) retryUntil(ctx context.Context, f func() error) error {
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for {
 		err := f()
 		if err == nil || errors.Is(err, zinniamast.ErrConflict) {
 			return err
 		}
-		if wait(ctx, pause) != nil {
+		if wait(ctx, delay) != nil {
 			return err
 		}
-		pause = min(2*pause, maxRetryDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// isSettled says whether a call under the record can no longer run.
+// isSettled reports whether the call of the record can no longer run.
 func (c *Claims) isSettled(record *Record) bool {
 	return time.Now().After(record.Deadline.Add(c.config.Settle))
 }
--- a/claims/state.go
+++ b/claims/state.go
@@ -7,24 +7,25 @@
 	"github.com/looplab/fsm"
 )
 
-// State is a state of a claim; docs/design/0301-claims.md shows the table.
+// State is a state of a claim; docs/design/0301-claims.md shows the transitions.
 type State string
 
 // The states of a claim.
 const (
-	// StateFree means that nothing has run under the key, or that there is no claim.
+	// StateFree means that no call has run under the key, or that there is no claim.
 	StateFree State = "free"
-	// StateHeld means that one node alone may send the call, until its deadline.
+	// StateHeld means that only the holder may send the call, until its deadline.
 	StateHeld State = "held"
 	// StateUnknown means that the call was sent and its outcome is not known.
 	StateUnknown State = "unknown"
 	// StateRan means that the call ran and its answer is not known.
 	StateRan State = "ran"
-	// StateDone means that the call ran and its answer is kept.
+	// StateDone means that the call ran and returned its complete answer, which
+	// is stored unless it was too large.
 	StateDone State = "done"
 )
 
-// isOpen says whether the outcome is not known yet.
+// isOpen reports whether the outcome is not known yet.
 func (s State) isOpen() bool { return s == StateHeld || s == StateUnknown }
 
 // Event moves a claim from one state to another.
@@ -32,20 +33,20 @@
 
 // The events of a claim.
 const (
-	// EventClaim comes when a node takes the key.
+	// EventClaim occurs when a node acquires the key.
 	EventClaim Event = "claim"
-	// EventRelease comes when it is proven that nothing ran or will run.
+	// EventRelease occurs when it is proven that the call did not and will not run.
 	EventRelease Event = "release"
-	// EventLose comes when the holder cannot tell whether the call ran.
+	// EventLose occurs when the holder does not know whether the call ran.
 	EventLose Event = "lose"
-	// EventRun comes when it is proven that the call ran.
+	// EventRun occurs when it is proven that the call ran.
 	EventRun Event = "run"
-	// EventAnswer comes with the whole answer.
+	// EventAnswer occurs when the complete answer has been received.
 	EventAnswer Event = "answer"
 )
 
-// transitions is the whole table. There is no way from held to held: a claim
-// is never taken over, so a holder that was paused can wake at any time.
+// transitions lists all transitions. There is none from held to held: a claim is
+// never transferred, because a paused holder can resume at any time.
 var transitions = fsm.Events{
 	{
 		Name: string(EventClaim),
@@ -74,10 +75,10 @@
 	},
 }
 
-// errNoTransition means that the table has no such step.
-var errNoTransition = errors.New("claims: no such transition")
+// errNoTransition means that the event is not allowed in the state.
+var errNoTransition = errors.New("claims: event not allowed in this state")
 
-// nextState returns the state that an event leads to.
+// nextState returns the state after an event.
 func nextState(state State, event Event) (State, error) {
 	machine := fsm.NewFSM(string(state), transitions, fsm.Callbacks{})
 	if err := machine.Event(context.Background(), string(event)); err != nil {
--- a/claims/faulty_table_test.go
+++ b/claims/table_faults_test.go
@@ -10,10 +10,10 @@
 	"zinniamast/standin/platform"
 )
 
-// What the faulty table does to one write.
+// Faults of the table on one write.
 const (
 	faultNone = iota
-	// faultAnswerLost loses the answer of a write that took effect.
+	// faultAnswerLost loses the response of a write that took effect.
 	faultAnswerLost
 	// faultWriteLost loses the write before it takes effect.
 	faultWriteLost
@@ -21,14 +21,15 @@
 	faultDelayed
 	// faultDuplicated delivers the write a second time, later.
 	faultDuplicated
-	// faultThrottled refuses the write.
+	// faultThrottled refuses the write with ErrThrottled.
 	faultThrottled
 	faultCount
 )
 
 var errBroken = errors.New("connection broken")
 
-// faultyTable is the table that all nodes share, with drawn faults.
+// faultyTable is the table that all nodes share. It applies the faults to writes
+// in order; later writes succeed.
 type faultyTable struct {
 	table     zinniamast.Table
 	objects   *faultyObjects
@@ -58,7 +59,7 @@
 	return w.faults[w.faultsUsed-1]
 }
 
-// deliverLate delivers a write after a while, whatever has become of its sender.
+// deliverLate delivers a write after lateDelay, even if its sender has died.
 func (w *faultyTable) deliverLate(writes []zinniamast.Write) {
 	go func() {
 		time.Sleep(w.lateDelay)
@@ -66,7 +67,8 @@
 	}()
 }
 
-// link is one node's way to the table; it can be cut.
+// link is the connection of one node to the table; it has outages and can be
+// killed.
 type link struct {
 	table *faultyTable
 
@@ -76,7 +78,8 @@
 	dead    bool
 }
 
-// outage is a stretch of time in which a node does not reach the table.
+// outage is a period, since the link was created, in which a node does not reach
+// the table.
 type outage struct {
 	from, until time.Duration
 }
@@ -89,7 +92,7 @@
 	}
 }
 
-// kill cuts the link for good.
+// kill cuts the link permanently.
 func (l *link) kill() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/claims/throughput_test.go
+++ b/claims/throughput_test.go
@@ -18,7 +18,7 @@
 	"zinniamast/tablebudget"
 )
 
-// claimStats is what a run of claims came to, in virtual time.
+// claimStats has the results of one measurement, in virtual time.
 type claimStats struct {
 	owned, refused int
 	p50, p95, p99  time.Duration
@@ -26,8 +26,9 @@
 	unsaved        int
 }
 
-// measureClaims lets nine nodes take claims at a table of 5 ms and 300 calls a
-// second; each call runs 20 ms upstream and its outcome is saved too.
+// measureClaims runs claims on nine nodes with a table that has a delay of 5 ms
+// and accepts 300 calls per second. Each call runs 20 ms upstream, and its outcome
+// is saved too.
 func measureClaims(t *testing.T, offered, maxBatch int) (m claimStats) {
 	const seconds, nodes = 4, 9
 	synctest.Test(t, func(*testing.T) {
@@ -60,7 +61,7 @@
 			callers.Go(func() {
 				time.Sleep(at)
 				began := time.Now()
-				standing, err := node.Begin(context.Background(), claims.Call{
+				result, err := node.Begin(context.Background(), claims.Call{
 					Organisation: "north",
 					Service:      "booking",
 					Key:          fmt.Sprint(i),
@@ -69,7 +70,7 @@
 				waited := time.Since(began)
 				if err == nil {
 					time.Sleep(20 * time.Millisecond)
-					standing.Claim.Answer(zinniamast.ServiceAnswer{Status: 200})
+					result.Claim.Answer(zinniamast.ServiceAnswer{Status: 200})
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -97,9 +98,9 @@
 	return m
 }
 
-// Bookings come faster than the table takes calls. Without batching callers
-// wait and are refused; with it the claims and outcomes of concurrent requests
-// share calls, and the wait stays near the table's own 5 ms.
+// Bookings arrive faster than the table accepts calls. Without batching, callers
+// wait and are refused. With batching, claims and outcomes of concurrent requests
+// share calls, and the wait stays close to the table's own delay of 5 ms.
 func TestClaimsBatchWrites(t *testing.T) {
 	is := is.New(t)
 	for _, offered := range []int{50, 100, 200, 500, 1000} {
--- a/claims/unknowns.go
+++ b/claims/unknowns.go
@@ -9,7 +9,7 @@
 	"zinniamast"
 )
 
-// Unknown is a call whose outcome nobody knows.
+// Unknown describes a call whose outcome is not known.
 type Unknown struct {
 	Organisation string    `json:"organisation"`
 	Service      string    `json:"service"`
@@ -18,16 +18,17 @@
 	Path         string    `json:"path"`
 	Node         string    `json:"node"`
 	Since        time.Time `json:"since"`
-	// Settled means that the call can no longer run, so that the service's
-	// books are final.
+	// Settled means that the call can no longer run, so that the service's own
+	// records show the final outcome.
 	Settled bool `json:"settled"`
 }
 
-// pageSize bounds one query of the open list.
+// pageSize is the maximum number of items in one query of the open claims.
 const pageSize = 200
 
-// Unknowns lists the open unknowns of the whole fleet, at most limit. A claim
-// whose deadline has passed belongs to a node that died or was cut off.
+// Unknowns returns at most limit unresolved calls with an unknown outcome, of all
+// nodes. It includes held claims whose deadline has passed: their node died or
+// was cut off from the table.
 func (c *Claims) Unknowns(ctx context.Context, limit int) ([]Unknown, error) {
 	var unknowns []Unknown
 	after := ""
@@ -50,7 +51,8 @@
 	return unknowns[:min(limit, len(unknowns))], nil
 }
 
-// Lost says whether an open claim's outcome is unknown by now.
+// Lost reports whether the outcome is unknown and unresolved: the state is
+// unknown, or the claim is held past its deadline.
 func (r *Record) Lost() bool {
 	return r.State == StateUnknown || (r.State == StateHeld && time.Now().After(r.Deadline))
 }
@@ -70,19 +72,23 @@
 
 // Errors of Resolve.
 var (
-	// ErrNotOpen means that the key's outcome is known or that there is no claim.
+	// ErrNotOpen means that the key's outcome is known, that its holder may still
+	// end the claim, or that there is no claim.
 	ErrNotOpen = errors.New("claims: the key has no open unknown")
-	// ErrUnsettled means that the call may still run, so that "not run" cannot be decided yet.
+	// ErrUnsettled means that the call may still run, so that it cannot be
+	// resolved as not run yet.
 	ErrUnsettled = errors.New("claims: the call may still run; decide again later")
-	// ErrRaced means that somebody else decided first.
+	// ErrRaced means that the record was changed concurrently.
 	ErrRaced = errors.New("claims: somebody else decided first")
 )
 
-// Resolve decides an open unknown: an operator has looked into the service's
-// books, or the service itself was asked by key. By is kept with the claim.
+// Resolve sets the outcome of a call whose outcome is unknown, after an operator
+// checked the service's records or the service was queried by key. The argument
+// by is stored with the claim.
 //
-// Deciding "not run" frees the key. Before the claim has settled the call may
-// still be on its way, and the caller would be told "not run" of what runs.
+// Resolving a call as not run frees the key. Before the claim has settled, the
+// call may still be in flight, and the caller would receive "not run" for a call
+// that runs later.
 func (c *Claims) Resolve(ctx context.Context, organisation, service, key string, ran bool, by string) error {
 	call := Call{
 		Organisation: organisation,
@@ -106,7 +112,8 @@
 	return c.writeDecision(ctx, record, revision, event, by)
 }
 
-// writeDecision writes the decision at the revision that was read.
+// writeDecision writes the new state if the record is still at the revision that
+// was read.
 func (c *Claims) writeDecision(ctx context.Context, record Record, revision uint64, event Event, by string) error {
 	state, err := nextState(record.State, event)
 	if err != nil {
@@ -121,7 +128,8 @@
 	if !errors.Is(err, zinniamast.ErrConflict) {
 		return err
 	}
-	// A conflict may be our own decision, whose answer was lost.
+	// A conflict may be caused by an earlier attempt of the same write whose
+	// response was lost.
 	current, _, err := c.get(ctx, record.name())
 	if err != nil {
 		return fmt.Errorf("claims: %w", err)
@@ -132,9 +140,9 @@
 	return ErrRaced
 }
 
-// Known tells what the table says of a key, for a request that is refused
-// before it asks for a claim. The refusal may say "not run" only if nothing
-// can have run under the key.
+// Known returns the run state of a key from memory or the table, for a request
+// that is refused before it acquires a claim. The refusal may report "not run"
+// only if no call can have run under the key.
 func (c *Claims) Known(ctx context.Context, call Call) zinniamast.Ran {
 	c.mu.Lock()
 	local := c.local[call.name()]
@@ -154,7 +162,7 @@
 	return record.State.Ran()
 }
 
-// Ran returns what a claim's state says of the run.
+// Ran returns whether a call in this state ran, did not run or may have run.
 func (s State) Ran() zinniamast.Ran {
 	switch s {
 	case StateFree:
--- a/claims/upload.go
+++ b/claims/upload.go
@@ -6,15 +6,17 @@
 	"zinniamast"
 )
 
-// upload is a large answer on its way into the object store.
+// upload is a large answer that is being written to the object store.
 type upload struct {
 	answer *zinniamast.ServiceAnswer
-	// object delivers the proof, or nil if the answer is not kept.
+	// object receives the description of the stored object, or nil if the answer
+	// was not stored.
 	object chan *Object
 }
 
-// startUpload writes the object beside the outcome, not before it: a store
-// that hangs must not hold back the outcome, which would be lost with the node.
+// startUpload writes the object concurrently with the outcome, not before it: a
+// store that hangs must not delay the outcome, which would be lost if the node
+// died meanwhile.
 func (c *Claims) startUpload(claim *Claim, answer *zinniamast.ServiceAnswer) *upload {
 	u := &upload{
 		answer: answer,
@@ -33,7 +35,8 @@
 	return u
 }
 
-// setObject replaces the answer in this node's memory by its object.
+// setObject replaces the answer in this node's memory with the object's
+// description, which is nil if the answer was not stored.
 func (l *Claim) setObject(object *Object) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,23 +44,25 @@
 	l.record.Object = object
 }
 
-// linkObject lets the saved record name its object. The object is whole in the
-// store by then, so a record never names one that is still to be written.
+// linkObject adds the object's description to the saved record. It waits until
+// the store has confirmed the object, so that a record never refers to an object
+// that is not written yet.
 func (c *Claims) linkObject(name string, s *pendingOutcome) {
 	object := <-s.upload.object
 	if object == nil {
 		return
 	}
-	pause := minRetryDelay
+	delay := minRetryDelay
 	for !c.tryLinkObject(name, s.after.Nonce, object) {
-		if wait(c.closing, pause) != nil {
+		if wait(c.closing, delay) != nil {
 			return
 		}
-		pause = min(2*pause, storeRetryAfter)
+		delay = min(2*delay, storeRetryAfter)
 	}
 }
 
-// tryLinkObject reports whether nothing is left to be done.
+// tryLinkObject attempts the write once and reports whether no further attempt
+// is needed.
 func (c *Claims) tryLinkObject(name, nonce string, object *Object) bool {
 	select {
 	case c.writeSlots <- struct{}{}:
@@ -74,7 +79,7 @@
 		return true
 	}
 	if record.Object != nil {
-		// An earlier write took effect and its answer was lost.
+		// An earlier write took effect and its response was lost.
 		c.metrics.objects.WithLabelValues(objectKept).Inc()
 		return true
 	}
@@ -84,6 +89,7 @@
 	if err == nil {
 		c.metrics.objects.WithLabelValues(objectKept).Inc()
 	}
-	// A conflict is read again: it may be this write's own late effect.
+	// After a conflict the record is read again: an earlier attempt of this write
+	// may have taken effect late.
 	return err == nil || errors.Is(err, zinniamast.ErrOversized)
 }
