--- a/claims/begin.go
+++ b/claims/begin.go
@@ -149,7 +149,7 @@
 		return BeginResult{}, false, nil
 	}
 	if errors.Is(err, zinniamast.ErrUnavailable) {
-		// The table is existing to be unavailable, so the request is refused at once.
+		// The table is known to be unavailable, so the request is refused at once.
 		return BeginResult{}, false, a.giveUp()
 	}
 	if !errors.Is(err, zinniamast.ErrConflict) {
--- a/claims/large_test.go
+++ b/claims/large_test.go
@@ -77,13 +77,13 @@
 
 func checkLargeAnswer(is *is.I, c largeCase) {
 	ctx := context.Background()
-	w := newFaultyTable(c.table, time.Second)
-	w.objects = newFaultyObjects(c.objects)
+	table := newFaultyTable(c.table, time.Second)
+	table.objects = newFaultyObjects(c.objects)
 	newNode := func(name string) (*claims.Claims, *link) {
-		l := newLink(w)
+		l := newLink(table)
 		return claims.New(claims.Config{
 			Table:          l,
-			Objects:        w.objects,
+			Objects:        table.objects,
 			Node:           name,
 			MaxAnswer:      maxAnswer,
 			MaxObject:      800,
@@ -125,7 +125,7 @@
 	if c.answerKept {
 		is.Equal(*again.Record.Answer, answer)
 	}
-	is.Equal(w.objects.count(), c.objectsLeft)
+	is.Equal(table.objects.count(), c.objectsLeft)
 	is.Equal(holder.Close(ctx), 0)
 	is.Equal(other.Close(ctx), 0)
 }
@@ -137,24 +137,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := context.Background()
-		held := claims.New(claims.Config{
+		node := claims.New(claims.Config{
 			Table:     platform.New(platform.Config{}).Table,
 			Objects:   newFaultyObjects([]int{objectHangs}),
 			MaxAnswer: maxAnswer,
 		})
-		result, err := held.Begin(ctx, largeCall("k"))
+		result, err := node.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
 		result.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200)})
 		time.Sleep(time.Second)
-		again, err := held.Begin(ctx, largeCall("k"))
+		again, err := node.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
 		is.Equal(len(again.Record.Answer.Body), 200)
 		time.Sleep(10 * time.Second)
-		again, err = held.Begin(ctx, largeCall("k"))
+		again, err = node.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
 		is.Equal(again.Record.State, claims.StateDone)
 		is.True(again.Record.Answer == nil)
-		is.Equal(held.Close(ctx), 0)
+		is.Equal(node.Close(ctx), 0)
 	})
 }
 
@@ -166,15 +166,15 @@
 		is := is.New(t)
 		ctx := context.Background()
 		table := platform.New(platform.Config{}).Table
-		held := claims.New(claims.Config{
+		node := claims.New(claims.Config{
 			Table:   table,
 			Objects: newFaultyObjects([]int{objectHangs}),
 		})
-		result, err := held.Begin(ctx, largeCall("k"))
+		result, err := node.Begin(ctx, largeCall("k"))
 		is.NoErr(err)
 		result.Claim.Answer(zinniamast.ServiceAnswer{Body: make([]byte, 200<<10)})
 		before := time.Now()
-		is.Equal(held.Close(ctx), 0)
+		is.Equal(node.Close(ctx), 0)
 		is.True(time.Since(before) <= 600*time.Millisecond)
 		other := claims.New(claims.Config{Table: table})
 		record, err := other.Read(ctx, largeCall("k"))
@@ -188,22 +188,22 @@
 // table bytes and writes per booking, without an object store and with one that
 // has a delay of 20 ms.
 func TestLargeAnswersCost(t *testing.T) {
-	for _, kept := range []bool{false, true} {
+	for _, withStore := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			const bookings = 50
 			is := is.New(t)
 			ctx := context.Background()
 			table := &countingTable{Table: platform.New(platform.Config{TableDelay: 5 * time.Millisecond}).Table}
 			config := claims.Config{Table: table}
-			if kept {
+			if withStore {
 				config.Objects = newFaultyObjects(nil)
 			}
-			held := claims.New(config)
+			node := claims.New(config)
 			var waited, replayed time.Duration
 			saved, answers, bytes, items := 0, 0, 0, 0
 			for i := range bookings {
 				table.takeCounts()
-				result, err := held.Begin(ctx, largeCall(fmt.Sprint(i)))
+				result, err := node.Begin(ctx, largeCall(fmt.Sprint(i)))
 				is.NoErr(err)
 				before := time.Now()
 				result.Claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: make([]byte, 200<<10)})
@@ -222,7 +222,7 @@
 				bytes += wroteBytes
 				items += wroteItems
 				before = time.Now()
-				again, err := held.Begin(ctx, largeCall(fmt.Sprint(i)))
+				again, err := node.Begin(ctx, largeCall(fmt.Sprint(i)))
 				is.NoErr(err)
 				replayed += time.Since(before)
 				if again.Record.Answer != nil {
@@ -231,11 +231,11 @@
 			}
 			is.Equal(waited, time.Duration(0))
 			is.Equal(saved, bookings)
-			is.Equal(answers == bookings, kept)
+			is.Equal(answers == bookings, withStore)
 			is.True(bytes/bookings < 4096) // the answer itself is not in the table
 			t.Logf("objects %v: %d of %d repeats answered in %v each, caller waits %v, %d bytes and %d items written per booking",
-				kept, answers, bookings, replayed/bookings, waited/bookings, bytes/bookings, items/bookings)
-			is.Equal(held.Close(ctx), 0)
+				withStore, answers, bookings, replayed/bookings, waited/bookings, bytes/bookings, items/bookings)
+			is.Equal(node.Close(ctx), 0)
 		})
 	}
 }
--- a/claims/property_test.go
+++ b/claims/property_test.go
@@ -68,92 +68,92 @@
 	violations []string
 }
 
-func (b *ledger) recordRun(key, id string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.runs[key] = append(b.runs[key], id)
-	if len(b.runs[key]) > 1 {
-		b.addViolation("key %s ran for %v", key, b.runs[key])
+func (l *ledger) recordRun(key, id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs[key] = append(l.runs[key], id)
+	if len(l.runs[key]) > 1 {
+		l.addViolation("key %s ran for %v", key, l.runs[key])
 	}
 }
 
-func (b *ledger) hasRun(key string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.runs[key]) > 0
+func (l *ledger) hasRun(key string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.runs[key]) > 0
 }
 
-func (b *ledger) addViolation(format string, args ...any) {
-	b.violations = append(b.violations, fmt.Sprintf(format, args...))
+func (l *ledger) addViolation(format string, args ...any) {
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
 // checkReport checks a run state when a request receives it. After "not run", no
 // request may have run under the key, unless the state is that of a key conflict;
 // after "ran", one must have run.
-func (b *ledger) checkReport(key, id string, ran zinniamast.Ran, keyConflict bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if ran == zinniamast.NotRun && len(b.runs[key]) > 0 && !keyConflict {
-		b.addViolation("request %s received not run, but key %s ran for %v", id, key, b.runs[key])
+func (l *ledger) checkReport(key, id string, ran zinniamast.Ran, keyConflict bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ran == zinniamast.NotRun && len(l.runs[key]) > 0 && !keyConflict {
+		l.addViolation("request %s received not run, but key %s ran for %v", id, key, l.runs[key])
 	}
-	if ran == zinniamast.DidRun && len(b.runs[key]) == 0 {
-		b.addViolation("request %s received ran, but key %s did not run", id, key)
+	if ran == zinniamast.DidRun && len(l.runs[key]) == 0 {
+		l.addViolation("request %s received ran, but key %s did not run", id, key)
 	}
 }
 
 // answerBody returns the body of the answer to a request; it is unique to the
 // request.
-func (b *ledger) answerBody(id string) []byte {
-	return []byte(id + strings.Repeat(".", b.padding))
+func (l *ledger) answerBody(id string) []byte {
+	return []byte(id + strings.Repeat(".", l.padding))
 }
 
 // checkAnswer checks that a stored answer is that of the only request that ran.
-func (b *ledger) checkAnswer(key string, record claims.Record) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *ledger) checkAnswer(key string, record claims.Record) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if record.Answer == nil {
 		return
 	}
-	if len(b.runs[key]) != 1 || string(record.Answer.Body) != string(b.answerBody(b.runs[key][0])) {
-		b.addViolation("key %s ran for %v, but the stored answer is %.8q", key, b.runs[key], record.Answer.Body)
+	if len(l.runs[key]) != 1 || string(record.Answer.Body) != string(l.answerBody(l.runs[key][0])) {
+		l.addViolation("key %s ran for %v, but the stored answer is %.8q", key, l.runs[key], record.Answer.Body)
 	}
 }
 
 // simulate runs a plan in virtual time and returns the violations.
 func simulate(p plan) []string {
-	w := newFaultyTable(p.Faults, time.Duration(p.LateDelay)*time.Millisecond)
-	w.objects = newFaultyObjects(p.Objects)
-	b := &ledger{runs: map[string][]string{}, padding: p.Padding}
+	table := newFaultyTable(p.Faults, time.Duration(p.LateDelay)*time.Millisecond)
+	table.objects = newFaultyObjects(p.Objects)
+	l := &ledger{runs: map[string][]string{}, padding: p.Padding}
 	nodes := make([]*node, len(p.Outages))
 	for i := range nodes {
 		nodes[i] = &node{
 			name: fmt.Sprint("node-", i),
-			link: newLink(w, p.Outages[i]),
+			link: newLink(table, p.Outages[i]),
 		}
 		nodes[i].restart()
 	}
 	var done sync.WaitGroup
-	for i, s := range p.Requests {
+	for i, r := range p.Requests {
 		done.Go(func() {
-			time.Sleep(time.Duration(s.At) * time.Millisecond)
-			sendRequest(nodes[s.Node], b, s, fmt.Sprint("r", i))
+			time.Sleep(time.Duration(r.At) * time.Millisecond)
+			sendRequest(nodes[r.Node], l, r, fmt.Sprint("r", i))
 		})
 	}
 	if p.Operator {
-		done.Go(func() { resolveUnknowns(nodes[0], b) })
+		done.Go(func() { resolveUnknowns(nodes[0], l) })
 	}
 	done.Wait()
 	time.Sleep(5 * time.Minute)
 	unknowns, err := nodes[0].current().Unknowns(context.Background(), 100)
 	for _, n := range nodes {
 		if unsaved := n.current().Close(context.Background()); unsaved > 0 {
-			b.addViolation("%d outcomes were not saved", unsaved)
+			l.addViolation("%d outcomes were not saved", unsaved)
 		}
 	}
 	if err != nil || (p.Operator && len(unknowns) > 0) {
-		b.addViolation("unresolved unknowns: %v, error: %v", unknowns, err)
+		l.addViolation("unresolved unknowns: %v, error: %v", unknowns, err)
 	}
-	return b.violations
+	return l.violations
 }
 
 // node is an entry instance whose process can be restarted.
@@ -196,15 +196,15 @@
 }
 
 // sendRequest processes one request as the services handler does.
-func sendRequest(n *node, b *ledger, s drawnRequest, id string) {
-	key := fmt.Sprint("k", s.Key)
+func sendRequest(n *node, l *ledger, r drawnRequest, id string) {
+	key := fmt.Sprint("k", r.Key)
 	call := claims.Call{
 		Organisation: "north",
 		Service:      "booking",
 		Key:          key,
 		Method:       "POST",
 		Path:         "/reservations",
-		Body:         []byte(fmt.Sprint(s.Body)),
+		Body:         []byte(fmt.Sprint(r.Body)),
 		Deadline:     time.Now().Add(requestTimeout),
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
@@ -212,42 +212,42 @@
 	result, err := n.current().Begin(ctx, call)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
-		b.checkReport(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
+		l.checkReport(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
 		return
 	}
 	if result.Claim == nil {
-		b.checkReport(key, id, result.Record.State.Ran(), false)
-		b.checkAnswer(key, result.Record)
+		l.checkReport(key, id, result.Record.State.Ran(), false)
+		l.checkAnswer(key, result.Record)
 		return
 	}
-	time.Sleep(time.Duration(s.Pause) * time.Millisecond)
+	time.Sleep(time.Duration(r.Pause) * time.Millisecond)
 	if !result.Claim.MayDispatch() {
-		b.checkReport(key, id, result.Claim.Release(), false)
+		l.checkReport(key, id, result.Claim.Release(), false)
 		return
 	}
-	dispatch(n, result.Claim, b, s, key, id)
+	dispatch(n, result.Claim, l, r, key, id)
 }
 
-func dispatch(n *node, claim *claims.Claim, b *ledger, s drawnRequest, key, id string) {
-	switch s.Attempt {
+func dispatch(n *node, claim *claims.Claim, l *ledger, r drawnRequest, key, id string) {
+	switch r.Attempt {
 	case attemptNotRun:
-		b.checkReport(key, id, claim.Release(), false)
+		l.checkReport(key, id, claim.Release(), false)
 		return
 	case attemptNeverArrives:
 	case attemptRunsLate:
 		go func() {
 			time.Sleep(20 * time.Second)
-			b.recordRun(key, id)
+			l.recordRun(key, id)
 		}()
 	default:
-		b.recordRun(key, id)
+		l.recordRun(key, id)
 	}
-	if s.Crash {
+	if r.Crash {
 		n.restart()
 		return
 	}
-	if s.Attempt == attemptAnswers {
-		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: b.answerBody(id)})
+	if r.Attempt == attemptAnswers {
+		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: l.answerBody(id)})
 		return
 	}
 	claim.Lose()
@@ -255,13 +255,13 @@
 
 // resolveUnknowns resolves open unknowns from the ledger, as an operator or a
 // lookup by key does, concurrently with callers and holders.
-func resolveUnknowns(n *node, b *ledger) {
+func resolveUnknowns(n *node, l *ledger) {
 	for range 60 {
 		time.Sleep(5 * time.Second)
 		unknowns, _ := n.current().Unknowns(context.Background(), 100)
 		for _, u := range unknowns {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, b.hasRun(u.Key), "operator")
+			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, l.hasRun(u.Key), "operator")
 			cancel()
 		}
 	}
--- a/claims/save.go
+++ b/claims/save.go
@@ -20,18 +20,18 @@
 
 // save writes an outcome in the background and retries until the table has
 // stored it. After Close no write is started, and the claim counts as unsaved.
-func (c *Claims) save(claim *Claim, s *pendingOutcome) {
+func (c *Claims) save(claim *Claim, p *pendingOutcome) {
 	c.metrics.unsaved.Inc()
 	c.unsaved.Add(1)
 	started := c.writers.start(func() {
-		saved := c.saveUntilDone(claim.name, s)
+		saved := c.saveUntilDone(claim.name, p)
 		c.metrics.unsaved.Dec()
 		c.unsaved.Add(-1)
 		if !saved {
 			return
 		}
-		if s.upload != nil {
-			c.linkObject(claim.name, s)
+		if p.upload != nil {
+			c.linkObject(claim.name, p)
 		}
 		c.removeLocal(claim)
 		close(claim.saved)
@@ -66,10 +66,10 @@
 
 // saveUntilDone retries until the outcome is saved; it reports false if the node
 // stops first.
-func (c *Claims) saveUntilDone(name string, s *pendingOutcome) bool {
+func (c *Claims) saveUntilDone(name string, p *pendingOutcome) bool {
 	delay := minRetryDelay
 	for {
-		if c.saveOnce(name, s) {
+		if c.saveOnce(name, p) {
 			return true
 		}
 		if wait(c.closing, delay) != nil {
@@ -81,14 +81,14 @@
 
 // saveOnce writes the outcome once. It reports whether no further write is
 // needed: the table has this outcome or one that replaces it.
-func (c *Claims) saveOnce(name string, s *pendingOutcome) bool {
+func (c *Claims) saveOnce(name string, p *pendingOutcome) bool {
 	select {
 	case c.writeSlots <- struct{}{}:
 	case <-c.closing.Done():
 		return false
 	}
 	defer func() { <-c.writeSlots }()
-	err := c.write(c.closing, recordWrites(&s.before, &s.after, s.expect, c.config.Retention))
+	err := c.write(c.closing, recordWrites(&p.before, &p.after, p.expect, c.config.Retention))
 	if err == nil {
 		return true
 	}
@@ -99,17 +99,17 @@
 	if err != nil {
 		return false
 	}
-	return c.reconcile(s, record, revision)
+	return c.reconcile(p, record, revision)
 }
 
 // reconcile handles a write that conflicted with the table's record. The record
 // comes from an earlier attempt of the same write whose response was lost, or
 // from a decision made by a lookup or an operator in the meantime. It reports
 // whether no further write is needed.
-func (c *Claims) reconcile(s *pendingOutcome, record Record, revision uint64) bool {
-	proven := s.event == EventRun || s.event == EventAnswer
-	sameClaim := record.Nonce == s.after.Nonce
-	if sameClaim && record.State == s.after.State {
+func (c *Claims) reconcile(p *pendingOutcome, record Record, revision uint64) bool {
+	proven := p.event == EventRun || p.event == EventAnswer
+	sameClaim := record.Nonce == p.after.Nonce
+	if sameClaim && record.State == p.after.State {
 		return true
 	}
 	if !sameClaim && record.State != StateFree {
@@ -118,17 +118,17 @@
 	}
 	if record.State == StateFree {
 		if !proven {
-			return s.event != EventRelease || record.Nonce != ""
+			return p.event != EventRelease || record.Nonce != ""
 		}
 		// The key was released as not run although the call ran. The outcome is
 		// written over the free record at once, so that the call does not run a
 		// second time.
 		c.logContradiction(true, record)
-	} else if _, err := nextState(record.State, s.event); err != nil {
+	} else if _, err := nextState(record.State, p.event); err != nil {
 		return true
 	}
-	s.before = record
-	s.expect = revision
+	p.before = record
+	p.expect = revision
 	return false
 }
 
--- a/claims/table_faults_test.go
+++ b/claims/table_faults_test.go
@@ -31,7 +31,7 @@
 // faultyTable is the table that all nodes share. It applies the faults to writes
 // in order; later writes succeed.
 type faultyTable struct {
-	table     zinniamast.Table
+	inner     zinniamast.Table
 	objects   *faultyObjects
 	faults    []int
 	lateDelay time.Duration
@@ -40,30 +40,30 @@
 	faultsUsed int
 }
 
-func newFaultyTable(faults []int, late time.Duration) *faultyTable {
+func newFaultyTable(faults []int, lateDelay time.Duration) *faultyTable {
 	return &faultyTable{
-		table:     platform.New(platform.Config{}).Table,
+		inner:     platform.New(platform.Config{}).Table,
 		objects:   newFaultyObjects(nil),
 		faults:    faults,
-		lateDelay: late,
+		lateDelay: lateDelay,
 	}
 }
 
-func (w *faultyTable) nextFault() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faultsUsed >= len(w.faults) {
+func (t *faultyTable) nextFault() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.faultsUsed >= len(t.faults) {
 		return faultNone
 	}
-	w.faultsUsed++
-	return w.faults[w.faultsUsed-1]
+	t.faultsUsed++
+	return t.faults[t.faultsUsed-1]
 }
 
 // deliverLate delivers a write after lateDelay, even if its sender has died.
-func (w *faultyTable) deliverLate(writes []zinniamast.Write) {
+func (t *faultyTable) deliverLate(writes []zinniamast.Write) {
 	go func() {
-		time.Sleep(w.lateDelay)
-		w.table.Write(context.Background(), writes)
+		time.Sleep(t.lateDelay)
+		t.inner.Write(context.Background(), writes)
 	}()
 }
 
@@ -84,10 +84,10 @@
 	from, until time.Duration
 }
 
-func newLink(w *faultyTable, cuts ...outage) *link {
+func newLink(t *faultyTable, outages ...outage) *link {
 	return &link{
-		table:   w,
-		outages: cuts,
+		table:   t,
+		outages: outages,
 		start:   time.Now(),
 	}
 }
@@ -119,14 +119,14 @@
 	if l.isDown() {
 		return zinniamast.Item{}, errBroken
 	}
-	return l.table.table.Get(ctx, key)
+	return l.table.inner.Get(ctx, key)
 }
 
 func (l *link) Query(ctx context.Context, partition, after string, limit int) ([]zinniamast.Item, error) {
 	if l.isDown() {
 		return nil, errBroken
 	}
-	return l.table.table.Query(ctx, partition, after, limit)
+	return l.table.inner.Query(ctx, partition, after, limit)
 }
 
 func (l *link) Write(ctx context.Context, writes []zinniamast.Write) error {
@@ -136,7 +136,7 @@
 	}
 	switch l.table.nextFault() {
 	case faultAnswerLost:
-		l.table.table.Write(ctx, writes)
+		l.table.inner.Write(ctx, writes)
 		return errBroken
 	case faultWriteLost:
 		return errBroken
@@ -145,10 +145,10 @@
 		return errBroken
 	case faultDuplicated:
 		l.table.deliverLate(writes)
-		return l.table.table.Write(ctx, writes)
+		return l.table.inner.Write(ctx, writes)
 	case faultThrottled:
 		return zinniamast.ErrThrottled
 	default:
-		return l.table.table.Write(ctx, writes)
+		return l.table.inner.Write(ctx, writes)
 	}
 }
--- a/claims/upload.go
+++ b/claims/upload.go
@@ -47,13 +47,13 @@
 // linkObject adds the object's description to the saved record. It waits until
 // the store has confirmed the object, so that a record never refers to an object
 // that is not written yet.
-func (c *Claims) linkObject(name string, s *pendingOutcome) {
-	object := <-s.upload.object
+func (c *Claims) linkObject(name string, p *pendingOutcome) {
+	object := <-p.upload.object
 	if object == nil {
 		return
 	}
 	delay := minRetryDelay
-	for !c.tryLinkObject(name, s.after.Nonce, object) {
+	for !c.tryLinkObject(name, p.after.Nonce, object) {
 		if wait(c.closing, delay) != nil {
 			return
 		}
