--- a/claims/save.go
+++ b/claims/save.go
@@ -42,9 +42,9 @@
 }
 
 // Keep saves in the background the outcome of a call that needed no claim,
-// because only this process could dispatch its key. If MaxUnsaved is reached,
-// the outcome is dropped, and the key reads as unknown once this process has
-// ended.
+// because only this process could dispatch its key. If MaxUnsaved is reached, or
+// a claim on the key is in memory already, the outcome is dropped, and in the
+// first case the key reads as unknown once this process has ended.
 func (c *Claims) Keep(call Call, event Event, answer *zinniamast.ServiceAnswer) {
 	claim, isNew, err := c.register(call)
 	if err != nil || !isNew {
