--- a/claims/objects_test.go
+++ b/claims/objects_faults_test.go
@@ -8,26 +8,26 @@
 	"zinniamast"
 )
 
-// What the faulty object store does to one write.
+// Faults of the object store on one write.
 const (
 	objectNone = iota
-	// objectLost loses the answer of a write that took effect.
-	objectLost
-	// objectNever loses the write.
-	objectNever
-	// objectHangs answers nothing until the caller gives up.
+	// objectAnswerLost loses the response of a write that took effect.
+	objectAnswerLost
+	// objectWriteLost loses the write before it takes effect.
+	objectWriteLost
+	// objectHangs does not respond until the caller's context ends.
 	objectHangs
-	// objectShort keeps half of the object and confirms it.
-	objectShort
-	// objectForeign keeps another object of the same length and confirms it.
-	objectForeign
-	// objectVanishes confirms the object and has none.
-	objectVanishes
+	// objectTruncated stores half of the object and confirms the write.
+	objectTruncated
+	// objectReplaced stores another object of the same length and confirms the write.
+	objectReplaced
+	// objectMissing confirms the write and stores nothing.
+	objectMissing
 	objectFaultCount
 )
 
-// faultyObjects is an object store whose writes meet the faults in turn; after
-// them all goes well.
+// faultyObjects is an object store that applies the faults to its writes in
+// order; later writes succeed.
 type faultyObjects struct {
 	mu      sync.Mutex
 	faults  []int
@@ -52,13 +52,13 @@
 	return fault
 }
 
-func (o *faultyObjects) keep(name string, content []byte) {
+func (o *faultyObjects) store(name string, content []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.content[name] = content
 }
 
-func (o *faultyObjects) names() int {
+func (o *faultyObjects) count() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.content)
@@ -70,23 +70,23 @@
 		return ctx.Err()
 	}
 	switch o.nextFault() {
-	case objectLost:
-		o.keep(name, content)
+	case objectAnswerLost:
+		o.store(name, content)
 		return errBroken
-	case objectNever:
+	case objectWriteLost:
 		return errBroken
 	case objectHangs:
 		<-ctx.Done()
 		return ctx.Err()
-	case objectShort:
-		o.keep(name, content[:len(content)/2])
-	case objectForeign:
+	case objectTruncated:
+		o.store(name, content[:len(content)/2])
+	case objectReplaced:
 		foreign := append([]byte{}, content...)
 		foreign[len(foreign)-1]++
-		o.keep(name, foreign)
-	case objectVanishes:
+		o.store(name, foreign)
+	case objectMissing:
 	default:
-		o.keep(name, content)
+		o.store(name, content)
 	}
 	return nil
 }
--- a/claims/property_test.go
+++ b/claims/property_test.go
@@ -16,7 +16,7 @@
 	"zinniamast/claims"
 )
 
-// What a drawn attempt does.
+// Results of a drawn upstream attempt.
 const (
 	attemptAnswers = iota
 	attemptNotRun
@@ -26,133 +26,137 @@
 	attemptCount
 )
 
-// sending is one drawn request.
-type sending struct {
+// drawnRequest is one request of a plan.
+type drawnRequest struct {
 	Node    int
 	Key     int
 	Body    int
-	At      int // milliseconds
-	Pause   int // milliseconds between claim and dispatch, as by SIGSTOP
+	At      int // start time in milliseconds
+	Pause   int // milliseconds between claim and dispatch, for example after SIGSTOP
 	Attempt int
 	Crash   bool // the node's process dies after dispatch
 }
 
-// plan is a drawn history.
+// plan is a drawn sequence of requests, faults and outages.
 type plan struct {
-	Sendings []sending
-	Faults   []int
-	Late     int // milliseconds until a late write takes effect
-	Cuts     [2]cut
-	Operator bool
-	// Large is the length of the answers' bodies; above maxAnswer they go to
-	// the object store, whose writes meet the faults of Objects.
-	Large   int
+	Requests  []drawnRequest
+	Faults    []int
+	LateDelay int // milliseconds until a late write takes effect
+	Outages   [2]outage
+	Operator  bool
+	// Padding is the number of bytes added to each answer's body. Bodies above
+	// maxAnswer go to the object store, whose writes have the faults in Objects.
+	Padding int
 	Objects []int
 }
 
 const (
-	budget = 5 * time.Second
-	// maxAnswer and maxObjectBytes make answers of a few hundred bytes large ones.
+	requestTimeout = 5 * time.Second
+	// maxAnswer and maxObjectBytes are low, so that answers of a few hundred bytes
+	// go to the object store.
 	maxAnswer      = 64
 	maxObjectBytes = 1000
-	settle         = 30 * time.Second
+	settleTime     = 30 * time.Second
 )
 
-// books are the service's: what truly ran, and what callers were told.
-type books struct {
+// ledger records which requests ran at the service, and the violations found in
+// what callers received.
+type ledger struct {
 	mu         sync.Mutex
-	runs       map[string][]string // key to the IDs of requests that ran
-	large      int
+	runs       map[string][]string // IDs of the requests that ran, by key
+	padding    int
 	violations []string
 }
 
-func (b *books) run(key, id string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.runs[key] = append(b.runs[key], id)
-	if len(b.runs[key]) > 1 {
-		b.violate("key %s ran for %v", key, b.runs[key])
+func (l *ledger) recordRun(key, id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs[key] = append(l.runs[key], id)
+	if len(l.runs[key]) > 1 {
+		l.addViolation("key %s ran for %v", key, l.runs[key])
 	}
 }
 
-func (b *books) ran(key string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.runs[key]) > 0
+func (l *ledger) hasRun(key string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.runs[key]) > 0
 }
 
-func (b *books) violate(format string, args ...any) {
-	b.violations = append(b.violations, fmt.Sprintf(format, args...))
+func (l *ledger) addViolation(format string, args ...any) {
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// told checks a "not run" when it is said: nothing has run under the key, and
-// the request that it is said to never runs.
-func (b *books) told(key, id string, ran zinniamast.Ran, body bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if ran == zinniamast.NotRun && len(b.runs[key]) > 0 && !body {
-		b.violate("request %s was told not run, and key %s ran for %v", id, key, b.runs[key])
+// checkReport checks a run state when a request receives it. After "not run", no
+// request may have run under the key, unless the state is that of a key conflict;
+// after "ran", one must have run.
+func (l *ledger) checkReport(key, id string, ran zinniamast.Ran, keyConflict bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ran == zinniamast.NotRun && len(l.runs[key]) > 0 && !keyConflict {
+		l.addViolation("request %s received not run, but key %s ran for %v", id, key, l.runs[key])
 	}
-	if ran == zinniamast.DidRun && len(b.runs[key]) == 0 {
-		b.violate("request %s was told ran, and key %s did not run", id, key)
+	if ran == zinniamast.DidRun && len(l.runs[key]) == 0 {
+		l.addViolation("request %s received ran, but key %s did not run", id, key)
 	}
 }
 
-// body is the answer to a request; no two requests get the same.
-func (b *books) body(id string) []byte {
-	return []byte(id + strings.Repeat(".", b.large))
+// answerBody returns the body of the answer to a request; it is unique to the
+// request.
+func (l *ledger) answerBody(id string) []byte {
+	return []byte(id + strings.Repeat(".", l.padding))
 }
 
-// answered checks an answer that was kept: it is that of the request that ran.
-func (b *books) answered(key string, record claims.Record) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// checkAnswer checks that a stored answer is that of the only request that ran.
+func (l *ledger) checkAnswer(key string, record claims.Record) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if record.Answer == nil {
 		return
 	}
-	if len(b.runs[key]) != 1 || string(record.Answer.Body) != string(b.body(b.runs[key][0])) {
-		b.violate("key %s ran for %v and was answered %.8q", key, b.runs[key], record.Answer.Body)
+	if len(l.runs[key]) != 1 || string(record.Answer.Body) != string(l.answerBody(l.runs[key][0])) {
+		l.addViolation("key %s ran for %v, but the stored answer is %.8q", key, l.runs[key], record.Answer.Body)
 	}
 }
 
-// simulate plays a plan in virtual time and returns the broken promises.
+// simulate runs a plan in virtual time and returns the violations.
 func simulate(p plan) []string {
-	w := newWorld(p.Faults, time.Duration(p.Late)*time.Millisecond)
-	w.objects = newFaultyObjects(p.Objects)
-	b := &books{runs: map[string][]string{}, large: p.Large}
-	nodes := make([]*node, len(p.Cuts))
+	table := newFaultyTable(p.Faults, time.Duration(p.LateDelay)*time.Millisecond)
+	table.objects = newFaultyObjects(p.Objects)
+	l := &ledger{runs: map[string][]string{}, padding: p.Padding}
+	nodes := make([]*node, len(p.Outages))
 	for i := range nodes {
 		nodes[i] = &node{
 			name: fmt.Sprint("node-", i),
-			link: newLink(w, p.Cuts[i]),
+			link: newLink(table, p.Outages[i]),
 		}
 		nodes[i].restart()
 	}
 	var done sync.WaitGroup
-	for i, s := range p.Sendings {
+	for i, r := range p.Requests {
 		done.Go(func() {
-			time.Sleep(time.Duration(s.At) * time.Millisecond)
-			send(nodes[s.Node], b, s, fmt.Sprint("r", i))
+			time.Sleep(time.Duration(r.At) * time.Millisecond)
+			sendRequest(nodes[r.Node], l, r, fmt.Sprint("r", i))
 		})
 	}
 	if p.Operator {
-		done.Go(func() { operate(nodes[0], b) })
+		done.Go(func() { resolveUnknowns(nodes[0], l) })
 	}
 	done.Wait()
 	time.Sleep(5 * time.Minute)
 	unknowns, err := nodes[0].current().Unknowns(context.Background(), 100)
 	for _, n := range nodes {
-		if left := n.current().Close(context.Background()); left > 0 {
-			b.violate("%d outcomes were not saved", left)
+		if unsaved := n.current().Close(context.Background()); unsaved > 0 {
+			l.addViolation("%d outcomes were not saved", unsaved)
 		}
 	}
 	if err != nil || (p.Operator && len(unknowns) > 0) {
-		b.violate("unknowns left: %v %v", unknowns, err)
+		l.addViolation("unresolved unknowns: %v, error: %v", unknowns, err)
 	}
-	return b.violations
+	return l.violations
 }
 
-// node is an entry instance whose process can be replaced.
+// node is an entry instance whose process can be restarted.
 type node struct {
 	name string
 	link *link
@@ -167,21 +171,21 @@
 	return n.claims
 }
 
-// restart kills the process, with all that it had not saved, and starts another.
+// restart kills the process, which loses its unsaved outcomes, and starts another.
 func (n *node) restart() {
 	n.mu.Lock()
 	old := n.claims
 	if old != nil {
 		n.link.kill()
-		n.link = newLink(n.link.world, n.link.cuts...)
+		n.link = newLink(n.link.table, n.link.outages...)
 	}
 	n.claims = claims.New(claims.Config{
 		Table:          n.link,
-		Objects:        n.link.world.objects,
+		Objects:        n.link.table.objects,
 		MaxAnswer:      maxAnswer,
 		MaxObjectBytes: maxObjectBytes,
 		Node:           n.name,
-		Settle:         settle,
+		Settle:         settleTime,
 	})
 	n.mu.Unlock()
 	if old != nil {
@@ -191,134 +195,137 @@
 	}
 }
 
-// send plays what the services handler does with one request.
-func send(n *node, b *books, s sending, id string) {
-	key := fmt.Sprint("k", s.Key)
+// sendRequest processes one request as the services handler does.
+func sendRequest(n *node, l *ledger, r drawnRequest, id string) {
+	key := fmt.Sprint("k", r.Key)
 	call := claims.Call{
 		Organisation: "north",
 		Service:      "booking",
 		Key:          key,
 		Method:       "POST",
 		Path:         "/reservations",
-		Body:         []byte(fmt.Sprint(s.Body)),
-		Deadline:     time.Now().Add(budget),
+		Body:         []byte(fmt.Sprint(r.Body)),
+		Deadline:     time.Now().Add(requestTimeout),
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), call.Deadline)
 	defer cancel()
-	standing, err := n.current().Begin(ctx, call)
+	result, err := n.current().Begin(ctx, call)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
-		b.told(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
+		l.checkReport(key, id, refusal.Ran, refusal.Reason == zinniamast.ReasonKeyConflict)
 		return
 	}
-	if standing.Claim == nil {
-		b.told(key, id, standing.Record.State.Ran(), false)
-		b.answered(key, standing.Record)
+	if result.Claim == nil {
+		l.checkReport(key, id, result.Record.State.Ran(), false)
+		l.checkAnswer(key, result.Record)
 		return
 	}
-	time.Sleep(time.Duration(s.Pause) * time.Millisecond)
-	if !standing.Claim.MayDispatch() {
-		b.told(key, id, standing.Claim.Release(), false)
+	time.Sleep(time.Duration(r.Pause) * time.Millisecond)
+	if !result.Claim.MayDispatch() {
+		l.checkReport(key, id, result.Claim.Release(), false)
 		return
 	}
-	dispatch(n, standing.Claim, b, s, key, id)
+	dispatch(n, result.Claim, l, r, key, id)
 }
 
-func dispatch(n *node, claim *claims.Claim, b *books, s sending, key, id string) {
-	switch s.Attempt {
+func dispatch(n *node, claim *claims.Claim, l *ledger, r drawnRequest, key, id string) {
+	switch r.Attempt {
 	case attemptNotRun:
-		b.told(key, id, claim.Release(), false)
+		l.checkReport(key, id, claim.Release(), false)
 		return
 	case attemptNeverArrives:
 	case attemptRunsLate:
 		go func() {
 			time.Sleep(20 * time.Second)
-			b.run(key, id)
+			l.recordRun(key, id)
 		}()
 	default:
-		b.run(key, id)
+		l.recordRun(key, id)
 	}
-	if s.Crash {
+	if r.Crash {
 		n.restart()
 		return
 	}
-	if s.Attempt == attemptAnswers {
-		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: b.body(id)})
+	if r.Attempt == attemptAnswers {
+		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: l.answerBody(id)})
 		return
 	}
 	claim.Lose()
 }
 
-// operate decides open unknowns by the service's books, as an operator or a
-// lookup by key does, and races with callers and holders.
-func operate(n *node, b *books) {
+// resolveUnknowns resolves open unknowns from the ledger, as an operator or a
+// lookup by key does, concurrently with callers and holders.
+func resolveUnknowns(n *node, l *ledger) {
 	for range 60 {
 		time.Sleep(5 * time.Second)
 		unknowns, _ := n.current().Unknowns(context.Background(), 100)
 		for _, u := range unknowns {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, b.ran(u.Key), "operator")
+			n.current().Resolve(ctx, u.Organisation, u.Service, u.Key, l.hasRun(u.Key), "operator")
 			cancel()
 		}
 	}
 }
 
-// keptHistories failed before a fix and are kept unchanged.
-var keptHistories = []struct {
+// regressionPlans are plans that found violations in earlier versions. They must
+// not be changed.
+var regressionPlans = []struct {
 	name string
 	plan plan
 }{
 	{
 		// A holder pauses for 50 s. An operator frees the key, another request
-		// runs under it, and the holder wakes and says "not run".
-		name: "holder wakes after its key was freed",
+		// runs under it, and the holder resumes and must not report "not run".
+		name: "holder resumes after its key was freed",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 40_000, Attempt: attemptAnswers, Crash: true},
 				{Node: 1, Key: 1, At: 0, Pause: 50_000, Attempt: attemptAnswers, Crash: true},
 			},
-			Late:     2,
-			Operator: true,
+			LateDelay: 2,
+			Operator:  true,
 		},
 	},
 	{
-		// Two requests wait on one node that is cut off while it claims; the key
-		// ran through the other node. The second said "not run" for the first.
-		name: "second request beside a claim given up",
+		// Two requests wait on one node that is cut off while it claims the key;
+		// the key ran through the other node. When the node gives up the claim of
+		// the first request, the second must not receive "not run".
+		name: "second request waits for an abandoned claim",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, At: 0, Attempt: attemptAnswers, Crash: true},
 				{Node: 1, At: 3, Pause: 4000, Attempt: attemptRunsLate},
 				{Node: 1, At: 3, Pause: 4000, Attempt: attemptRunsLate},
 			},
-			Faults: []int{faultNone},
-			Late:   45_000,
-			Cuts:   [2]cut{{}, {from: 5 * time.Millisecond, until: time.Minute}},
+			Faults:    []int{faultNone},
+			LateDelay: 45_000,
+			Outages:   [2]outage{{}, {from: 5 * time.Millisecond, until: time.Minute}},
 		},
 	},
 	{
-		// The release of a key takes effect and its answer is lost; the node is
-		// cut off, the key runs elsewhere, and the first node said "not run".
-		name: "release whose answer was lost",
+		// The release of a key takes effect and its response is lost. The node is
+		// cut off, the key runs through the other node, and the first node must
+		// not report "not run".
+		name: "response of release lost",
 		plan: plan{
-			Sendings: []sending{
+			Requests: []drawnRequest{
 				{Node: 0, Key: 1, At: 9000, Attempt: attemptRunsLate, Crash: true},
 				{Node: 1, Key: 1, Body: 1, At: 10, Attempt: attemptRanAnswerLost},
 				{Node: 0, Key: 1, At: 1, Attempt: attemptNotRun},
 			},
-			Faults: []int{faultLost, faultLost},
-			Late:   45_000,
-			Cuts:   [2]cut{{from: 5 * time.Millisecond, until: time.Minute}, {from: 2 * time.Millisecond, until: 102 * time.Millisecond}},
+			Faults:    []int{faultAnswerLost, faultAnswerLost},
+			LateDelay: 45_000,
+			Outages:   [2]outage{{from: 5 * time.Millisecond, until: time.Minute}, {from: 2 * time.Millisecond, until: 102 * time.Millisecond}},
 		},
 	},
 }
 
-// The histories that broke a promise once.
-func TestKeptHistories(t *testing.T) {
-	for _, kept := range keptHistories {
-		t.Run(kept.name, func(t *testing.T) {
+// Plans that found violations in earlier versions must find none.
+func TestRegressionPlans(t *testing.T) {
+	for _, regression := range regressionPlans {
+		t.Run(regression.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				if violations := simulate(kept.plan); len(violations) > 0 {
+				if violations := simulate(regression.plan); len(violations) > 0 {
 					t.Fatal(violations)
 				}
 			})
@@ -328,8 +335,8 @@
 
 func drawPlan(t *rapid.T) plan {
 	return plan{
-		Sendings: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sending {
-			return sending{
+		Requests: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) drawnRequest {
+			return drawnRequest{
 				Node:    rapid.IntRange(0, 1).Draw(t, "node"),
 				Key:     rapid.IntRange(0, 1).Draw(t, "key"),
 				Body:    rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "body"),
@@ -339,32 +346,33 @@
 				Crash:   rapid.IntRange(0, 4).Draw(t, "crash") == 0,
 			}
 		}), 2, 8).Draw(t, "sendings"),
-		Faults: rapid.SliceOfN(rapid.IntRange(0, faultCount-1), 0, 24).Draw(t, "faults"),
-		Late:   rapid.SampledFrom([]int{2, 50, 1500, 9000, 45_000}).Draw(t, "late"),
-		Cuts: [2]cut{
-			drawCut(t, "cut0"),
-			drawCut(t, "cut1"),
+		Faults:    rapid.SliceOfN(rapid.IntRange(0, faultCount-1), 0, 24).Draw(t, "faults"),
+		LateDelay: rapid.SampledFrom([]int{2, 50, 1500, 9000, 45_000}).Draw(t, "late"),
+		Outages: [2]outage{
+			drawOutage(t, "cut0"),
+			drawOutage(t, "cut1"),
 		},
 		Operator: rapid.Bool().Draw(t, "operator"),
-		Large:    rapid.SampledFrom([]int{0, 200, 600}).Draw(t, "large"),
+		Padding:  rapid.SampledFrom([]int{0, 200, 600}).Draw(t, "large"),
 		Objects:  rapid.SliceOfN(rapid.IntRange(0, objectFaultCount-1), 0, 8).Draw(t, "objects"),
 	}
 }
 
-func drawCut(t *rapid.T, label string) cut {
+func drawOutage(t *rapid.T, label string) outage {
 	from := rapid.SampledFrom([]int{0, 2, 5, 1000, 10_000}).Draw(t, label)
 	length := rapid.SampledFrom([]int{0, 0, 100, 5000, 60_000}).Draw(t, label+" length")
-	return cut{
+	return outage{
 		from:  time.Duration(from) * time.Millisecond,
 		until: time.Duration(from+length) * time.Millisecond,
 	}
 }
 
-// Callers send the same keys to two nodes, while the table loses, delays and
-// repeats writes, nodes are cut off, paused past the deadline or forget what
-// they sent, and an operator decides what is left open. Whatever the order, a
-// key runs at most once, and "not run" is said of nothing that ran.
-func TestAKeyRunsAtMostOnce(t *testing.T) {
+// Callers send the same keys to two nodes while the table loses, delays and
+// duplicates writes, nodes are cut off, paused past the deadline or restarted
+// without their unsaved outcomes, and an operator resolves open unknowns. In every
+// order a key must run at most once, and no request may receive "not run" for a
+// call that ran.
+func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPlan(rt)
 		var violations []string
--- a/claims/save.go
+++ b/claims/save.go
@@ -8,32 +8,32 @@
 	"zinniamast"
 )
 
-// saving is an outcome on its way into the table.
-type saving struct {
+// pendingOutcome is an outcome that is not stored in the table yet.
+type pendingOutcome struct {
 	before Record
 	after  Record
 	expect uint64
 	event  Event
-	// upload is set if the answer goes to the object store.
+	// upload is set if the answer is written to the object store.
 	upload *upload
 }
 
-// save writes an outcome in the background until the table has it. After
-// Close nothing is started, and the claim counts as unsaved.
-func (c *Claims) save(claim *Claim, s *saving) {
+// save writes an outcome in the background and retries until the table has
+// stored it. After Close no write is started, and the claim counts as unsaved.
+func (c *Claims) save(claim *Claim, p *pendingOutcome) {
 	c.metrics.unsaved.Inc()
 	c.unsaved.Add(1)
 	started := c.writers.start(func() {
-		saved := c.saveUntilDone(claim.name, s)
+		saved := c.saveUntilDone(claim.name, p)
 		c.metrics.unsaved.Dec()
 		c.unsaved.Add(-1)
 		if !saved {
 			return
 		}
-		if s.upload != nil {
-			c.point(claim.name, s)
+		if p.upload != nil {
+			c.linkObject(claim.name, p)
 		}
-		c.forget(claim)
+		c.removeLocal(claim)
 		close(claim.saved)
 	})
 	if !started {
@@ -41,51 +41,54 @@
 	}
 }
 
-// Keep records in the background the outcome of a call that needed no claim,
-// because this process alone could dispatch its key. While too many outcomes
-// wait already it is dropped, and the key reads as unknown once this process has gone.
+// Keep saves in the background the outcome of a call that needed no claim,
+// because only this process could dispatch its key. If MaxUnsaved is reached, or
+// a claim on the key is in memory already, the outcome is dropped, and in the
+// first case the key reads as unknown once this process has ended.
 func (c *Claims) Keep(call Call, event Event, answer *zinniamast.ServiceAnswer) {
-	claim, mine, err := c.enter(call)
-	if err != nil || !mine {
-		c.config.Logger.Warn("outcome not kept", "organisation", call.Organisation,
+	claim, isNew, err := c.register(call)
+	if err != nil || !isNew {
+		c.config.Logger.Warn("outcome of unclaimed call not saved", "organisation", call.Organisation,
 			"service", call.Service, "key", call.Key)
 		return
 	}
-	claim.keep(event, answer)
+	claim.endUnclaimed(event, answer)
 }
 
-// Read returns what the table says of a key.
+// Read returns the record of a key from the table, with its stored answer.
 func (c *Claims) Read(ctx context.Context, call Call) (Record, error) {
 	record, _, err := c.get(ctx, call.name())
 	if err == nil {
-		c.recall(ctx, &record)
+		c.loadAnswer(ctx, &record)
 	}
 	return record, err
 }
 
-// saveUntilDone reports false if the node stops first.
-func (c *Claims) saveUntilDone(name string, s *saving) bool {
-	pause := firstPause
+// saveUntilDone retries until the outcome is saved; it reports false if the node
+// stops first.
+func (c *Claims) saveUntilDone(name string, p *pendingOutcome) bool {
+	delay := minRetryDelay
 	for {
-		if c.saveOnce(name, s) {
+		if c.saveOnce(name, p) {
 			return true
 		}
-		if wait(c.closing, pause) != nil {
+		if wait(c.closing, delay) != nil {
 			return false
 		}
-		pause = min(2*pause, retryStore)
+		delay = min(2*delay, storeRetryAfter)
 	}
 }
 
-// saveOnce reports whether the table has the outcome, or a better one.
-func (c *Claims) saveOnce(name string, s *saving) bool {
+// saveOnce writes the outcome once. It reports whether no further write is
+// needed: the table has this outcome or one that replaces it.
+func (c *Claims) saveOnce(name string, p *pendingOutcome) bool {
 	select {
-	case c.slots <- struct{}{}:
+	case c.writeSlots <- struct{}{}:
 	case <-c.closing.Done():
 		return false
 	}
-	defer func() { <-c.slots }()
-	err := c.write(c.closing, writes(&s.before, &s.after, s.expect, c.config.Retention))
+	defer func() { <-c.writeSlots }()
+	err := c.write(c.closing, recordWrites(&p.before, &p.after, p.expect, c.config.Retention))
 	if err == nil {
 		return true
 	}
@@ -96,39 +99,42 @@
 	if err != nil {
 		return false
 	}
-	return c.reconcile(s, record, revision)
+	return c.reconcile(p, record, revision)
 }
 
-// reconcile weighs what the table has against the outcome to be saved: an
-// earlier try of the same write whose answer was lost, or a decision that a
-// lookup or an operator took meanwhile.
-func (c *Claims) reconcile(s *saving, record Record, revision uint64) bool {
-	proven := s.event == EventRun || s.event == EventAnswer
-	mine := record.Nonce == s.after.Nonce
-	if mine && record.State == s.after.State {
+// reconcile handles a write that conflicted with the table's record. The record
+// comes from an earlier attempt of the same write whose response was lost, or
+// from a decision made by a lookup or an operator in the meantime. It reports
+// whether no further write is needed.
+func (c *Claims) reconcile(p *pendingOutcome, record Record, revision uint64) bool {
+	proven := p.event == EventRun || p.event == EventAnswer
+	sameClaim := record.Nonce == p.after.Nonce
+	if sameClaim && record.State == p.after.State {
 		return true
 	}
-	if !mine && record.State != StateFree {
-		c.contradiction(proven, record)
+	if !sameClaim && record.State != StateFree {
+		c.logContradiction(proven, record)
 		return true
 	}
 	if record.State == StateFree {
 		if !proven {
-			return s.event != EventRelease || record.Nonce != ""
+			return p.event != EventRelease || record.Nonce != ""
 		}
-		// Somebody decided that the call did not run, and it did. The key is
-		// closed again at once, so that nobody runs it a second time.
-		c.contradiction(true, record)
-	} else if _, err := next(record.State, s.event); err != nil {
+		// The key was released as not run although the call ran. The outcome is
+		// written over the free record at once, so that the call does not run a
+		// second time.
+		c.logContradiction(true, record)
+	} else if _, err := nextState(record.State, p.event); err != nil {
 		return true
 	}
-	s.before = record
-	s.expect = revision
+	p.before = record
+	p.expect = revision
 	return false
 }
 
-// contradiction logs proof that a key was released although its call ran.
-func (c *Claims) contradiction(proven bool, record Record) {
+// logContradiction logs an error if it is proven that a call ran whose key was
+// released as not run.
+func (c *Claims) logContradiction(proven bool, record Record) {
 	if !proven {
 		return
 	}
@@ -136,22 +142,23 @@
 		"service", record.Service, "key", record.Key, "resolved_by", record.ResolvedBy)
 }
 
-// retryUntil calls f until it succeeds, conflicts or ctx ends.
+// retryUntil calls f with backoff until it succeeds, it returns ErrConflict or
+// ctx ends.
 func (c *Claims) retryUntil(ctx context.Context, f func() error) error {
-	pause := firstPause
+	delay := minRetryDelay
 	for {
 		err := f()
 		if err == nil || errors.Is(err, zinniamast.ErrConflict) {
 			return err
 		}
-		if wait(ctx, pause) != nil {
+		if wait(ctx, delay) != nil {
 			return err
 		}
-		pause = min(2*pause, lastPause)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// settled says whether a call under the record can no longer run.
-func (c *Claims) settled(record *Record) bool {
+// isSettled reports whether the call of the record can no longer run.
+func (c *Claims) isSettled(record *Record) bool {
 	return time.Now().After(record.Deadline.Add(c.config.Settle))
 }
