--- a/capacity/act.go
+++ b/capacity/act.go
@@ -14,20 +14,20 @@
 	"zinniamast"
 )
 
-// concurrentCalls bounds the calls to the cloud and to engines at a time.
-const concurrentCalls = 8
+// maxConcurrentCalls bounds the calls to the cloud and to engines at a time.
+const maxConcurrentCalls = 8
 
-// settleTime is how long the news that an instance takes no new work may need
+// leavingPropagationTime is how long the news that an instance takes no new work may need
 // to reach every node before its idleness means anything.
-const settleTime = 10 * time.Second
+const leavingPropagationTime = 10 * time.Second
 
-// start carries out the open purchases and reports whether the intents changed.
-func (c *Controller) start(ctx context.Context) bool {
+// startInstances carries out the open purchases and reports whether the intents changed.
+func (c *Controller) startInstances(ctx context.Context) bool {
 	var mu sync.Mutex
 	changed := false
 	refused := map[string]bool{}
 	var group errgroup.Group
-	group.SetLimit(concurrentCalls)
+	group.SetLimit(maxConcurrentCalls)
 	for i := range c.record.Starts {
 		s := &c.record.Starts[i]
 		if s.Instance.ID != "" {
@@ -37,16 +37,16 @@
 			instance, err := c.buy(ctx, s)
 			mu.Lock()
 			defer mu.Unlock()
-			changed = c.bought(s, instance, err, refused) || changed
+			changed = c.recordStartResult(s, instance, err, refused) || changed
 			return nil
 		})
 	}
 	_ = group.Wait()
-	c.record.Starts = slices.DeleteFunc(c.record.Starts, func(s starting) bool { return refused[s.Token] })
+	c.record.Starts = slices.DeleteFunc(c.record.Starts, func(s pendingStart) bool { return refused[s.Token] })
 	return changed
 }
 
-func (c *Controller) buy(ctx context.Context, s *starting) (zinniamast.Instance, error) {
+func (c *Controller) buy(ctx context.Context, s *pendingStart) (zinniamast.Instance, error) {
 	guarded, cancel, _, err := c.config.Lease.Guard(ctx, callTimeout)
 	if err != nil {
 		return zinniamast.Instance{}, err
@@ -56,33 +56,33 @@
 	return c.config.Cloud.Start(guarded, s.Token, s.Purchase.Offer, role)
 }
 
-// bought notes how a purchase went and reports whether the intents changed. An
+// recordStartResult notes how a purchase went and reports whether the intents changed. An
 // answer that was lost changes nothing: the next round, or the next holder,
 // asks again under the same token.
-func (c *Controller) bought(s *starting, instance zinniamast.Instance, err error, refused map[string]bool) bool {
+func (c *Controller) recordStartResult(s *pendingStart, instance zinniamast.Instance, err error, refused map[string]bool) bool {
 	offer := s.Purchase.Offer
 	labels := []string{offer.FailureDomain, string(offer.Market)}
 	switch {
 	case err == nil:
 		s.Instance = instance
-		c.refusals.started(offer)
+		c.refusals.clear(offer)
 		c.metrics.starts.WithLabelValues(labels...).Inc()
 		c.config.Logger.Info("capacity", "action", "start", "instance", instance.ID, "service", s.Purchase.Service,
 			"failure_domain", offer.FailureDomain, "class", offer.Class, "market", offer.Market, "price", offer.Price)
 		return true
 	case errors.Is(err, zinniamast.ErrRefused):
 		refused[s.Token] = true
-		c.refusals.refused(time.Now(), offer)
+		c.refusals.recordRefusal(time.Now(), offer)
 		c.metrics.refused.WithLabelValues(labels...).Inc()
 		return true
 	default:
-		c.failed(stepStart, err)
+		c.recordFailure(stepStart, err)
 		return false
 	}
 }
 
-// stop drains and returns instances and reports whether the intents changed.
-func (c *Controller) stop(ctx context.Context) bool {
+// stopInstances drains and returns instances and reports whether the intents changed.
+func (c *Controller) stopInstances(ctx context.Context) bool {
 	changed := false
 	for i := range c.record.Stops {
 		s := &c.record.Stops[i]
@@ -90,12 +90,12 @@
 			continue
 		}
 		c.config.Leave(s.Instance, time.Time{})
-		if !c.idle(s) {
+		if !c.isIdle(s) {
 			c.metrics.waits.WithLabelValues(waitDrain).Inc()
 			continue
 		}
-		if err := c.giveBack(ctx, s.Instance); err != nil {
-			c.failed(stepStop, err)
+		if err := c.returnInstance(ctx, s.Instance); err != nil {
+			c.recordFailure(stepStop, err)
 			continue
 		}
 		s.Done = true
@@ -106,7 +106,7 @@
 	return changed
 }
 
-func (c *Controller) giveBack(ctx context.Context, id string) error {
+func (c *Controller) returnInstance(ctx context.Context, id string) error {
 	guarded, cancel, _, err := c.config.Lease.Guard(ctx, callTimeout)
 	if err != nil {
 		return err
@@ -115,16 +115,16 @@
 	return c.config.Cloud.Stop(guarded, id)
 }
 
-// idle says whether an instance has finished its work. Only a report taken
+// isIdle says whether an instance has finished its work. Only a report taken
 // after the news has settled counts, or a stop would cut what came since.
-func (c *Controller) idle(s *stopping) bool {
+func (c *Controller) isIdle(s *pendingStop) bool {
 	report, ok := c.config.Report(s.Instance)
-	return ok && report.Running+report.Waiting == 0 && report.At.Sub(s.At) > settleTime
+	return ok && report.Running+report.Waiting == 0 && report.At.Sub(s.At) > leavingPropagationTime
 }
 
-// order brings engines to hold what they shall.
-func (c *Controller) order(ctx context.Context, v *view, demands []Demand) {
-	if v.now.Sub(c.taken) < waitOut {
+// sendOrders brings engines to hold what they shall.
+func (c *Controller) sendOrders(ctx context.Context, v *view, demands []Demand) {
+	if v.now.Sub(c.takenOverAt) < takeOverDelay {
 		c.metrics.waits.WithLabelValues(waitTakeOver).Inc()
 		return
 	}
@@ -145,16 +145,16 @@
 		return cmp.Or(v.listed[a.Instance].Started.Compare(v.listed[b.Instance].Started),
 			strings.Compare(a.Instance, b.Instance))
 	})
-	c.orders.Keep(func(id string) bool { return v.listed[id].ID != "" && !v.leaving[id] })
+	c.orders.Retain(func(id string) bool { return v.listed[id].ID != "" && !v.leaving[id] })
 	for _, command := range c.orders.Plan(v.now, demands, replicas) {
-		if !c.send(ctx, v.listed[command.Instance], command) {
+		if !c.sendOrder(ctx, v.listed[command.Instance], command) {
 			return
 		}
 	}
 }
 
-// send gives one order and reports whether the next may follow in this round.
-func (c *Controller) send(ctx context.Context, instance zinniamast.Instance, command Command) bool {
+// sendOrder gives one order and reports whether the next may follow in this round.
+func (c *Controller) sendOrder(ctx context.Context, instance zinniamast.Instance, command Command) bool {
 	guarded, cancel, fence, err := c.config.Lease.Guard(ctx, callTimeout)
 	if err != nil {
 		return false
@@ -174,7 +174,7 @@
 	command.Order.Fence = fence
 	c.orders.Sent(time.Now(), command)
 	if err := engine.Order(guarded, command.Order); err != nil {
-		c.failed(stepOrder, err)
+		c.recordFailure(stepOrder, err)
 		return true
 	}
 	c.metrics.orders.WithLabelValues(command.Order.Action).Inc()
--- a/capacity/controller.go
+++ b/capacity/controller.go
@@ -38,8 +38,8 @@
 	Rules Rules
 	// Interval is the time between rounds; zero means five seconds.
 	Interval time.Duration
-	// Hold is how long a peak of demand is remembered; zero means 10 minutes.
-	Hold time.Duration
+	// PeakWindow is how long a peak of demand is remembered; zero means 10 minutes.
+	PeakWindow time.Duration
 	// Registerer takes the metrics; nil keeps them private.
 	Registerer prometheus.Registerer
 	// Logger takes a line for each action; nil means slog's default.
@@ -48,17 +48,17 @@
 
 // The controller's pace.
 const (
-	defaultInterval = 5 * time.Second
-	defaultHold     = 10 * time.Minute
+	defaultInterval   = 5 * time.Second
+	defaultPeakWindow = 10 * time.Minute
 	// callTimeout bounds one call to the cloud or an engine.
 	callTimeout = 3 * time.Second
 	// exchangeInterval is how often a cheaper fleet is looked for.
 	exchangeInterval = time.Minute
 	// offersInterval is how often prices are read.
 	offersInterval = 30 * time.Second
-	// waitOut is how long after a take-over no order is given: an order that
+	// takeOverDelay is how long after a take-over no order is given: an order that
 	// the former holder sent in its last moment has come by then.
-	waitOut = 2 * callTimeout
+	takeOverDelay = 2 * callTimeout
 )
 
 // Controller buys, returns and orders while it holds the lease. It belongs to
@@ -66,20 +66,20 @@
 type Controller struct {
 	config   Config
 	metrics  *metrics
-	hold     *hold
+	peaks    *peakTracker
 	refusals refusals
 	orders   Orders
 
 	record *record
 	// fence is the number that record was read under; taken is since when.
-	fence     uint64
-	began     time.Time
-	taken     time.Time
-	sequence  uint64
-	offers    []zinniamast.Offer
-	offersAt  time.Time
-	exchanged time.Time
-	prices    map[kindName]float64
+	fence        uint64
+	startedAt    time.Time
+	takenOverAt  time.Time
+	sequence     uint64
+	offers       []zinniamast.Offer
+	offersReadAt time.Time
+	exchangedAt  time.Time
+	prices       map[kindName]float64
 }
 
 // New returns a controller; Run works it.
@@ -87,18 +87,18 @@
 	if c.Interval == 0 {
 		c.Interval = defaultInterval
 	}
-	if c.Hold == 0 {
-		c.Hold = defaultHold
+	if c.PeakWindow == 0 {
+		c.PeakWindow = defaultPeakWindow
 	}
 	if c.Logger == nil {
 		c.Logger = slog.Default()
 	}
 	return &Controller{
-		config:  c,
-		metrics: newMetrics(c.Registerer),
-		hold:    newHold(c.Hold),
-		prices:  map[kindName]float64{},
-		began:   time.Now(),
+		config:    c,
+		metrics:   newMetrics(c.Registerer),
+		peaks:     newPeakTracker(c.PeakWindow),
+		prices:    map[kindName]float64{},
+		startedAt: time.Now(),
 	}
 }
 
@@ -119,38 +119,38 @@
 // round looks, plans, writes down what it will do and does it.
 func (c *Controller) round(ctx context.Context) {
 	asked, complete := c.config.Demands()
-	demands := c.hold.apply(time.Now(), asked)
-	if !c.ready(ctx) {
+	demands := c.peaks.apply(time.Now(), asked)
+	if !c.prepare(ctx) {
 		return
 	}
 	c.metrics.rounds.Inc()
-	view, err := c.look(ctx)
+	view, err := c.observe(ctx)
 	if err != nil {
-		c.failed(stepCloud, err)
+		c.recordFailure(stepCloud, err)
 		return
 	}
-	changed := c.record.tidy(view.now, view.listed)
+	changed := c.record.prune(view.now, view.listed)
 	actions := c.plan(view, demands)
-	if !complete || view.now.Sub(c.began) < c.config.Hold {
+	if !complete || view.now.Sub(c.startedAt) < c.config.PeakWindow {
 		// A node that has just started, or that does not hear a failure domain,
 		// sees less demand than there is; it would return what is in use.
 		actions.Stops = nil
 	}
-	if c.intend(view.now, actions) || changed {
+	if c.recordIntents(view.now, actions) || changed {
 		if !c.save(ctx) {
 			return
 		}
 	}
-	did := c.start(ctx)
-	did = c.stop(ctx) || did
+	did := c.startInstances(ctx)
+	did = c.stopInstances(ctx) || did
 	if did && !c.save(ctx) {
 		return
 	}
-	c.order(ctx, view, demands)
+	c.sendOrders(ctx, view, demands)
 }
 
-// ready says whether this node may act, and reads the intents after a take-over.
-func (c *Controller) ready(ctx context.Context) bool {
+// prepare says whether this node may act, and reads the intents after a take-over.
+func (c *Controller) prepare(ctx context.Context) bool {
 	fence, err := c.config.Lease.Check(2 * callTimeout)
 	if err != nil {
 		c.record = nil
@@ -160,13 +160,13 @@
 		return true
 	}
 	if c.fence != fence {
-		c.taken = time.Now()
+		c.takenOverAt = time.Now()
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := readRecord(ctx, c.config.Table)
 	if err != nil {
-		c.failed(stepRecord, err)
+		c.recordFailure(stepRecord, err)
 		return false
 	}
 	c.record, c.fence, c.sequence = r, fence, 0
@@ -180,14 +180,14 @@
 	defer cancel()
 	c.record.Fence = c.fence
 	if err := c.record.write(ctx, c.config.Table); err != nil {
-		c.failed(stepRecord, err)
+		c.recordFailure(stepRecord, err)
 		c.record = nil
 		return false
 	}
 	return true
 }
 
-func (c *Controller) failed(step string, err error) {
+func (c *Controller) recordFailure(step string, err error) {
 	c.metrics.failures.WithLabelValues(step).Inc()
 	c.config.Logger.Warn("capacity", "step", step, "error", err)
 }
--- a/capacity/controller_test.go
+++ b/capacity/controller_test.go
@@ -18,9 +18,9 @@
 	"zinniamast/standin/platform"
 )
 
-// engine is a replica that takes two minutes to load a model and reports late.
+// fakeEngine is a replica that takes two minutes to load a model and reports late.
 // It ignores fencing numbers.
-type engine struct {
+type fakeEngine struct {
 	zinniamast.Engine
 
 	mu      sync.Mutex
@@ -31,7 +31,7 @@
 
 const reportLag = 5 * time.Second
 
-func (e *engine) Order(ctx context.Context, order zinniamast.Order) error {
+func (e *fakeEngine) Order(ctx context.Context, order zinniamast.Order) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -41,26 +41,26 @@
 	if order.Action == "unload" {
 		delete(e.models, order.Model)
 	} else if _, ok := e.models[order.Model]; !ok {
-		e.models[order.Model] = time.Now().Add(loading)
+		e.models[order.Model] = time.Now().Add(loadTime)
 	}
 	return nil
 }
 
-// ordered returns how many orders came.
-func (e *engine) ordered() int {
+// orderCount returns how many orders came.
+func (e *fakeEngine) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.orders)
 }
 
-// work sets how many requests run.
-func (e *engine) work(running int) {
+// setRunning sets how many requests run.
+func (e *fakeEngine) setRunning(running int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running = running
 }
 
-func (e *engine) report() zinniamast.LoadReport {
+func (e *fakeEngine) report() zinniamast.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := zinniamast.LoadReport{
@@ -75,26 +75,26 @@
 	return r
 }
 
-// site is a platform with engines and some nodes that run a controller.
-type site struct {
+// cluster is a platform with engines and some nodes that run a controller.
+type cluster struct {
 	platform *platform.Platform
 	mu       sync.Mutex
-	engines  map[string]*engine
-	need     float64
+	engines  map[string]*fakeEngine
+	units    float64
 	models   []string
 	// complete is false while a part of the fleet is not heard.
-	complete bool
-	left     map[string]bool
-	running  sync.WaitGroup
+	complete  bool
+	announced map[string]bool
+	running   sync.WaitGroup
 }
 
-func newSite(c platform.Config) *site {
-	s := &site{
-		engines:  map[string]*engine{},
-		need:     3000,
-		models:   []string{"draft"},
-		complete: true,
-		left:     map[string]bool{},
+func newCluster(c platform.Config) *cluster {
+	s := &cluster{
+		engines:   map[string]*fakeEngine{},
+		units:     3000,
+		models:    []string{"draft"},
+		complete:  true,
+		announced: map[string]bool{},
 	}
 	for i, domain := range []string{"a", "b", "c", "d"} {
 		for n, market := range []zinniamast.Market{zinniamast.OnDemand, zinniamast.Reclaimable} {
@@ -112,63 +112,63 @@
 	return s
 }
 
-func (s *site) engine(id string) *engine {
+func (s *cluster) engine(id string) *fakeEngine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.engines[id] == nil {
-		s.engines[id] = &engine{models: map[string]time.Time{}}
+		s.engines[id] = &fakeEngine{models: map[string]time.Time{}}
 	}
 	return s.engines[id]
 }
 
-func (s *site) demands() ([]capacity.Demand, bool) {
+func (s *cluster) demands() ([]capacity.Demand, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return []capacity.Demand{{
 		Service:     "draft",
 		Role:        "engine",
-		Units:       s.need,
+		Units:       s.units,
 		Reclaimable: 0.67,
 		Models:      s.models,
 	}}, s.complete
 }
 
-func (s *site) leave(id string, _ time.Time) {
+func (s *cluster) announceLeaving(id string, _ time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left[id] = true
+	s.announced[id] = true
 }
 
-// leaving returns how many instances were announced as leaving, and how many of them still live.
-func (s *site) leaving() (announced, live int) {
+// leavingCounts returns how many instances were announced as leaving, and how many of them still live.
+func (s *cluster) leavingCounts() (announced, live int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, instance := range s.platform.Cloud.Live() {
-		if s.left[instance.ID] {
+		if s.announced[instance.ID] {
 			live++
 		}
 	}
-	return len(s.left), live
+	return len(s.announced), live
 }
 
-func (s *site) hasLeft(id string) bool {
+func (s *cluster) isLeaving(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.left[id]
+	return s.announced[id]
 }
 
-// ready counts the units that serve, without those that left.
-func (s *site) ready() (units float64) {
+// readyUnits counts the units that serve, without those that left.
+func (s *cluster) readyUnits() (units float64) {
 	for _, instance := range s.platform.Cloud.Live() {
-		if models := s.engine(instance.ID).report().Models; len(models) > 0 && !s.hasLeft(instance.ID) {
+		if models := s.engine(instance.ID).report().Models; len(models) > 0 && !s.isLeaving(instance.ID) {
 			units += unitsOf(instance.Class)
 		}
 	}
 	return units
 }
 
-// node starts a node with lease and controller; cloud may stand before the platform's.
-func (s *site) node(name string, cloud zinniamast.Cloud, table zinniamast.Table) context.CancelFunc {
+// startNode starts a node with lease and controller; cloud may stand before the platform's.
+func (s *cluster) startNode(name string, cloud zinniamast.Cloud, table zinniamast.Table) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	quiet := slog.New(slog.DiscardHandler)
 	l := lease.New(lease.Config{
@@ -187,7 +187,7 @@
 		Classes: func() []capacity.Class { return classes },
 		Engine:  func(instance zinniamast.Instance) zinniamast.Engine { return s.engine(instance.ID) },
 		Report:  func(id string) (zinniamast.LoadReport, bool) { return s.engine(id).report(), true },
-		Leave:   s.leave,
+		Leave:   s.announceLeaving,
 		Rules:   capacity.Rules{MaxLoading: 20},
 		Logger:  quiet,
 	})
@@ -199,13 +199,13 @@
 // A failure domain's reclaimable instances get notice five minutes ahead and
 // go. Replacements must have loaded by then: the controller acts on the notice
 // although the list shows the old instances live for another 20 s.
-func TestReplacesOnTheNotice(t *testing.T) {
+func TestReplacesInstancesOnReclaimNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{})
+		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
-		is.True(s.ready() >= 4000)
+		is.True(s.readyUnits() >= 4000)
 		before := s.platform.Counts().Starts
 		domain := ""
 		for _, instance := range s.platform.Cloud.Live() {
@@ -218,7 +218,7 @@
 		is.True(s.platform.Counts().Starts > before)
 		for range 600 {
 			time.Sleep(time.Second)
-			is.True(s.ready() >= 4000)
+			is.True(s.readyUnits() >= 4000)
 		}
 		starts := s.platform.Counts().Starts
 		time.Sleep(6 * time.Hour)
@@ -229,13 +229,13 @@
 	})
 }
 
-// deadCloud carries starts out and loses every answer until it is revived; the
+// answerLosingCloud carries starts out and loses every answer until it is revived; the
 // holder dies believing nothing was bought.
-type deadCloud struct {
+type answerLosingCloud struct {
 	zinniamast.Cloud
 }
 
-func (d deadCloud) Start(ctx context.Context, token string, offer zinniamast.Offer, role string) (zinniamast.Instance, error) {
+func (d answerLosingCloud) Start(ctx context.Context, token string, offer zinniamast.Offer, role string) (zinniamast.Instance, error) {
 	_, _ = d.Cloud.Start(ctx, token, offer, role)
 	return zinniamast.Instance{}, errors.New("answer lost")
 }
@@ -246,16 +246,16 @@
 func TestNextHolderFinishesPurchases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("one", deadCloud{s.platform.Cloud}, s.platform.Table)
+		s := newCluster(platform.Config{})
+		end := s.startNode("one", answerLosingCloud{s.platform.Cloud}, s.platform.Table)
 		time.Sleep(30 * time.Second)
 		bought := s.platform.Counts().Starts
 		is.True(bought > 0)
 		end()
-		endNext := s.node("two", s.platform.Cloud, s.platform.Table)
+		endNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
 		is.Equal(s.platform.Counts().Starts, bought)
-		is.True(s.ready() >= 4000)
+		is.True(s.readyUnits() >= 4000)
 		endNext()
 		s.running.Wait()
 	})
@@ -263,17 +263,17 @@
 
 // The weight store permits one load in five seconds while a whole fleet
 // starts. Loads are spread over its rate and each replica is ordered once.
-func TestLoadsAreSpreadOverTheWeightStore(t *testing.T) {
+func TestLoadsFollowWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{PermitsASecond: 0.2})
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{PermitsASecond: 0.2})
+		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		began, last := time.Now(), 0
 		for range 60 {
 			time.Sleep(5 * time.Second)
 			orders := 0
 			for _, instance := range s.platform.Cloud.Live() {
-				orders += s.engine(instance.ID).ordered()
+				orders += s.engine(instance.ID).orderCount()
 			}
 			is.True(orders-last <= 2)
 			last = orders
@@ -287,14 +287,14 @@
 
 // Starts are refused in the cheapest domains for an hour. The load is carried
 // from elsewhere within minutes, and refused offers are asked for seldom.
-func TestRefusedStartsGoElsewhere(t *testing.T) {
+func TestRefusedStartsUseOtherFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
+		s := newCluster(platform.Config{})
 		is.NoErr(s.platform.SetFault(platform.ServiceCloud, platform.Fault{RefuseStarts: []string{"a", "b"}}))
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
-		is.True(s.ready() >= 4000)
+		is.True(s.readyUnits() >= 4000)
 		for _, instance := range s.platform.Cloud.Live() {
 			is.True(instance.FailureDomain == "c" || instance.FailureDomain == "d")
 		}
@@ -305,31 +305,31 @@
 
 // Demand falls, and a replica in surplus still writes a long answer. It is
 // announced as leaving and returned only when the answer is done.
-func TestReturnsNothingThatWorks(t *testing.T) {
+func TestReturnsOnlyIdleInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{})
+		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		full := s.platform.Cloud.Live()
 		for _, instance := range full {
-			s.engine(instance.ID).work(1)
+			s.engine(instance.ID).setRunning(1)
 		}
 		s.mu.Lock()
-		s.need = 1000
+		s.units = 1000
 		s.mu.Unlock()
 		time.Sleep(time.Hour)
-		announced, live := s.leaving()
+		announced, live := s.leavingCounts()
 		is.True(announced > 0)
 		is.Equal(live, announced)
 		for _, instance := range full {
-			s.engine(instance.ID).work(0)
+			s.engine(instance.ID).setRunning(0)
 		}
 		time.Sleep(time.Minute)
-		_, live = s.leaving()
+		_, live = s.leavingCounts()
 		is.Equal(live, 0)
 		is.True(len(s.platform.Cloud.Live()) >= len(full)-announced)
-		is.True(s.ready() >= 1000)
+		is.True(s.readyUnits() >= 1000)
 		end()
 		s.running.Wait()
 	})
@@ -339,11 +339,11 @@
 // moved the fleet to a new version; then the old order arrives at engines that
 // ignore fencing numbers and unloads the new version. The new holder sees it
 // in the report and orders it right, and no replica flaps after that.
-func TestLateOrderIsUndone(t *testing.T) {
+func TestLateOrderIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("two", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{})
+		end := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(20 * time.Minute)
 		s.mu.Lock()
 		s.models = []string{"draft-2"}
@@ -368,9 +368,9 @@
 		t.Logf("a late order was undone after %v", time.Since(began))
 		is.True(time.Since(began) < 10*time.Minute)
 		time.Sleep(time.Minute)
-		orders := s.engine(victim).ordered()
+		orders := s.engine(victim).orderCount()
 		time.Sleep(2 * time.Hour)
-		is.Equal(s.engine(victim).ordered(), orders)
+		is.Equal(s.engine(victim).orderCount(), orders)
 		end()
 		s.running.Wait()
 	})
--- a/capacity/demand.go
+++ b/capacity/demand.go
@@ -41,10 +41,10 @@
 	Ready bool
 }
 
-// hold remembers the highest demand of late. Demand that rises is met at once;
+// peakTracker remembers the highest demand of late. Demand that rises is met at once;
 // demand that falls is believed after a while only, since an instance returned
 // in a lull and bought back costs a load of its weights each time.
-type hold struct {
+type peakTracker struct {
 	window time.Duration
 	peaks  map[string][]peak
 }
@@ -54,15 +54,15 @@
 	units float64
 }
 
-func newHold(window time.Duration) *hold {
-	return &hold{
+func newPeakTracker(window time.Duration) *peakTracker {
+	return &peakTracker{
 		window: window,
 		peaks:  map[string][]peak{},
 	}
 }
 
 // apply raises each demand to its highest value within the window.
-func (h *hold) apply(now time.Time, demands []Demand) []Demand {
+func (h *peakTracker) apply(now time.Time, demands []Demand) []Demand {
 	held := make([]Demand, len(demands))
 	for i, d := range demands {
 		peaks := h.peaks[d.Service]
--- a/capacity/fleet.go
+++ b/capacity/fleet.go
@@ -6,8 +6,8 @@
 	"zinniamast"
 )
 
-// part is one instance, bought or on offer, as the plan counts it.
-type part struct {
+// candidate is one instance, bought or on offer, as the plan counts it.
+type candidate struct {
 	offer zinniamast.Offer
 	units float64
 	// domain numbers the failure domain, and kind domain, class and market, so
@@ -41,11 +41,11 @@
 	return n
 }
 
-// part returns the part for an offer; it reports false for an unknown class.
-func (n *numbering) part(offer zinniamast.Offer) (part, bool) {
+// candidate returns the part for an offer; it reports false for an unknown class.
+func (n *numbering) candidate(offer zinniamast.Offer) (candidate, bool) {
 	units := n.units[offer.Class]
 	if units <= 0 {
-		return part{}, false
+		return candidate{}, false
 	}
 	name := kindName{
 		failureDomain: offer.FailureDomain,
@@ -58,7 +58,7 @@
 	if _, ok := n.kinds[name]; !ok {
 		n.kinds[name] = len(n.kinds)
 	}
-	return part{
+	return candidate{
 		offer:  offer,
 		units:  units,
 		domain: n.domains[offer.FailureDomain],
@@ -67,12 +67,12 @@
 }
 
 // unitPrice is the price of one unit for an hour.
-func (p *part) unitPrice() float64 { return p.offer.Price / p.units }
+func (p *candidate) unitPrice() float64 { return p.offer.Price / p.units }
 
-func (p *part) reclaimable() bool { return p.offer.Market == zinniamast.Reclaimable }
+func (p *candidate) isReclaimable() bool { return p.offer.Market == zinniamast.Reclaimable }
 
-// rounding absorbs the error of sums of floats.
-const rounding = 1e-6
+// epsilon absorbs the error of sums of floats.
+const epsilon = 1e-6
 
 // fleet sums the parts that serve one service.
 type fleet struct {
@@ -82,7 +82,7 @@
 	cost        float64
 }
 
-func newFleet(parts []part) *fleet {
+func newFleet(parts []candidate) *fleet {
 	f := &fleet{}
 	for i := range parts {
 		f.add(&parts[i], 1)
@@ -91,20 +91,20 @@
 }
 
 // add counts a part in, or out with sign -1.
-func (f *fleet) add(p *part, sign float64) {
+func (f *fleet) add(p *candidate, sign float64) {
 	for len(f.domains) <= p.domain {
 		f.domains = append(f.domains, 0)
 	}
 	f.domains[p.domain] += sign * p.units
 	f.total += sign * p.units
 	f.cost += sign * p.offer.Price
-	if p.reclaimable() {
+	if p.isReclaimable() {
 		f.reclaimable += sign * p.units
 	}
 }
 
-// remaining is what is left after the loss of the largest failure domain.
-func (f *fleet) remaining() float64 {
+// unitsAfterDomainLoss is what is left after the loss of the largest failure domain.
+func (f *fleet) unitsAfterDomainLoss() float64 {
 	largest := 0.0
 	for _, units := range f.domains {
 		largest = max(largest, units)
@@ -112,16 +112,16 @@
 	return f.total - largest
 }
 
-func (f *fleet) mixed(d Demand) bool { return f.reclaimable <= d.Reclaimable*f.total+rounding }
+func (f *fleet) hasAllowedMix(d Demand) bool { return f.reclaimable <= d.Reclaimable*f.total+epsilon }
 
 // meets says whether the fleet carries the demand after the loss of any one domain.
 func (f *fleet) meets(d Demand) bool {
-	return f.remaining()+rounding >= d.Units && f.mixed(d)
+	return f.unitsAfterDomainLoss()+epsilon >= d.Units && f.hasAllowedMix(d)
 }
 
 // trim drops parts, the dearest per unit first, that the demand does not need,
 // and returns what is left and what was dropped as indexes.
-func trim(parts []part, d Demand, droppable func(i int) bool) (kept []part, dropped []int) {
+func trim(parts []candidate, d Demand, droppable func(i int) bool) (kept []candidate, dropped []int) {
 	order := make([]int, len(parts))
 	for i := range order {
 		order[i] = i
@@ -168,4 +168,4 @@
 	return 0
 }
 
-func always(int) bool { return true }
+func alwaysDroppable(int) bool { return true }
--- a/capacity/ideal.go
+++ b/capacity/ideal.go
@@ -8,7 +8,7 @@
 	"zinniamast"
 )
 
-// ideal returns the cheapest fleet found for a demand, bought anew.
+// idealFleet returns the cheapest fleet found for a demand, bought anew.
 //
 // For k failure domains that share the load, each needs 1/(k-1) of the demand,
 // for then the loss of one leaves all of it. More domains need less in all but
@@ -16,13 +16,13 @@
 // evenly over some k cheapest, so trying every k finds it, up to whole
 // instances. Single classes are tried as well: for a small demand a small
 // class may be cheaper though it is dearer per unit.
-func ideal(d Demand, offers []part) ([]part, bool) {
-	var best []part
+func idealFleet(d Demand, offers []candidate) ([]candidate, bool) {
+	var best []candidate
 	lowest := math.Inf(1)
-	for _, choice := range choices(offers) {
-		sides := sidesOf(choice, d)
+	for _, choice := range offerSets(offers) {
+		sides := domainsByPrice(choice, d)
 		for k := 2; k <= len(sides); k++ {
-			parts, _ := trim(correct(spread(d, sides[:k]), d, sides[:k]), d, always)
+			parts, _ := trim(correctMix(spread(d, sides[:k]), d, sides[:k]), d, alwaysDroppable)
 			f := newFleet(parts)
 			if f.meets(d) && f.cost < lowest {
 				best, lowest = parts, f.cost
@@ -32,10 +32,10 @@
 	return best, best != nil
 }
 
-// choices returns all offers, and those of each class alone.
-func choices(offers []part) [][]part {
-	all := [][]part{offers}
-	classes := map[string][]part{}
+// offerSets returns all offers, and those of each class alone.
+func offerSets(offers []candidate) [][]candidate {
+	all := [][]candidate{offers}
+	classes := map[string][]candidate{}
 	for _, p := range offers {
 		classes[p.offer.Class] = append(classes[p.offer.Class], p)
 	}
@@ -52,45 +52,45 @@
 	return all
 }
 
-// side is the cheapest that one failure domain offers in each market.
-type side struct {
+// domainOffers is the cheapest that one failure domain offers in each market.
+type domainOffers struct {
 	failureDomain string
-	reclaimable   *part
-	onDemand      *part
-	// price is that of one unit in the mix that the demand allows.
-	price float64
+	reclaimable   *candidate
+	onDemand      *candidate
+	// unitPrice is that of one unit in the mix that the demand allows.
+	unitPrice float64
 }
 
-// sidesOf returns the failure domains, the cheapest first.
-func sidesOf(offers []part, d Demand) []side {
-	byDomain := map[string]*side{}
+// domainsByPrice returns the failure domains, the cheapest first.
+func domainsByPrice(offers []candidate, d Demand) []domainOffers {
+	byDomain := map[string]*domainOffers{}
 	for i := range offers {
 		p := &offers[i]
 		s, ok := byDomain[p.offer.FailureDomain]
 		if !ok {
-			s = &side{
+			s = &domainOffers{
 				failureDomain: p.offer.FailureDomain,
 			}
 			byDomain[p.offer.FailureDomain] = s
 		}
 		best := &s.onDemand
-		if p.reclaimable() {
+		if p.isReclaimable() {
 			best = &s.reclaimable
 		}
 		if *best == nil || p.unitPrice() < (*best).unitPrice() {
 			*best = p
 		}
 	}
-	sides := make([]side, 0, len(byDomain))
+	sides := make([]domainOffers, 0, len(byDomain))
 	for _, s := range byDomain {
 		if s.reclaimable != nil && s.onDemand != nil && s.onDemand.unitPrice() <= s.reclaimable.unitPrice() {
 			s.reclaimable = nil
 		}
-		s.price = s.mix(d.Reclaimable)
+		s.unitPrice = s.mixedUnitPrice(d.Reclaimable)
 		sides = append(sides, *s)
 	}
-	slices.SortFunc(sides, func(a, b side) int {
-		if c := compare(a.price, b.price); c != 0 {
+	slices.SortFunc(sides, func(a, b domainOffers) int {
+		if c := compare(a.unitPrice, b.unitPrice); c != 0 {
 			return c
 		}
 		return strings.Compare(a.failureDomain, b.failureDomain)
@@ -98,7 +98,7 @@
 	return sides
 }
 
-func (s *side) mix(reclaimable float64) float64 {
+func (s *domainOffers) mixedUnitPrice(reclaimable float64) float64 {
 	switch {
 	case s.reclaimable == nil:
 		return s.onDemand.unitPrice()
@@ -109,7 +109,7 @@
 }
 
 // premium is what a unit costs more on demand.
-func (s *side) premium() float64 {
+func (s *domainOffers) premium() float64 {
 	switch {
 	case s.onDemand == nil:
 		return math.Inf(1)
@@ -121,16 +121,16 @@
 
 // spread gives each side the same share and puts what must be on demand where
 // it costs least more.
-func spread(d Demand, sides []side) []part {
+func spread(d Demand, sides []domainOffers) []candidate {
 	share := d.Units / float64(len(sides)-1)
 	quota := (1 - d.Reclaimable) * share * float64(len(sides))
 	order := slices.Clone(sides)
-	slices.SortStableFunc(order, func(a, b side) int { return compare(a.premium(), b.premium()) })
-	var parts []part
+	slices.SortStableFunc(order, func(a, b domainOffers) int { return compare(a.premium(), b.premium()) })
+	var parts []candidate
 	for _, s := range order {
-		for units := 0.0; units+rounding < share; {
+		for units := 0.0; units+epsilon < share; {
 			p := s.reclaimable
-			if s.onDemand != nil && (p == nil || quota > rounding) {
+			if s.onDemand != nil && (p == nil || quota > epsilon) {
 				p = s.onDemand
 				quota -= p.units
 			}
@@ -141,24 +141,24 @@
 	return parts
 }
 
-// correct puts more on demand where whole instances left too much reclaimable.
-func correct(parts []part, d Demand, sides []side) []part {
+// correctMix puts more on demand where whole instances left too much reclaimable.
+func correctMix(parts []candidate, d Demand, sides []domainOffers) []candidate {
 	f := newFleet(parts)
 	order := slices.Clone(sides)
-	slices.SortStableFunc(order, func(a, b side) int { return compare(a.premium(), b.premium()) })
+	slices.SortStableFunc(order, func(a, b domainOffers) int { return compare(a.premium(), b.premium()) })
 	for _, s := range order {
 		for i := range parts {
-			if f.mixed(d) {
+			if f.hasAllowedMix(d) {
 				return parts
 			}
-			if s.onDemand == nil || parts[i].domain != s.onDemand.domain || !parts[i].reclaimable() {
+			if s.onDemand == nil || parts[i].domain != s.onDemand.domain || !parts[i].isReclaimable() {
 				continue
 			}
 			units := parts[i].units - s.onDemand.units
 			f.add(&parts[i], -1)
 			parts[i] = *s.onDemand
 			f.add(&parts[i], 1)
-			for ; units > rounding; units -= s.onDemand.units {
+			for ; units > epsilon; units -= s.onDemand.units {
 				parts = append(parts, *s.onDemand)
 				f.add(s.onDemand, 1)
 			}
@@ -167,15 +167,15 @@
 	return parts
 }
 
-// maxGrowth bounds grow against a demand that no offer can meet.
-const maxGrowth = 10000
+// maxAddedInstances bounds grow against a demand that no offer can meet.
+const maxAddedInstances = 10000
 
 // grow adds offers to what is there until the demand is met or nothing helps.
-func grow(have []part, d Demand, offers []part) []part {
+func grow(have []candidate, d Demand, offers []candidate) []candidate {
 	f := newFleet(have)
-	var added []part
-	for !f.meets(d) && len(added) < maxGrowth {
-		p := next(f, d, offers)
+	var added []candidate
+	for !f.meets(d) && len(added) < maxAddedInstances {
+		p := bestOffer(f, d, offers)
 		if p == nil {
 			break
 		}
@@ -185,37 +185,37 @@
 	return added
 }
 
-// next returns the offer that brings the most for its price, or nil.
-func next(f *fleet, d Demand, offers []part) *part {
-	var best *part
+// bestOffer returns the offer that brings the most for its price, or nil.
+func bestOffer(f *fleet, d Demand, offers []candidate) *candidate {
+	var best *candidate
 	lowest := math.Inf(1)
-	before := f.remaining()
+	before := f.unitsAfterDomainLoss()
 	for i := range offers {
 		p := &offers[i]
 		f.add(p, 1)
-		gain, mixed := f.remaining()-before, f.mixed(d)
+		gain, mixed := f.unitsAfterDomainLoss()-before, f.hasAllowedMix(d)
 		f.add(p, -1)
-		if before+rounding >= d.Units {
+		if before+epsilon >= d.Units {
 			// Only the mix is wrong.
 			gain = p.units
 			mixed = p.offer.Market == zinniamast.OnDemand
 		}
-		if !mixed || gain <= rounding {
+		if !mixed || gain <= epsilon {
 			continue
 		}
 		if price := p.offer.Price / min(gain, p.units); price < lowest {
 			best, lowest = p, price
 		}
 	}
-	if best == nil && f.total+rounding < d.Units {
+	if best == nil && f.total+epsilon < d.Units {
 		// One failure domain alone is left: no spread is to be had, but the load must be carried.
-		return cheapest(offers)
+		return cheapestOffer(offers)
 	}
 	return best
 }
 
-func cheapest(offers []part) *part {
-	var best *part
+func cheapestOffer(offers []candidate) *candidate {
+	var best *candidate
 	for i := range offers {
 		if best == nil || offers[i].unitPrice() < best.unitPrice() {
 			best = &offers[i]
--- a/capacity/look.go
+++ b/capacity/look.go
@@ -20,8 +20,8 @@
 	leaving map[string]bool
 }
 
-// look asks the platform for instances, notices and prices.
-func (c *Controller) look(ctx context.Context) (*view, error) {
+// observe asks the platform for instances, notices and prices.
+func (c *Controller) observe(ctx context.Context) (*view, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	v := &view{
@@ -41,7 +41,7 @@
 		notices, err = c.config.Cloud.Notices(ctx)
 		return err
 	})
-	stale := v.now.Sub(c.offersAt) >= offersInterval
+	stale := v.now.Sub(c.offersReadAt) >= offersInterval
 	if stale {
 		group.Go(func() (err error) {
 			offers, err = c.config.Cloud.Offers(ctx)
@@ -52,9 +52,9 @@
 		return nil, err
 	}
 	if stale {
-		c.offers, c.offersAt = offers, v.now
+		c.offers, c.offersReadAt = offers, v.now
 		for _, offer := range offers {
-			c.prices[nameOf(offer)] = offer.Price
+			c.prices[kindNameOf(offer)] = offer.Price
 		}
 	}
 	for _, instance := range instances {
@@ -78,11 +78,11 @@
 		Now:     v.now,
 		Demands: demands,
 		Classes: c.config.Classes(),
-		Offers:  c.refusals.open(v.now, c.offers),
+		Offers:  c.refusals.availableOffers(v.now, c.offers),
 	}
-	if v.now.Sub(c.exchanged) >= exchangeInterval {
+	if v.now.Sub(c.exchangedAt) >= exchangeInterval {
 		s.Exchange = true
-		c.exchanged = v.now
+		c.exchangedAt = v.now
 	}
 	models := map[string][]string{}
 	for _, d := range demands {
@@ -93,7 +93,7 @@
 		if v.leaving[instance.ID] || instance.Role == "entry" {
 			return
 		}
-		price := c.prices[nameOf(zinniamast.Offer{
+		price := c.prices[kindNameOf(zinniamast.Offer{
 			FailureDomain: instance.FailureDomain,
 			Class:         instance.Class,
 			Market:        instance.Market,
@@ -101,8 +101,8 @@
 		cost += price
 		s.Instances = append(s.Instances, Instance{
 			Instance: instance,
-			Price:    max(price, rounding),
-			Ready:    c.serves(instance, models[instance.Service]),
+			Price:    max(price, epsilon),
+			Ready:    c.isServing(instance, models[instance.Service]),
 		})
 	}
 	for _, instance := range v.listed {
@@ -110,7 +110,7 @@
 	}
 	for _, start := range c.record.Starts {
 		if _, listed := v.listed[start.Instance.ID]; !listed {
-			add(start.bought())
+			add(start.expectedInstance())
 		}
 	}
 	slices.SortFunc(s.Instances, func(a, b Instance) int {
@@ -122,8 +122,8 @@
 	return actions
 }
 
-// bought is the instance that a purchase leads to, also before the cloud answers.
-func (s starting) bought() zinniamast.Instance {
+// expectedInstance is the instance that a purchase leads to, also before the cloud answers.
+func (s pendingStart) expectedInstance() zinniamast.Instance {
 	instance := s.Instance
 	instance.FailureDomain = s.Purchase.Offer.FailureDomain
 	instance.Class = s.Purchase.Offer.Class
@@ -134,8 +134,8 @@
 	return instance
 }
 
-// serves says whether an instance holds all that it shall.
-func (c *Controller) serves(instance zinniamast.Instance, models []string) bool {
+// isServing says whether an instance holds all that it shall.
+func (c *Controller) isServing(instance zinniamast.Instance, models []string) bool {
 	if instance.ID == "" {
 		return false
 	}
@@ -143,11 +143,11 @@
 	return ok && !report.Leaving && len(missing(models, report.Models)) == 0
 }
 
-// intend puts the actions into the intents and reports whether there are any.
-func (c *Controller) intend(now time.Time, actions Actions) bool {
+// recordIntents puts the actions into the intents and reports whether there are any.
+func (c *Controller) recordIntents(now time.Time, actions Actions) bool {
 	for _, purchase := range actions.Starts {
 		c.sequence++
-		c.record.Starts = append(c.record.Starts, starting{
+		c.record.Starts = append(c.record.Starts, pendingStart{
 			Token: strconv.FormatUint(c.fence, 10) + "-" + strconv.FormatUint(c.record.revision, 10) + "-" +
 				strconv.FormatUint(c.sequence, 10),
 			Purchase: purchase,
@@ -155,7 +155,7 @@
 		})
 	}
 	for _, id := range actions.Stops {
-		c.record.Stops = append(c.record.Stops, stopping{
+		c.record.Stops = append(c.record.Stops, pendingStop{
 			Instance: id,
 			At:       now,
 		})
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -29,12 +29,12 @@
 // figure a domain and not one a node.
 const (
 	meterInterval = 15 * time.Second
-	meterExpires  = 4 * meterInterval
-	// silentFor is how long a failure domain that is no longer heard counts as
+	meterExpiry   = 4 * meterInterval
+	// silentDomainTimeout is how long a failure domain that is no longer heard counts as
 	// cut off; after that as gone.
-	silentFor = time.Hour
-	sumKey    = "sum"
-	nodeKey   = "node"
+	silentDomainTimeout = time.Hour
+	sumKey              = "sum"
+	nodeKey             = "node"
 )
 
 // Meter counts what is asked of each service, in tokens, and adds up the fleet.
@@ -43,31 +43,31 @@
 
 	mu sync.Mutex
 	// counts are the tokens since the last publication; rates are those of the last interval.
-	counts map[string]float64
-	rates  map[string]float64
-	since  time.Time
+	counts       map[string]float64
+	rates        map[string]float64
+	countedSince time.Time
 	// nodes holds what others of this failure domain said; domains each domain's sum.
-	nodes   map[string]heard
-	domains map[string]heard
+	nodes   map[string]receivedRates
+	domains map[string]receivedRates
 }
 
-type heard struct {
-	rates   map[string]float64
-	at      time.Time
-	expires time.Time
+type receivedRates struct {
+	rates      map[string]float64
+	receivedAt time.Time
+	expires    time.Time
 }
 
 // NewMeter returns a meter that listens at once; Run makes it publish.
 func NewMeter(c MeterConfig) *Meter {
 	m := &Meter{
-		config:  c,
-		counts:  map[string]float64{},
-		rates:   map[string]float64{},
-		since:   time.Now(),
-		nodes:   map[string]heard{},
-		domains: map[string]heard{},
+		config:       c,
+		counts:       map[string]float64{},
+		rates:        map[string]float64{},
+		countedSince: time.Now(),
+		nodes:        map[string]receivedRates{},
+		domains:      map[string]receivedRates{},
 	}
-	c.Gossip.Subscribe(zinniamast.TopicDemand, m.hear)
+	c.Gossip.Subscribe(zinniamast.TopicDemand, m.receive)
 	return m
 }
 
@@ -94,27 +94,27 @@
 }
 
 func (m *Meter) publish(now time.Time) {
-	speaks := m.speaks()
+	speaks := m.publishesSum()
 	m.mu.Lock()
-	seconds := now.Sub(m.since).Seconds()
+	seconds := now.Sub(m.countedSince).Seconds()
 	m.rates = map[string]float64{}
 	for service, tokens := range m.counts {
 		m.rates[service] = tokens / max(seconds, 1)
 	}
-	m.counts, m.since = map[string]float64{}, now
+	m.counts, m.countedSince = map[string]float64{}, now
 	own := maps.Clone(m.rates)
-	sum := m.sum(now)
+	sum := m.domainSum(now)
 	m.mu.Unlock()
-	m.tell(nodeKey, own, false, now)
+	m.publishRates(nodeKey, own, false, now)
 	if speaks {
-		m.tell(sumKey+"/"+m.config.FailureDomain, sum, true, now)
+		m.publishRates(sumKey+"/"+m.config.FailureDomain, sum, true, now)
 	}
 }
 
-// speaks says whether this node tells the domain's sum. Two that both believe
+// publishesSum says whether this node tells the domain's sum. Two that both believe
 // so, because they do not hear each other, tell figures of one name, and the
 // later one counts: the demand is then seen too low in part, never doubled.
-func (m *Meter) speaks() bool {
+func (m *Meter) publishesSum() bool {
 	for _, member := range m.config.Members.All() {
 		if member.FailureDomain == m.config.FailureDomain && !member.Dead && member.ID < m.config.Node {
 			return false
@@ -123,8 +123,8 @@
 	return true
 }
 
-// sum adds up the failure domain; the caller holds the lock.
-func (m *Meter) sum(now time.Time) map[string]float64 {
+// domainSum adds up the failure domain; the caller holds the lock.
+func (m *Meter) domainSum(now time.Time) map[string]float64 {
 	total := maps.Clone(m.rates)
 	for node, h := range m.nodes {
 		if now.After(h.expires) {
@@ -142,8 +142,8 @@
 	}
 }
 
-// tell publishes rates, the largest first as far as they fit into one item.
-func (m *Meter) tell(key string, rates map[string]float64, wide bool, now time.Time) {
+// publishRates publishes rates, the largest first as far as they fit into one item.
+func (m *Meter) publishRates(key string, rates map[string]float64, wide bool, now time.Time) {
 	services := slices.SortedFunc(maps.Keys(rates), func(a, b string) int { return compare(rates[b], rates[a]) })
 	for {
 		kept := map[string]float64{}
@@ -156,7 +156,7 @@
 				Topic:   zinniamast.TopicDemand,
 				Key:     key,
 				Value:   value,
-				Expires: now.Add(meterExpires),
+				Expires: now.Add(meterExpiry),
 				Wide:    wide,
 			})
 			return
@@ -165,8 +165,8 @@
 	}
 }
 
-// hear takes in another node's figure or a domain's sum.
-func (m *Meter) hear(news zinniamast.News) {
+// receive takes in another node's figure or a domain's sum.
+func (m *Meter) receive(news zinniamast.News) {
 	var rates map[string]float64
 	if json.Unmarshal(news.Value, &rates) != nil {
 		return
@@ -174,10 +174,10 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := heard{
-		rates:   rates,
-		at:      now,
-		expires: news.Expires,
+	h := receivedRates{
+		rates:      rates,
+		receivedAt: now,
+		expires:    news.Expires,
 	}
 	if domain, ok := strings.CutPrefix(news.Key, sumKey+"/"); ok {
 		m.domains[domain] = h
@@ -195,12 +195,12 @@
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	total := m.sum(now)
+	total := m.domainSum(now)
 	complete := true
 	for domain, h := range m.domains {
 		switch {
 		case domain == m.config.FailureDomain:
-		case now.Sub(h.at) > silentFor:
+		case now.Sub(h.receivedAt) > silentDomainTimeout:
 			delete(m.domains, domain)
 		default:
 			addRates(total, h.rates)
--- a/capacity/meter_test.go
+++ b/capacity/meter_test.go
@@ -15,39 +15,39 @@
 	"zinniamast/standin/platform"
 )
 
-// bus is gossip between the meters of a test; a cut failure domain neither
+// gossipBus is gossip between the meters of a test; a cut failure domain neither
 // hears nor is heard.
-type bus struct {
-	mu   sync.Mutex
-	ends []*busEnd
-	cut  string
+type gossipBus struct {
+	mu        sync.Mutex
+	endpoints []*busEndpoint
+	isolated  string
 }
 
-func (b *bus) cutOff(domain string) {
+func (b *gossipBus) isolate(domain string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cut = domain
+	b.isolated = domain
 }
 
-type busEnd struct {
-	bus    *bus
-	node   string
-	domain string
-	hear   func(zinniamast.News)
+type busEndpoint struct {
+	bus     *gossipBus
+	node    string
+	domain  string
+	receive func(zinniamast.News)
 }
 
-func (e *busEnd) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) { e.hear = f }
+func (e *busEndpoint) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) { e.receive = f }
 
-func (e *busEnd) Publish(news zinniamast.News) {
+func (e *busEndpoint) Publish(news zinniamast.News) {
 	e.bus.mu.Lock()
 	defer e.bus.mu.Unlock()
 	news.Origin = e.node
-	for _, other := range e.bus.ends {
+	for _, other := range e.bus.endpoints {
 		near := other.domain == e.domain
-		if other.hear == nil || !near && (!news.Wide || e.domain == e.bus.cut || other.domain == e.bus.cut) {
+		if other.receive == nil || !near && (!news.Wide || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
 			continue
 		}
-		other.hear(news)
+		other.receive(news)
 	}
 }
 
@@ -55,10 +55,10 @@
 // from one figure a domain. One domain is cut off: the others keep its last
 // figure and say that they do not know all, so that nothing is returned. The
 // node that tells a domain's sum dies: the next one does.
-func TestMeterAddsUpTheFleet(t *testing.T) {
+func TestMeterSumsFleetDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &bus{}
+		b := &gossipBus{}
 		members := blackboard.NewMembers()
 		var meters []*capacity.Meter
 		var ends []context.CancelFunc
@@ -70,12 +70,12 @@
 					member.FailureDomain = domain
 					return true
 				})
-				end := &busEnd{
+				end := &busEndpoint{
 					bus:    b,
 					node:   id,
 					domain: domain,
 				}
-				b.ends = append(b.ends, end)
+				b.endpoints = append(b.endpoints, end)
 				meter := capacity.NewMeter(capacity.MeterConfig{
 					Gossip:        end,
 					Members:       members,
@@ -105,16 +105,16 @@
 		for node := range meters {
 			check(node, true)
 		}
-		b.cutOff("c")
+		b.isolate("c")
 		count(120)
 		check(0, false)
-		b.cutOff("")
+		b.isolate("")
 		members.Update("b1", func(member *blackboard.Member) bool {
 			member.Dead = true
 			return true
 		})
 		b.mu.Lock()
-		b.ends[3].hear = nil
+		b.endpoints[3].receive = nil
 		b.mu.Unlock()
 		ends[3]()
 		count(120)
@@ -130,19 +130,19 @@
 
 // A node takes over that has just started, while a failure domain is cut off:
 // it sees no demand, and must not return what is in use.
-func TestReturnsNothingWithoutKnowingAll(t *testing.T) {
+func TestReturnsNothingOnIncompleteDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{})
+		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		full := len(s.platform.Cloud.Live())
 		end()
 		s.mu.Lock()
-		s.need = 0
+		s.units = 0
 		s.complete = false
 		s.mu.Unlock()
-		endNext := s.node("two", s.platform.Cloud, s.platform.Table)
+		endNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		is.Equal(len(s.platform.Cloud.Live()), full)
 		s.mu.Lock()
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -29,9 +29,9 @@
 // Orders remembers what was ordered, so that a report that lags does not make
 // the controller order the same again and again.
 type Orders struct {
-	// Patience is how long an order may take to show in a report; it doubles
+	// RetryDelay is how long an order may take to show in a report; it doubles
 	// with each repetition. Zero means five minutes, longer than a load takes.
-	Patience time.Duration
+	RetryDelay time.Duration
 
 	sent map[orderKey]sentOrder
 }
@@ -47,11 +47,11 @@
 
 // Bounds of orders.
 const (
-	defaultPatience = 5 * time.Minute
-	maxTries        = 5
-	// unloadAfter is the share of a service's replicas that must hold all new
+	defaultRetryDelay = 5 * time.Minute
+	maxDelayDoublings = 5
+	// unloadThreshold is the share of a service's replicas that must hold all new
 	// models before any drops an old one.
-	unloadAfter = 0.9
+	unloadThreshold = 0.9
 )
 
 // Plan compares what replicas hold with what they shall hold. An order names
@@ -72,13 +72,13 @@
 		}
 		for _, r := range mine {
 			for _, model := range missing(d.Models, r.Loaded) {
-				commands = o.add(commands, now, r, "load", model)
+				commands = o.appendIfDue(commands, now, r, "load", model)
 			}
-			if len(missing(d.Models, r.Loaded)) > 0 || float64(complete) < unloadAfter*float64(len(mine)) {
+			if len(missing(d.Models, r.Loaded)) > 0 || float64(complete) < unloadThreshold*float64(len(mine)) {
 				continue
 			}
 			for _, model := range missing(r.Loaded, d.Models) {
-				commands = o.add(commands, now, r, "unload", model)
+				commands = o.appendIfDue(commands, now, r, "unload", model)
 			}
 		}
 	}
@@ -96,14 +96,14 @@
 	return none
 }
 
-// add appends an order unless the last one like it may still be at work.
-func (o *Orders) add(commands []Command, now time.Time, r Replica, action, model string) []Command {
-	patience := o.Patience
+// appendIfDue appends an order unless the last one like it may still be at work.
+func (o *Orders) appendIfDue(commands []Command, now time.Time, r Replica, action, model string) []Command {
+	patience := o.RetryDelay
 	if patience == 0 {
-		patience = defaultPatience
+		patience = defaultRetryDelay
 	}
 	last, ok := o.sent[keyOf(r.Instance, action, model)]
-	if ok && now.Sub(last.at) < patience<<min(last.tries-1, maxTries) {
+	if ok && now.Sub(last.at) < patience<<min(last.tries-1, maxDelayDoublings) {
 		return commands
 	}
 	return append(commands, Command{
@@ -134,8 +134,8 @@
 	delete(o.sent, keyOf(c.Instance, opposite, c.Order.Model))
 }
 
-// Keep forgets orders to instances that are gone.
-func (o *Orders) Keep(alive func(instance string) bool) {
+// Retain forgets orders to instances that are gone.
+func (o *Orders) Retain(alive func(instance string) bool) {
 	for key := range o.sent {
 		if !alive(key.instance) {
 			delete(o.sent, key)
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -43,7 +43,7 @@
 	MaxLoading int
 }
 
-func (r Rules) filled() Rules {
+func (r Rules) withDefaults() Rules {
 	if r.MinDwell == 0 {
 		r.MinDwell = 30 * time.Minute
 	}
@@ -78,17 +78,17 @@
 	Service string           `json:"service"`
 	Role    string           `json:"role"`
 	Offer   zinniamast.Offer `json:"offer"`
-	// need is how much of the demand is missing, 0 to 1.
-	need float64
+	// shortfall is how much of the demand is missing, 0 to 1.
+	shortfall float64
 }
 
 // Plan decides what to buy and what to return.
 func Plan(s Snapshot, rules Rules) Actions {
-	rules = rules.filled()
+	rules = rules.withDefaults()
 	numbers := newNumbering(s.Classes)
-	offers := make([]part, 0, len(s.Offers))
+	offers := make([]candidate, 0, len(s.Offers))
 	for _, offer := range s.Offers {
-		if p, ok := numbers.part(offer); ok && offer.Price > 0 {
+		if p, ok := numbers.candidate(offer); ok && offer.Price > 0 {
 			offers = append(offers, p)
 		}
 	}
@@ -104,29 +104,29 @@
 	}
 	for _, d := range s.Demands {
 		p := planner{
-			now:    s.Now,
-			rules:  rules,
-			demand: d,
-			offers: offers,
-			search: s.Exchange,
+			now:             s.Now,
+			rules:           rules,
+			demand:          d,
+			offers:          offers,
+			exchangeEnabled: s.Exchange,
 		}
 		p.collect(s.Instances, numbers)
 		p.plan(&actions)
 	}
-	slices.SortStableFunc(actions.Starts, func(a, b Purchase) int { return compare(b.need, a.need) })
+	slices.SortStableFunc(actions.Starts, func(a, b Purchase) int { return compare(b.shortfall, a.shortfall) })
 	actions.Starts = actions.Starts[:min(len(actions.Starts), max(0, rules.MaxLoading-loading))]
 	return actions
 }
 
 // planner plans for one service.
 type planner struct {
-	now       time.Time
-	rules     Rules
-	demand    Demand
-	offers    []part
-	search    bool
-	instances []*Instance
-	parts     []part
+	now             time.Time
+	rules           Rules
+	demand          Demand
+	offers          []candidate
+	exchangeEnabled bool
+	instances       []*Instance
+	candidates      []candidate
 }
 
 // collect picks the service's instances and what each counts.
@@ -136,7 +136,7 @@
 		if instance.Service != p.demand.Service {
 			continue
 		}
-		counted, ok := numbers.part(zinniamast.Offer{
+		counted, ok := numbers.candidate(zinniamast.Offer{
 			FailureDomain: instance.FailureDomain,
 			Class:         instance.Class,
 			Market:        instance.Market,
@@ -144,16 +144,16 @@
 		})
 		if ok {
 			p.instances = append(p.instances, instance)
-			p.parts = append(p.parts, counted)
+			p.candidates = append(p.candidates, counted)
 		}
 	}
 }
 
 func (p *planner) plan(actions *Actions) {
-	f := newFleet(p.parts)
+	f := newFleet(p.candidates)
 	if !f.meets(p.demand) {
-		missing := 1 - f.remaining()/max(p.demand.Units, rounding)
-		added := p.fill()
+		missing := 1 - f.unitsAfterDomainLoss()/max(p.demand.Units, epsilon)
+		added := p.fillShortfall()
 		for _, a := range added {
 			f.add(&a, 1)
 			actions.Starts = append(actions.Starts, p.purchase(a, missing))
@@ -167,7 +167,7 @@
 		actions.Stops = append(actions.Stops, stops...)
 		return
 	}
-	if !p.search {
+	if !p.exchangeEnabled {
 		return
 	}
 	for _, cheaper := range p.exchange() {
@@ -175,23 +175,23 @@
 	}
 }
 
-func (p *planner) purchase(a part, need float64) Purchase {
+func (p *planner) purchase(a candidate, need float64) Purchase {
 	return Purchase{
-		Service: p.demand.Service,
-		Role:    p.demand.Role,
-		Offer:   a.offer,
-		need:    need,
+		Service:   p.demand.Service,
+		Role:      p.demand.Role,
+		Offer:     a.offer,
+		shortfall: need,
 	}
 }
 
-// fill returns what to buy so that the demand is met: first what the ideal
+// fillShortfall returns what to buy so that the demand is met: first what the ideal
 // fleet has and this one lacks, then whatever helps most, less what turns out
 // to be too much.
-func (p *planner) fill() []part {
-	wanted, _ := ideal(p.demand, p.offers)
-	all := slices.Clone(p.parts)
+func (p *planner) fillShortfall() []candidate {
+	wanted, _ := idealFleet(p.demand, p.offers)
+	all := slices.Clone(p.candidates)
 	f := newFleet(all)
-	for _, w := range p.lacking(wanted) {
+	for _, w := range p.unmatched(wanted) {
 		if f.meets(p.demand) {
 			break
 		}
@@ -199,17 +199,17 @@
 		all = append(all, w)
 	}
 	all = append(all, grow(all, p.demand, p.offers)...)
-	kept, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.parts) })
-	return kept[len(p.parts):]
+	kept, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.candidates) })
+	return kept[len(p.candidates):]
 }
 
-// lacking returns the wanted parts that no instance stands for, cheapest first.
-func (p *planner) lacking(wanted []part) []part {
+// unmatched returns the wanted parts that no instance stands for, cheapest first.
+func (p *planner) unmatched(wanted []candidate) []candidate {
 	have := map[int]int{}
-	for _, a := range p.parts {
+	for _, a := range p.candidates {
 		have[a.kind]++
 	}
-	var lacking []part
+	var lacking []candidate
 	for _, w := range wanted {
 		if have[w.kind] > 0 {
 			have[w.kind]--
@@ -217,19 +217,19 @@
 		}
 		lacking = append(lacking, w)
 	}
-	slices.SortStableFunc(lacking, func(a, b part) int { return compare(a.unitPrice(), b.unitPrice()) })
+	slices.SortStableFunc(lacking, func(a, b candidate) int { return compare(a.unitPrice(), b.unitPrice()) })
 	return lacking
 }
 
 // surplus returns the instances to return: those that a raised demand does
 // not need either, old enough, counting only what is ready now.
 func (p *planner) surplus() []string {
-	raised := p.raised()
-	var ready []part
+	raised := p.raisedDemand()
+	var ready []candidate
 	var index []int
 	for i, instance := range p.instances {
 		if instance.Ready {
-			ready = append(ready, p.parts[i])
+			ready = append(ready, p.candidates[i])
 			index = append(index, i)
 		}
 	}
@@ -246,21 +246,21 @@
 	return stops
 }
 
-// raised is the demand that must be met by what stays before anything goes.
-func (p *planner) raised() Demand {
+// raisedDemand is the demand that must be met by what stays before anything goes.
+func (p *planner) raisedDemand() Demand {
 	raised := p.demand
 	raised.Units *= 1 + p.rules.Slack
 	return raised
 }
 
-// exchangeShare is one over the part of a fleet that is exchanged at a time.
-const exchangeShare = 50
+// exchangeDivisor is one over the part of a fleet that is exchanged at a time.
+const exchangeDivisor = 50
 
 // exchange returns a few cheaper instances to buy if a fleet bought anew would
 // cost much less; once they are ready the dearest become surplus. Few at a
 // time, and never while another is loading, so that prices that swing do not
 // make the fleet swing.
-func (p *planner) exchange() []part {
+func (p *planner) exchange() []candidate {
 	for _, instance := range p.instances {
 		if !instance.Ready {
 			return nil
@@ -268,13 +268,13 @@
 	}
 	// What is surplus already but too young to go would be bought for again and
 	// again, and the fleet would grow instead of getting cheaper.
-	if _, extra := trim(p.parts, p.raised(), always); len(extra) > 0 {
+	if _, extra := trim(p.candidates, p.raisedDemand(), alwaysDroppable); len(extra) > 0 {
 		return nil
 	}
-	wanted, ok := ideal(p.demand, p.offers)
-	if !ok || newFleet(wanted).cost > newFleet(p.parts).cost*(1-p.rules.SwitchGain) {
+	wanted, ok := idealFleet(p.demand, p.offers)
+	if !ok || newFleet(wanted).cost > newFleet(p.candidates).cost*(1-p.rules.SwitchGain) {
 		return nil
 	}
-	lacking := p.lacking(wanted)
-	return lacking[:min(len(lacking), 1+len(p.parts)/exchangeShare)]
+	lacking := p.unmatched(wanted)
+	return lacking[:min(len(lacking), 1+len(p.candidates)/exchangeDivisor)]
 }
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -13,13 +13,13 @@
 	"zinniamast/capacity"
 )
 
-// world is a fleet that obeys plans at once, for tests of the plan alone.
-type world struct {
+// simulatedFleet is a fleet that obeys plans at once, for tests of the plan alone.
+type simulatedFleet struct {
 	snapshot capacity.Snapshot
-	next     int
+	lastID   int
 }
 
-func (w *world) obey(actions capacity.Actions) {
+func (w *simulatedFleet) apply(actions capacity.Actions) {
 	kept := w.snapshot.Instances[:0]
 	for _, instance := range w.snapshot.Instances {
 		stopped := false
@@ -32,10 +32,10 @@
 	}
 	w.snapshot.Instances = kept
 	for _, purchase := range actions.Starts {
-		w.next++
+		w.lastID++
 		w.snapshot.Instances = append(w.snapshot.Instances, capacity.Instance{
 			Instance: zinniamast.Instance{
-				ID:            fmt.Sprint(w.next),
+				ID:            fmt.Sprint(w.lastID),
 				FailureDomain: purchase.Offer.FailureDomain,
 				Class:         purchase.Offer.Class,
 				Market:        purchase.Offer.Market,
@@ -49,8 +49,8 @@
 	w.snapshot.Now = w.snapshot.Now.Add(time.Hour)
 }
 
-// left returns what each service has without one failure domain, the worst one.
-func (w *world) left(service string) float64 {
+// unitsAfterDomainLoss returns what each service has without one failure domain, the worst one.
+func (w *simulatedFleet) unitsAfterDomainLoss(service string) float64 {
 	total, domains, largest := 0.0, map[string]float64{}, 0.0
 	for _, instance := range w.snapshot.Instances {
 		if instance.Service == service {
@@ -64,11 +64,11 @@
 	return total - largest
 }
 
-func randomWorld(rt *rapid.T) *world {
+func randomFleet(rt *rapid.T) *simulatedFleet {
 	seed := rapid.Uint64().Draw(rt, "seed")
 	random := rand.New(rand.NewPCG(seed, 3))
 	domains := rapid.IntRange(2, 6).Draw(rt, "domains")
-	w := &world{snapshot: capacity.Snapshot{
+	w := &simulatedFleet{snapshot: capacity.Snapshot{
 		Now:      time.Unix(1e6, 0),
 		Classes:  classes,
 		Exchange: true,
@@ -106,9 +106,9 @@
 // Whatever the offers, the demand and the instances at hand, the plan leads to
 // a fleet that carries the demand without any one failure domain, and there it
 // rests: a plan that starts and stops for ever would load weights all day.
-func TestPlanMeetsDemandAndRests(t *testing.T) {
+func TestPlanMeetsDemandAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := randomWorld(rt)
+		w := randomFleet(rt)
 		rules := capacity.Rules{MaxLoading: 1000}
 		for round := 0; ; round++ {
 			actions := capacity.Plan(w.snapshot, rules)
@@ -121,10 +121,10 @@
 			if round > 200 {
 				rt.Fatalf("no rest after %d rounds: %+v", round, actions)
 			}
-			w.obey(actions)
+			w.apply(actions)
 		}
 		for _, d := range w.snapshot.Demands {
-			if left := w.left(d.Service); left+1e-3 < d.Units {
+			if left := w.unitsAfterDomainLoss(d.Service); left+1e-3 < d.Units {
 				rt.Fatalf("%s: %v left of %v", d.Service, left, d.Units)
 			}
 		}
@@ -137,9 +137,9 @@
 			}
 		}
 		w.snapshot.Instances = kept
-		w.obey(capacity.Plan(w.snapshot, rules))
+		w.apply(capacity.Plan(w.snapshot, rules))
 		for _, d := range w.snapshot.Demands {
-			if left := w.left(d.Service); left+1e-3 < d.Units {
+			if left := w.unitsAfterDomainLoss(d.Service); left+1e-3 < d.Units {
 				rt.Fatalf("%s after the loss of %s: %v left of %v", d.Service, lost, left, d.Units)
 			}
 		}
@@ -149,9 +149,9 @@
 // Every start in the cheap failure domain is refused, then all but one domain
 // are. The plan goes elsewhere, and with one domain left it still carries the
 // load and says that the loss of a domain would not be survived.
-func TestPlanGoesElsewhere(t *testing.T) {
+func TestPlanAvoidsRefusedFailureDomains(t *testing.T) {
 	is := is.New(t)
-	w := &world{snapshot: capacity.Snapshot{
+	w := &simulatedFleet{snapshot: capacity.Snapshot{
 		Classes: classes,
 		Demands: []capacity.Demand{{
 			Service:     "draft",
@@ -187,7 +187,7 @@
 	}{{1, false}, {4, false}, {20, false}, {1, true}, {20, true}} {
 		services := c.services
 		b.Run(fmt.Sprintf("services=%d/exchange=%v", services, c.exchange), func(b *testing.B) {
-			w := &world{snapshot: capacity.Snapshot{
+			w := &simulatedFleet{snapshot: capacity.Snapshot{
 				Classes:  classes,
 				Exchange: c.exchange,
 			}}
@@ -211,7 +211,7 @@
 				})
 			}
 			for range 3 {
-				w.obey(capacity.Plan(w.snapshot, capacity.Rules{MaxLoading: 10_000}))
+				w.apply(capacity.Plan(w.snapshot, capacity.Rules{MaxLoading: 10_000}))
 			}
 			for b.Loop() {
 				capacity.Plan(w.snapshot, capacity.Rules{})
--- a/capacity/record.go
+++ b/capacity/record.go
@@ -24,15 +24,15 @@
 // repeats an open purchase under the same token and gets the same instance.
 type record struct {
 	// Fence is the fencing number of the holder that wrote it.
-	Fence  uint64     `json:"fence"`
-	Starts []starting `json:"starts"`
-	Stops  []stopping `json:"stops"`
+	Fence  uint64         `json:"fence"`
+	Starts []pendingStart `json:"starts"`
+	Stops  []pendingStop  `json:"stops"`
 
 	revision uint64
 }
 
-// starting is a purchase that the instance list may not show yet.
-type starting struct {
+// pendingStart is a purchase that the instance list may not show yet.
+type pendingStart struct {
 	Token    string   `json:"token"`
 	Purchase Purchase `json:"purchase"`
 	// Instance is set once the cloud has answered.
@@ -40,17 +40,17 @@
 	At       time.Time           `json:"at"`
 }
 
-// stopping is a return that is under way or that the list may not show yet.
-type stopping struct {
+// pendingStop is a return that is under way or that the list may not show yet.
+type pendingStop struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
 	// Done means that the cloud has taken it back.
 	Done bool `json:"done"`
 }
 
-// listPatience is how long the instance list may lag before a purchase that it
+// listLagTimeout is how long the instance list may lag before a purchase that it
 // does not show counts as gone.
-const listPatience = 10 * time.Minute
+const listLagTimeout = 10 * time.Minute
 
 func readRecord(ctx context.Context, table zinniamast.Table) (*record, error) {
 	item, err := table.Get(ctx, recordKey)
@@ -88,16 +88,16 @@
 	return nil
 }
 
-// tidy drops what the list has caught up with and reports whether it dropped any.
-func (r *record) tidy(now time.Time, listed map[string]zinniamast.Instance) bool {
+// prune drops what the list has caught up with and reports whether it dropped any.
+func (r *record) prune(now time.Time, listed map[string]zinniamast.Instance) bool {
 	before := len(r.Starts) + len(r.Stops)
-	r.Starts = slices.DeleteFunc(r.Starts, func(s starting) bool {
+	r.Starts = slices.DeleteFunc(r.Starts, func(s pendingStart) bool {
 		_, ok := listed[s.Instance.ID]
-		return s.Instance.ID != "" && (ok || now.Sub(s.At) > listPatience)
+		return s.Instance.ID != "" && (ok || now.Sub(s.At) > listLagTimeout)
 	})
-	r.Stops = slices.DeleteFunc(r.Stops, func(s stopping) bool {
+	r.Stops = slices.DeleteFunc(r.Stops, func(s pendingStop) bool {
 		_, ok := listed[s.Instance]
-		return !ok && now.Sub(s.At) > listPatience/10 || s.Done && now.Sub(s.At) > listPatience
+		return !ok && now.Sub(s.At) > listLagTimeout/10 || s.Done && now.Sub(s.At) > listLagTimeout
 	})
 	return len(r.Starts)+len(r.Stops) < before
 }
--- a/capacity/refusal.go
+++ b/capacity/refusal.go
@@ -10,8 +10,8 @@
 
 // Backoff of an offer that the cloud refused to start.
 const (
-	refusedFirst = 30 * time.Second
-	refusedLast  = 10 * time.Minute
+	minRefusalBackoff = 30 * time.Second
+	maxRefusalBackoff = 10 * time.Minute
 )
 
 // refusals remembers which offers were refused lately, so that the plan goes
@@ -21,11 +21,11 @@
 }
 
 type refusal struct {
-	until time.Time
-	wait  time.Duration
+	until   time.Time
+	backoff time.Duration
 }
 
-func nameOf(offer zinniamast.Offer) kindName {
+func kindNameOf(offer zinniamast.Offer) kindName {
 	return kindName{
 		failureDomain: offer.FailureDomain,
 		class:         offer.Class,
@@ -33,23 +33,23 @@
 	}
 }
 
-func (r *refusals) refused(now time.Time, offer zinniamast.Offer) {
+func (r *refusals) recordRefusal(now time.Time, offer zinniamast.Offer) {
 	if r.byKind == nil {
 		r.byKind = map[kindName]refusal{}
 	}
-	name := nameOf(offer)
-	wait := min(max(refusedFirst, 2*r.byKind[name].wait), refusedLast)
+	name := kindNameOf(offer)
+	wait := min(max(minRefusalBackoff, 2*r.byKind[name].backoff), maxRefusalBackoff)
 	r.byKind[name] = refusal{
-		until: now.Add(wait*3/4 + rand.N(wait/2)),
-		wait:  wait,
+		until:   now.Add(wait*3/4 + rand.N(wait/2)),
+		backoff: wait,
 	}
 }
 
-func (r *refusals) started(offer zinniamast.Offer) { delete(r.byKind, nameOf(offer)) }
+func (r *refusals) clear(offer zinniamast.Offer) { delete(r.byKind, kindNameOf(offer)) }
 
-// open returns the offers that may be tried now.
-func (r *refusals) open(now time.Time, offers []zinniamast.Offer) []zinniamast.Offer {
+// availableOffers returns the offers that may be tried now.
+func (r *refusals) availableOffers(now time.Time, offers []zinniamast.Offer) []zinniamast.Offer {
 	return slices.DeleteFunc(slices.Clone(offers), func(offer zinniamast.Offer) bool {
-		return now.Before(r.byKind[nameOf(offer)].until)
+		return now.Before(r.byKind[kindNameOf(offer)].until)
 	})
 }
--- a/capacity/reports.go
+++ b/capacity/reports.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// reportAge is how old the report of an engine may be from which something
+	// unsettledPollInterval is how old the report of an engine may be from which something
 	// is awaited.
-	reportAge = 15 * time.Second
-	// awaitedFor is how long something is awaited from an engine that is new,
+	unsettledPollInterval = 15 * time.Second
+	// settlePeriod is how long something is awaited from an engine that is new,
 	// was given an order, or holds something else than before.
-	awaitedFor = 15 * time.Minute
-	// settledASecond bounds the questions to the engines from which nothing is
+	settlePeriod = 15 * time.Minute
+	// settledPollsPerSecond bounds the questions to the engines from which nothing is
 	// awaited, whatever their number.
-	settledASecond = 4
-	// reportTimeout bounds one question to an engine.
-	reportTimeout = time.Second
-	// reportsAtOnce bounds the questions under way.
-	reportsAtOnce = 8
+	settledPollsPerSecond = 4
+	// pollTimeout bounds one question to an engine.
+	pollTimeout = time.Second
+	// maxConcurrentPolls bounds the questions under way.
+	maxConcurrentPolls = 8
 )
 
 // Reports keeps engines' last load reports for the node that buys. Only the
@@ -34,29 +34,29 @@
 // an order that came late from a former holder.
 type Reports struct {
 	upstreams *blackboard.Upstreams
-	asking    chan struct{}
+	pollSlots chan struct{}
 
-	mu      sync.Mutex
-	known   map[string]report
-	settled int
+	mu           sync.Mutex
+	reports      map[string]engineReport
+	settledCount int
 }
 
-type report struct {
-	content zinniamast.LoadReport
-	heard   bool
-	settled bool
-	// changed is when an order went out or the engine last held something new.
-	changed time.Time
-	// next is when to ask again.
-	next time.Time
+type engineReport struct {
+	content  zinniamast.LoadReport
+	received bool
+	settled  bool
+	// changedAt is when an order went out or the engine last held something new.
+	changedAt time.Time
+	// nextPoll is when to ask again.
+	nextPoll time.Time
 }
 
 // NewReports returns reports of what stands in the table of upstreams.
 func NewReports(upstreams *blackboard.Upstreams) *Reports {
 	return &Reports{
 		upstreams: upstreams,
-		asking:    make(chan struct{}, reportsAtOnce),
-		known:     map[string]report{},
+		pollSlots: make(chan struct{}, maxConcurrentPolls),
+		reports:   map[string]engineReport{},
 	}
 }
 
@@ -65,67 +65,67 @@
 	upstream := r.upstreams.Get(instance)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.known[instance]
+	known := r.reports[instance]
 	if upstream == nil || upstream.Engine == nil {
-		r.put(instance, report{})
-		delete(r.known, instance)
-		return known.content, known.heard
+		r.put(instance, engineReport{})
+		delete(r.reports, instance)
+		return known.content, known.received
 	}
 	now := time.Now()
-	if now.Before(known.next) && !(known.settled && upstream.Leaving()) {
-		return known.content, known.heard
+	if now.Before(known.nextPoll) && !(known.settled && upstream.Leaving()) {
+		return known.content, known.received
 	}
 	select {
-	case r.asking <- struct{}{}:
-		known.settled = known.heard && !awaited(upstream, known, now)
+	case r.pollSlots <- struct{}{}:
+		known.settled = known.received && !isUnsettled(upstream, known, now)
 		r.put(instance, known)
-		known.next = now.Add(r.age(known.settled))
+		known.nextPoll = now.Add(r.pollInterval(known.settled))
 		r.put(instance, known)
-		go r.ask(upstream)
+		go r.poll(upstream)
 	default:
 	}
-	return known.content, known.heard
+	return known.content, known.received
 }
 
 // Expect tells that an engine was given an order, so that its effect is seen soon.
 func (r *Reports) Expect(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.known[instance]
-	known.changed = time.Now()
-	known.next = time.Time{}
+	known := r.reports[instance]
+	known.changedAt = time.Now()
+	known.nextPoll = time.Time{}
 	r.put(instance, known)
 }
 
-// awaited says whether something is to be seen in an engine's next reports.
-func awaited(upstream *blackboard.Upstream, known report, now time.Time) bool {
-	return upstream.Leaving() || now.Sub(upstream.Instance.Started) < awaitedFor || now.Sub(known.changed) < awaitedFor
+// isUnsettled says whether something is to be seen in an engine's next reports.
+func isUnsettled(upstream *blackboard.Upstream, known engineReport, now time.Time) bool {
+	return upstream.Leaving() || now.Sub(upstream.Instance.Started) < settlePeriod || now.Sub(known.changedAt) < settlePeriod
 }
 
-// age is how long a report stands; the caller holds the lock. What is settled
+// pollInterval is how long a report stands; the caller holds the lock. What is settled
 // is spread by chance, since a new holder asks all at once.
-func (r *Reports) age(settled bool) time.Duration {
+func (r *Reports) pollInterval(settled bool) time.Duration {
 	if !settled {
-		return reportAge
+		return unsettledPollInterval
 	}
-	slow := time.Duration(r.settled) * time.Second / settledASecond
-	return max(reportAge, slow*3/4+rand.N(slow/2+1))
+	slow := time.Duration(r.settledCount) * time.Second / settledPollsPerSecond
+	return max(unsettledPollInterval, slow*3/4+rand.N(slow/2+1))
 }
 
 // put keeps a report and the count of those settled; the caller holds the lock.
-func (r *Reports) put(instance string, known report) {
-	if r.known[instance].settled {
-		r.settled--
+func (r *Reports) put(instance string, known engineReport) {
+	if r.reports[instance].settled {
+		r.settledCount--
 	}
 	if known.settled {
-		r.settled++
+		r.settledCount++
 	}
-	r.known[instance] = known
+	r.reports[instance] = known
 }
 
-func (r *Reports) ask(upstream *blackboard.Upstream) {
-	defer func() { <-r.asking }()
-	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+func (r *Reports) poll(upstream *blackboard.Upstream) {
+	defer func() { <-r.pollSlots }()
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	content, err := upstream.Engine.Load(ctx)
 	if err != nil {
@@ -134,10 +134,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	instance := upstream.Instance.ID
-	known := r.known[instance]
-	if known.heard && !slices.Equal(known.content.Models, content.Models) {
-		known.changed = time.Now()
+	known := r.reports[instance]
+	if known.received && !slices.Equal(known.content.Models, content.Models) {
+		known.changedAt = time.Now()
 	}
-	known.content, known.heard = content, true
+	known.content, known.received = content, true
 	r.put(instance, known)
 }
--- a/capacity/reports_test.go
+++ b/capacity/reports_test.go
@@ -15,16 +15,16 @@
 	"zinniamast/capacity"
 )
 
-// reporter is an engine that counts who asks it for its load.
-type reporter struct {
+// countingEngine is an engine that counts who asks it for its load.
+type countingEngine struct {
 	zinniamast.Engine
-	asked *atomic.Int64
-	mine  atomic.Int64
+	totalPolls *atomic.Int64
+	polls      atomic.Int64
 }
 
-func (r *reporter) Load(context.Context) (zinniamast.LoadReport, error) {
-	r.asked.Add(1)
-	r.mine.Add(1)
+func (r *countingEngine) Load(context.Context) (zinniamast.LoadReport, error) {
+	r.totalPolls.Add(1)
+	r.polls.Add(1)
 	return zinniamast.LoadReport{
 		At:     time.Now(),
 		Models: []string{"draft"},
@@ -35,17 +35,17 @@
 // engines would cost it 380 questions a second for good. It must hear of all
 // soon after it takes over, then ask the settled ones seldom, and still see
 // within seconds what leaves and what was given an order.
-func TestSettledEnginesAreAskedSeldom(t *testing.T) {
+func TestSettledEnginesArePolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		const count = 5700
 		var asked atomic.Int64
 		board := blackboard.NewUpstreams()
-		engines := make([]*reporter, count)
+		engines := make([]*countingEngine, count)
 		var all []*blackboard.Upstream
 		for i := range engines {
-			engines[i] = &reporter{
-				asked: &asked,
+			engines[i] = &countingEngine{
+				totalPolls: &asked,
 			}
 			all = append(all, &blackboard.Upstream{
 				Instance: zinniamast.Instance{
@@ -83,9 +83,9 @@
 
 		reports.Expect("1")
 		board.MarkLeaving("2", time.Now().Add(time.Minute))
-		ordered, leaving := engines[1].mine.Load(), engines[2].mine.Load()
+		ordered, leaving := engines[1].polls.Load(), engines[2].polls.Load()
 		look(8, round)
-		check.True(engines[1].mine.Load() >= ordered+2)
-		check.True(engines[2].mine.Load() >= leaving+2)
+		check.True(engines[1].polls.Load() >= ordered+2)
+		check.True(engines[2].polls.Load() >= leaving+2)
 	})
 }
--- a/capacity/trace_test.go
+++ b/capacity/trace_test.go
@@ -27,11 +27,11 @@
 
 // The trace's pace: a notice comes a minute ahead, weights load in two minutes.
 const (
-	step      = 30 * time.Second
-	dayLength = 24 * time.Hour
-	ahead     = time.Minute
-	warmUp    = 20
-	loading   = 2 * time.Minute
+	step        = 30 * time.Second
+	dayLength   = 24 * time.Hour
+	noticeLead  = time.Minute
+	warmUpSteps = 20
+	loadTime    = 2 * time.Minute
 )
 
 // trace is one day of prices, reclaims and refusals, the same for each policy.
@@ -104,8 +104,8 @@
 
 type policy func(capacity.Snapshot) capacity.Actions
 
-// run replays the trace; a minute's work beyond what is ready is late.
-func (t *trace) run(reclaimable float64, decide policy) result {
+// replay replays the trace; a minute's work beyond what is ready is late.
+func (t *trace) replay(reclaimable float64, decide policy) result {
 	var r result
 	var fleet []capacity.Instance
 	leaving := map[string]int{}
@@ -123,17 +123,17 @@
 			alone := instance.Market == zinniamast.Reclaimable && random.Float64() < t.hazard[i]
 			wave := instance.Market == zinniamast.Reclaimable && instance.FailureDomain == t.lost[i]
 			if _, ok := leaving[instance.ID]; !ok && (alone || wave) {
-				leaving[instance.ID] = i + int(ahead/step)
+				leaving[instance.ID] = i + int(noticeLead/step)
 			}
 		}
-		if i == warmUp {
+		if i == warmUpSteps {
 			// The fleet starts empty; the day is measured once it stands.
 			r, served, asked, safe = result{}, 0, 0, 0
 		}
 		ready, byDomain := 0.0, map[string]float64{}
 		var staying []capacity.Instance
 		for j := range fleet {
-			fleet[j].Ready = now.Sub(fleet[j].Started) >= loading
+			fleet[j].Ready = now.Sub(fleet[j].Started) >= loadTime
 			if fleet[j].Ready {
 				ready += unitsOf(fleet[j].Class)
 				byDomain[fleet[j].FailureDomain] += unitsOf(fleet[j].Class)
@@ -191,7 +191,7 @@
 		}
 	}
 	r.onTime = served / asked
-	r.survived = float64(safe) / float64(len(t.load)-warmUp)
+	r.survived = float64(safe) / float64(len(t.load)-warmUpSteps)
 	return r
 }
 
@@ -245,9 +245,9 @@
 	is := is.New(t)
 	for _, peak := range []float64{5_000, 40_000} {
 		day := newTrace(42, peak)
-		ours := day.run(0.67, planned)
-		onDemand := day.run(0, planned)
-		cheapest := day.run(1, cheapestFirst)
+		ours := day.replay(0.67, planned)
+		onDemand := day.replay(0, planned)
+		cheapest := day.replay(1, cheapestFirst)
 		for _, row := range []struct {
 			name   string
 			result result
