--- a/capacity/act.go
+++ b/capacity/act.go
@@ -14,14 +14,14 @@
 	"zinniamast"
 )
 
-// maxConcurrentCalls bounds the calls to the cloud and to engines at a time.
+// maxConcurrentCalls bounds the purchases that are sent to the cloud in parallel.
 const maxConcurrentCalls = 8
 
-// leavingPropagationTime is how long the news that an instance takes no new work may need
-// to reach every node before its idleness means anything.
+// leavingPropagationTime is how long it may take until every node knows that an
+// instance takes no new work. Until then an idle instance may still get requests.
 const leavingPropagationTime = 10 * time.Second
 
-// startInstances carries out the open purchases and reports whether the intents changed.
+// startInstances carries out the pending purchases and reports whether the intents changed.
 func (c *Controller) startInstances(ctx context.Context) bool {
 	var mu sync.Mutex
 	changed := false
@@ -56,9 +56,9 @@
 	return c.config.Cloud.Start(guarded, s.Token, s.Purchase.Offer, role)
 }
 
-// recordStartResult notes how a purchase went and reports whether the intents changed. An
-// answer that was lost changes nothing: the next round, or the next holder,
-// asks again under the same token.
+// recordStartResult records the result of a purchase and reports whether the
+// intents changed. A lost answer changes nothing: the next round, or the next
+// lease holder, retries the purchase with the same token.
 func (c *Controller) recordStartResult(s *pendingStart, instance zinniamast.Instance, err error, refused map[string]bool) bool {
 	offer := s.Purchase.Offer
 	labels := []string{offer.FailureDomain, string(offer.Market)}
@@ -67,7 +67,7 @@
 		s.Instance = instance
 		c.refusals.clear(offer)
 		c.metrics.starts.WithLabelValues(labels...).Inc()
-		c.config.Logger.Info("capacity", "action", "start", "instance", instance.ID, "service", s.Purchase.Service,
+		c.config.Logger.Info("instance started", "action", "start", "instance", instance.ID, "service", s.Purchase.Service,
 			"failure_domain", offer.FailureDomain, "class", offer.Class, "market", offer.Market, "price", offer.Price)
 		return true
 	case errors.Is(err, zinniamast.ErrRefused):
@@ -81,7 +81,8 @@
 	}
 }
 
-// stopInstances drains and returns instances and reports whether the intents changed.
+// stopInstances drains instances, returns the idle ones to the cloud and reports
+// whether the intents changed.
 func (c *Controller) stopInstances(ctx context.Context) bool {
 	changed := false
 	for i := range c.record.Stops {
@@ -101,7 +102,7 @@
 		s.Done = true
 		changed = true
 		c.metrics.stops.Inc()
-		c.config.Logger.Info("capacity", "action", "stop", "instance", s.Instance)
+		c.config.Logger.Info("instance stopped", "action", "stop", "instance", s.Instance)
 	}
 	return changed
 }
@@ -115,14 +116,16 @@
 	return c.config.Cloud.Stop(guarded, id)
 }
 
-// isIdle says whether an instance has finished its work. Only a report taken
-// after the news has settled counts, or a stop would cut what came since.
+// isIdle reports whether an instance has finished its work. A report counts only
+// if it was taken after every node learnt that the instance is leaving;
+// otherwise the stop would cut off requests that arrived since the report.
 func (c *Controller) isIdle(s *pendingStop) bool {
 	report, ok := c.config.Report(s.Instance)
 	return ok && report.Running+report.Waiting == 0 && report.At.Sub(s.At) > leavingPropagationTime
 }
 
-// sendOrders brings engines to hold what they shall.
+// sendOrders orders engines to load and unload models until they hold what the
+// demands require.
 func (c *Controller) sendOrders(ctx context.Context, v *view, demands []Demand) {
 	if v.now.Sub(c.takenOverAt) < takeOverDelay {
 		c.metrics.waits.WithLabelValues(waitTakeOver).Inc()
@@ -153,7 +156,7 @@
 	}
 }
 
-// sendOrder gives one order and reports whether the next may follow in this round.
+// sendOrder sends one order and reports whether more may be sent in this round.
 func (c *Controller) sendOrder(ctx context.Context, instance zinniamast.Instance, command Command) bool {
 	guarded, cancel, fence, err := c.config.Lease.Guard(ctx, callTimeout)
 	if err != nil {
@@ -166,7 +169,7 @@
 	}
 	if command.Order.Action == "load" {
 		if err := c.config.Weights.Permit(guarded, command.Order.Model); err != nil {
-			// The store's rate is spent; what is due waits for the next round.
+			// The weight store's rate limit is reached; the remaining orders wait for the next round.
 			c.metrics.waits.WithLabelValues(waitWeights).Inc()
 			return false
 		}
@@ -178,7 +181,7 @@
 		return true
 	}
 	c.metrics.orders.WithLabelValues(command.Order.Action).Inc()
-	c.config.Logger.Info("capacity", "action", command.Order.Action, "instance", instance.ID,
+	c.config.Logger.Info("order sent to engine", "action", command.Order.Action, "instance", instance.ID,
 		"model", command.Order.Model, "fence", fence)
 	return true
 }
--- a/capacity/configured.go
+++ b/capacity/configured.go
@@ -2,7 +2,7 @@
 
 import "zinniamast/config"
 
-// Classes returns the machine classes of a configuration.
+// Classes returns the instance classes of a configuration.
 func Classes(c *config.Config) []Class {
 	if c.Capacity == nil {
 		return nil
@@ -17,9 +17,9 @@
 	return classes
 }
 
-// Demands returns what the configured models need at the given rates, in
-// tokens a second. Without a capacity section there is no demand, and what has
-// no demand is neither bought nor returned.
+// Demands returns the demand of each configured model at the given rates, in
+// tokens a second. Without a capacity section it returns none; instances of a
+// service without a demand are neither bought nor returned.
 func Demands(c *config.Config, rates map[string]float64) []Demand {
 	if c.Capacity == nil {
 		return nil
--- a/capacity/controller.go
+++ b/capacity/controller.go
@@ -11,58 +11,58 @@
 	"zinniamast/lease"
 )
 
-// Config says what the controller works with.
+// Config holds the dependencies and settings of a controller.
 type Config struct {
-	// Lease makes this node the only one to act.
+	// Lease ensures that only one node acts at a time.
 	Lease *lease.Lease
-	// Table keeps the intents.
+	// Table stores the intents.
 	Table zinniamast.Table
-	// Cloud sells and takes back instances.
+	// Cloud starts and stops instances and lists offers and reclaim notices.
 	Cloud zinniamast.Cloud
-	// List shows instances, lagging.
+	// List lists the running instances; it may lag behind the cloud.
 	List zinniamast.InstanceList
-	// Weights permits loads.
+	// Weights grants permission to load models from the weight store.
 	Weights zinniamast.WeightStore
-	// Demands returns what the services need now; false means that a part of
-	// the fleet was not heard, so that nothing may be returned.
+	// Demands returns what the services need now; false means that figures of a
+	// part of the fleet are missing, so that no instance may be returned.
 	Demands func() ([]Demand, bool)
-	// Classes returns the machine classes; the configuration may change them.
+	// Classes returns the instance classes; the configuration may change them.
 	Classes func() []Class
-	// Engine returns the client of an instance, or nil where there is none.
+	// Engine returns the engine client of an instance, or nil if there is none.
 	Engine func(instance zinniamast.Instance) zinniamast.Engine
-	// Report returns an engine's last report; false means that it never reported.
+	// Report returns an engine's last load report; false means that there is none.
 	Report func(instance string) (zinniamast.LoadReport, bool)
-	// Leave tells every node that an instance takes no new work.
+	// Leave announces to every node that an instance takes no new work.
 	Leave func(instance string, at time.Time)
-	// Rules are the plan's constants.
+	// Rules are the settings of the plan.
 	Rules Rules
 	// Interval is the time between rounds; zero means five seconds.
 	Interval time.Duration
-	// PeakWindow is how long a peak of demand is remembered; zero means 10 minutes.
+	// PeakWindow is how long a peak of demand counts; zero means 10 minutes.
 	PeakWindow time.Duration
-	// Registerer takes the metrics; nil keeps them private.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
-	// Logger takes a line for each action; nil means slog's default.
+	// Logger logs each action; nil means slog's default.
 	Logger *slog.Logger
 }
 
-// The controller's pace.
+// Intervals and timeouts of the controller.
 const (
 	defaultInterval   = 5 * time.Second
 	defaultPeakWindow = 10 * time.Minute
 	// callTimeout bounds one call to the cloud or an engine.
 	callTimeout = 3 * time.Second
-	// exchangeInterval is how often a cheaper fleet is looked for.
+	// exchangeInterval is how often the controller searches for a cheaper fleet.
 	exchangeInterval = time.Minute
-	// offersInterval is how often prices are read.
+	// offersInterval is how often the controller reads offers and their prices.
 	offersInterval = 30 * time.Second
-	// takeOverDelay is how long after a take-over no order is given: an order that
-	// the former holder sent in its last moment has come by then.
+	// takeOverDelay is how long no order is sent after a take-over: by then an
+	// order that the former holder sent just before it lost the lease has arrived.
 	takeOverDelay = 2 * callTimeout
 )
 
-// Controller buys, returns and orders while it holds the lease. It belongs to
-// one goroutine.
+// Controller buys and returns instances and sends orders to engines while its
+// node holds the lease. It must be used by one goroutine only.
 type Controller struct {
 	config   Config
 	metrics  *metrics
@@ -71,7 +71,8 @@
 	orders   Orders
 
 	record *record
-	// fence is the number that record was read under; taken is since when.
+	// fence is the fencing number under which record was read, takenOverAt when
+	// this node took over with it.
 	fence        uint64
 	startedAt    time.Time
 	takenOverAt  time.Time
@@ -82,7 +83,7 @@
 	prices       map[kindName]float64
 }
 
-// New returns a controller; Run works it.
+// New returns a controller; Run starts its rounds.
 func New(c Config) *Controller {
 	if c.Interval == 0 {
 		c.Interval = defaultInterval
@@ -102,7 +103,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs a round at each interval until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.Interval)
 	defer ticker.Stop()
@@ -116,7 +117,7 @@
 	}
 }
 
-// round looks, plans, writes down what it will do and does it.
+// round observes the fleet, plans actions, stores them as intents and carries them out.
 func (c *Controller) round(ctx context.Context) {
 	asked, complete := c.config.Demands()
 	demands := c.peaks.apply(time.Now(), asked)
@@ -132,8 +133,8 @@
 	changed := c.record.prune(view.now, view.listed)
 	actions := c.plan(view, demands)
 	if !complete || view.now.Sub(c.startedAt) < c.config.PeakWindow {
-		// A node that has just started, or that does not hear a failure domain,
-		// sees less demand than there is; it would return what is in use.
+		// A node that has just started, or that receives no figures from a failure
+		// domain, sees less demand than there is and would return instances in use.
 		actions.Stops = nil
 	}
 	if c.recordIntents(view.now, actions) || changed {
@@ -149,7 +150,8 @@
 	c.sendOrders(ctx, view, demands)
 }
 
-// prepare says whether this node may act, and reads the intents after a take-over.
+// prepare reports whether this node may act. After a take-over it reads the stored
+// intents first.
 func (c *Controller) prepare(ctx context.Context) bool {
 	fence, err := c.config.Lease.Check(2 * callTimeout)
 	if err != nil {
@@ -173,8 +175,9 @@
 	return r.Fence <= fence
 }
 
-// save writes the intents. Whatever goes wrong, they are read again before
-// the next action: the write may stand, or another holder's may.
+// save writes the intents and reports whether that succeeded. After an error they
+// are read again before the next action, since this write or one of another
+// holder may have taken effect.
 func (c *Controller) save(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -189,5 +192,5 @@
 
 func (c *Controller) recordFailure(step string, err error) {
 	c.metrics.failures.WithLabelValues(step).Inc()
-	c.config.Logger.Warn("capacity", "step", step, "error", err)
+	c.config.Logger.Warn("capacity step failed", "step", step, "error", err)
 }
--- a/capacity/controller_test.go
+++ b/capacity/controller_test.go
@@ -18,8 +18,8 @@
 	"zinniamast/standin/platform"
 )
 
-// fakeEngine is a replica that takes two minutes to load a model and reports late.
-// It ignores fencing numbers.
+// fakeEngine is a replica that takes two minutes to load a model and whose reports
+// lag. It ignores fencing numbers.
 type fakeEngine struct {
 	zinniamast.Engine
 
@@ -46,14 +46,14 @@
 	return nil
 }
 
-// orderCount returns how many orders came.
+// orderCount returns the number of orders received.
 func (e *fakeEngine) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.orders)
 }
 
-// setRunning sets how many requests run.
+// setRunning sets the number of running requests.
 func (e *fakeEngine) setRunning(running int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,14 +75,14 @@
 	return r
 }
 
-// cluster is a platform with engines and some nodes that run a controller.
+// cluster is a simulated platform with engines and nodes that run a controller.
 type cluster struct {
 	platform *platform.Platform
 	mu       sync.Mutex
 	engines  map[string]*fakeEngine
 	units    float64
 	models   []string
-	// complete is false while a part of the fleet is not heard.
+	// complete is false while the figures of a part of the fleet are missing.
 	complete  bool
 	announced map[string]bool
 	running   sync.WaitGroup
@@ -139,7 +139,8 @@
 	s.announced[id] = true
 }
 
-// leavingCounts returns how many instances were announced as leaving, and how many of them still live.
+// leavingCounts returns how many instances were announced as leaving, and how many of
+// them are still live.
 func (s *cluster) leavingCounts() (announced, live int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +158,7 @@
 	return s.announced[id]
 }
 
-// readyUnits counts the units that serve, without those that left.
+// readyUnits returns the units of the instances that serve and are not leaving.
 func (s *cluster) readyUnits() (units float64) {
 	for _, instance := range s.platform.Cloud.Live() {
 		if models := s.engine(instance.ID).report().Models; len(models) > 0 && !s.isLeaving(instance.ID) {
@@ -167,15 +168,16 @@
 	return units
 }
 
-// startNode starts a node with lease and controller; cloud may stand before the platform's.
+// startNode starts a node with a lease and a controller; cloud may wrap the platform's
+// cloud.
 func (s *cluster) startNode(name string, cloud zinniamast.Cloud, table zinniamast.Table) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	quiet := slog.New(slog.DiscardHandler)
+	discard := slog.New(slog.DiscardHandler)
 	l := lease.New(lease.Config{
 		Table:  table,
 		Name:   "capacity",
 		Holder: name,
-		Logger: quiet,
+		Logger: discard,
 	})
 	controller := capacity.New(capacity.Config{
 		Lease:   l,
@@ -189,21 +191,22 @@
 		Report:  func(id string) (zinniamast.LoadReport, bool) { return s.engine(id).report(), true },
 		Leave:   s.announceLeaving,
 		Rules:   capacity.Rules{MaxLoading: 20},
-		Logger:  quiet,
+		Logger:  discard,
 	})
 	s.running.Go(func() { l.Run(ctx) })
 	s.running.Go(func() { controller.Run(ctx) })
 	return cancel
 }
 
-// A failure domain's reclaimable instances get notice five minutes ahead and
-// go. Replacements must have loaded by then: the controller acts on the notice
-// although the list shows the old instances live for another 20 s.
+// Guards against capacity loss when a failure domain's reclaimable instances get
+// notice and are reclaimed five minutes later. The controller must act on the
+// notice, although the list shows the old instances as live for another 20 s, so
+// that the replacements have loaded by then.
 func TestReplacesInstancesOnReclaimNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
-		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
 		is.True(s.readyUnits() >= 4000)
 		before := s.platform.Counts().Starts
@@ -222,15 +225,15 @@
 		}
 		starts := s.platform.Counts().Starts
 		time.Sleep(6 * time.Hour)
-		t.Logf("starts %d, after six quiet hours %d", starts, s.platform.Counts().Starts)
+		t.Logf("starts %d, after six hours of constant demand %d", starts, s.platform.Counts().Starts)
 		is.True(s.platform.Counts().Starts <= starts+2)
-		end()
+		stop()
 		s.running.Wait()
 	})
 }
 
-// answerLosingCloud carries starts out and loses every answer until it is revived; the
-// holder dies believing nothing was bought.
+// answerLosingCloud carries out starts but loses every answer, so that the holder
+// crashes without knowing of its purchases.
 type answerLosingCloud struct {
 	zinniamast.Cloud
 }
@@ -240,34 +243,35 @@
 	return zinniamast.Instance{}, errors.New("answer lost")
 }
 
-// The holder buys, every answer is lost, and it crashes. The next holder finds
-// the intents, asks again under the same tokens and gets the same instances:
-// nothing is paid twice.
+// Guards against buying instances twice: every answer to the holder's purchases is
+// lost, and the holder crashes. The next holder must read the intents, retry with
+// the same tokens and get the same instances.
 func TestNextHolderFinishesPurchases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
-		end := s.startNode("one", answerLosingCloud{s.platform.Cloud}, s.platform.Table)
+		stop := s.startNode("one", answerLosingCloud{s.platform.Cloud}, s.platform.Table)
 		time.Sleep(30 * time.Second)
-		bought := s.platform.Counts().Starts
-		is.True(bought > 0)
-		end()
-		endNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
+		purchased := s.platform.Counts().Starts
+		is.True(purchased > 0)
+		stop()
+		stopNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
-		is.Equal(s.platform.Counts().Starts, bought)
+		is.Equal(s.platform.Counts().Starts, purchased)
 		is.True(s.readyUnits() >= 4000)
-		endNext()
+		stopNext()
 		s.running.Wait()
 	})
 }
 
-// The weight store permits one load in five seconds while a whole fleet
-// starts. Loads are spread over its rate and each replica is ordered once.
+// Guards against overloading the weight store, which permits one load in five
+// seconds, while a whole fleet starts. Load orders must keep to its rate, and each
+// replica must get one order only.
 func TestLoadsFollowWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{PermitsASecond: 0.2})
-		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		began, last := time.Now(), 0
 		for range 60 {
 			time.Sleep(5 * time.Second)
@@ -280,36 +284,37 @@
 		}
 		is.True(time.Since(began) >= 5*time.Minute)
 		is.Equal(last, int(s.platform.Counts().Starts))
-		end()
+		stop()
 		s.running.Wait()
 	})
 }
 
-// Starts are refused in the cheapest domains for an hour. The load is carried
-// from elsewhere within minutes, and refused offers are asked for seldom.
+// Guards against lost capacity while the cloud refuses starts in the cheapest
+// failure domains. The other domains must carry the load within minutes.
 func TestRefusedStartsUseOtherFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
 		is.NoErr(s.platform.SetFault(platform.ServiceCloud, platform.Fault{RefuseStarts: []string{"a", "b"}}))
-		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(10 * time.Minute)
 		is.True(s.readyUnits() >= 4000)
 		for _, instance := range s.platform.Cloud.Live() {
 			is.True(instance.FailureDomain == "c" || instance.FailureDomain == "d")
 		}
-		end()
+		stop()
 		s.running.Wait()
 	})
 }
 
-// Demand falls, and a replica in surplus still writes a long answer. It is
-// announced as leaving and returned only when the answer is done.
+// Guards against cutting off a running request when demand falls: a surplus replica
+// that is still generating must be announced as leaving, and returned only after the
+// request is done.
 func TestReturnsOnlyIdleInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
-		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		full := s.platform.Cloud.Live()
 		for _, instance := range full {
@@ -330,20 +335,21 @@
 		is.Equal(live, 0)
 		is.True(len(s.platform.Cloud.Live()) >= len(full)-announced)
 		is.True(s.readyUnits() >= 1000)
-		end()
+		stop()
 		s.running.Wait()
 	})
 }
 
-// A former holder was paused in the middle of an order, another took over and
-// moved the fleet to a new version; then the old order arrives at engines that
-// ignore fencing numbers and unloads the new version. The new holder sees it
-// in the report and orders it right, and no replica flaps after that.
+// Guards against the delayed order of a former holder that was paused while sending
+// it. Another node took over and moved the fleet to a new version; then the old
+// order reaches an engine that ignores fencing numbers and unloads the new version.
+// The new holder must see this in the report and correct it, and the replica must
+// not flap afterwards.
 func TestLateOrderIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
-		end := s.startNode("two", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(20 * time.Minute)
 		s.mu.Lock()
 		s.models = []string{"draft-2"}
@@ -365,13 +371,13 @@
 		for fmt.Sprint(s.engine(victim).report().Models) != "[draft-2]" && time.Since(began) < time.Hour {
 			time.Sleep(time.Second)
 		}
-		t.Logf("a late order was undone after %v", time.Since(began))
+		t.Logf("delayed order corrected after %v", time.Since(began))
 		is.True(time.Since(began) < 10*time.Minute)
 		time.Sleep(time.Minute)
 		orders := s.engine(victim).orderCount()
 		time.Sleep(2 * time.Hour)
 		is.Equal(s.engine(victim).orderCount(), orders)
-		end()
+		stop()
 		s.running.Wait()
 	})
 }
--- a/capacity/demand.go
+++ b/capacity/demand.go
@@ -1,6 +1,6 @@
-// Package capacity decides which instances are bought and returned, and what
-// engines are ordered to load. Plan and PlanOrders are pure; Controller runs
-// them under a lease.
+// Package capacity decides which instances are bought and returned, and which
+// models engines are ordered to load. [Plan] and [Orders.Plan] do no I/O;
+// [Controller] runs them and carries out their results under a lease.
 package capacity
 
 import (
@@ -9,41 +9,41 @@
 	"zinniamast"
 )
 
-// Class is a machine class.
+// Class is an instance class.
 type Class struct {
 	// Name is the class's name in offers.
 	Name string `json:"name"`
-	// Units is how many tokens a second one instance gives at the latency target.
+	// Units is how many tokens a second one instance generates at the latency target.
 	Units float64 `json:"units"`
 }
 
 // Demand is what one service needs.
 type Demand struct {
-	// Service is the model deployment or plain service.
+	// Service is the name of the model deployment or plain service.
 	Service string
 	// Role is engine or service.
 	Role string
-	// Units is what must be there after the loss of any one failure domain, in
-	// tokens a second at the latency target.
+	// Units is the capacity that must remain after the loss of any one failure
+	// domain, in tokens a second at the latency target.
 	Units float64
-	// Reclaimable bounds the part of the units that may be reclaimable, 0 to 1.
+	// Reclaimable is the largest share of the units that may be reclaimable, 0 to 1.
 	Reclaimable float64
-	// Models are the models, adapters and versions that each replica shall hold.
+	// Models are the models, adapters and versions that each replica must have loaded.
 	Models []string
 }
 
-// Instance is an instance as the controller knows it.
+// Instance is an instance together with what the plan needs to know about it.
 type Instance struct {
 	zinniamast.Instance
-	// Price is the last known price per hour of its kind.
+	// Price is the last known price per hour of its failure domain, class and market.
 	Price float64
-	// Ready means that it serves; another is starting or loading.
+	// Ready means that it serves; an instance that is not ready is starting or loading.
 	Ready bool
 }
 
-// peakTracker remembers the highest demand of late. Demand that rises is met at once;
-// demand that falls is believed after a while only, since an instance returned
-// in a lull and bought back costs a load of its weights each time.
+// peakTracker keeps the highest recent demand of each service. A rise in demand
+// takes effect at once, a fall only after the window, since an instance that is
+// returned in a lull and bought back must load its weights again each time.
 type peakTracker struct {
 	window time.Duration
 	peaks  map[string][]peak
@@ -66,7 +66,7 @@
 	held := make([]Demand, len(demands))
 	for i, d := range demands {
 		peaks := h.peaks[d.Service]
-		// Peaks fall from first to last, so the first is the highest.
+		// Peaks are in descending order, so the first is the highest.
 		for len(peaks) > 0 && peaks[len(peaks)-1].units <= d.Units {
 			peaks = peaks[:len(peaks)-1]
 		}
--- a/capacity/example_test.go
+++ b/capacity/example_test.go
@@ -7,8 +7,8 @@
 	"zinniamast/config"
 )
 
-// A model asked for 1,000 tokens a second, in a configuration that allows two
-// in three units to be reclaimable.
+// The demand of a model with 1,000 requested tokens a second, in a configuration that
+// allows 67 % of the units to be reclaimable.
 func ExampleDemands() {
 	c, err := config.Parse([]byte(`{
 		"defaults": {"reclaimable_fraction": 0.67},
--- a/capacity/fleet.go
+++ b/capacity/fleet.go
@@ -6,17 +6,18 @@
 	"zinniamast"
 )
 
-// candidate is one instance, bought or on offer, as the plan counts it.
+// candidate is one instance, bought or on offer, that the plan may count in a fleet.
 type candidate struct {
 	offer zinniamast.Offer
 	units float64
-	// domain numbers the failure domain, and kind domain, class and market, so
-	// that a plan for thousands of instances compares numbers and not names.
+	// domain is the number of the failure domain, and kind that of the domain,
+	// class and market together, so that a plan for thousands of instances
+	// compares numbers and not names.
 	domain int
 	kind   int
 }
 
-// numbering gives failure domains and kinds of instances their numbers.
+// numbering assigns numbers to failure domains and kinds of instances.
 type numbering struct {
 	units   map[string]float64
 	domains map[string]int
@@ -41,7 +42,7 @@
 	return n
 }
 
-// candidate returns the part for an offer; it reports false for an unknown class.
+// candidate returns the candidate for an offer; it reports false for an unknown class.
 func (n *numbering) candidate(offer zinniamast.Offer) (candidate, bool) {
 	units := n.units[offer.Class]
 	if units <= 0 {
@@ -66,15 +67,15 @@
 	}, true
 }
 
-// unitPrice is the price of one unit for an hour.
+// unitPrice returns the price of one unit for an hour.
 func (p *candidate) unitPrice() float64 { return p.offer.Price / p.units }
 
 func (p *candidate) isReclaimable() bool { return p.offer.Market == zinniamast.Reclaimable }
 
-// epsilon absorbs the error of sums of floats.
+// epsilon absorbs the rounding error of floating-point sums.
 const epsilon = 1e-6
 
-// fleet sums the parts that serve one service.
+// fleet holds the sums over the candidates that serve one service.
 type fleet struct {
 	domains     []float64
 	total       float64
@@ -82,15 +83,15 @@
 	cost        float64
 }
 
-func newFleet(parts []candidate) *fleet {
+func newFleet(candidates []candidate) *fleet {
 	f := &fleet{}
-	for i := range parts {
-		f.add(&parts[i], 1)
+	for i := range candidates {
+		f.add(&candidates[i], 1)
 	}
 	return f
 }
 
-// add counts a part in, or out with sign -1.
+// add adds a candidate with sign 1 and removes it with sign -1.
 func (f *fleet) add(p *candidate, sign float64) {
 	for len(f.domains) <= p.domain {
 		f.domains = append(f.domains, 0)
@@ -103,7 +104,8 @@
 	}
 }
 
-// unitsAfterDomainLoss is what is left after the loss of the largest failure domain.
+// unitsAfterDomainLoss returns the units that remain after the loss of the largest
+// failure domain.
 func (f *fleet) unitsAfterDomainLoss() float64 {
 	largest := 0.0
 	for _, units := range f.domains {
@@ -114,27 +116,29 @@
 
 func (f *fleet) hasAllowedMix(d Demand) bool { return f.reclaimable <= d.Reclaimable*f.total+epsilon }
 
-// meets says whether the fleet carries the demand after the loss of any one domain.
+// meets reports whether the fleet meets the demand after the loss of any one
+// failure domain and has no more reclaimable units than allowed.
 func (f *fleet) meets(d Demand) bool {
 	return f.unitsAfterDomainLoss()+epsilon >= d.Units && f.hasAllowedMix(d)
 }
 
-// trim drops parts, the dearest per unit first, that the demand does not need,
-// and returns what is left and what was dropped as indexes.
-func trim(parts []candidate, d Demand, droppable func(i int) bool) (kept []candidate, dropped []int) {
-	order := make([]int, len(parts))
+// trim drops candidates that the demand does not need, the most expensive per
+// unit first. It returns the retained candidates and the indexes of the dropped ones.
+func trim(candidates []candidate, d Demand, droppable func(i int) bool) (retained []candidate, dropped []int) {
+	order := make([]int, len(candidates))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return compare(parts[b].unitPrice(), parts[a].unitPrice())
+		return compare(candidates[b].unitPrice(), candidates[a].unitPrice())
 	})
-	f := newFleet(parts)
-	gone := make([]bool, len(parts))
-	// needed marks kinds of which one could not be dropped: then no other can.
+	f := newFleet(candidates)
+	isDropped := make([]bool, len(candidates))
+	// needed marks kinds of which one could not be dropped; then no other of
+	// that kind can be dropped either.
 	var needed []bool
 	for _, i := range order {
-		p := &parts[i]
+		p := &candidates[i]
 		for len(needed) <= p.kind {
 			needed = append(needed, false)
 		}
@@ -143,19 +147,19 @@
 		}
 		f.add(p, -1)
 		if f.meets(d) {
-			gone[i] = true
+			isDropped[i] = true
 			dropped = append(dropped, i)
 			continue
 		}
 		f.add(p, 1)
 		needed[p.kind] = true
 	}
-	for i, p := range parts {
-		if !gone[i] {
-			kept = append(kept, p)
+	for i, p := range candidates {
+		if !isDropped[i] {
+			retained = append(retained, p)
 		}
 	}
-	return kept, dropped
+	return retained, dropped
 }
 
 func compare(a, b float64) int {
--- a/capacity/ideal.go
+++ b/capacity/ideal.go
@@ -8,31 +8,34 @@
 	"zinniamast"
 )
 
-// idealFleet returns the cheapest fleet found for a demand, bought anew.
+// idealFleet returns the cheapest fleet found for a demand if all instances were
+// bought from scratch.
 //
-// For k failure domains that share the load, each needs 1/(k-1) of the demand,
-// for then the loss of one leaves all of it. More domains need less in all but
-// reach dearer ones; the optimum of the underlying linear program splits
-// evenly over some k cheapest, so trying every k finds it, up to whole
-// instances. Single classes are tried as well: for a small demand a small
-// class may be cheaper though it is dearer per unit.
+// If k failure domains share the load, each needs 1/(k-1) of the demand, so that
+// the others still meet all of it after the loss of one. With more domains the
+// total is smaller but includes more expensive domains. The optimum of the
+// underlying linear program splits evenly over the k cheapest domains for some
+// k, so trying every k finds it, apart from rounding to whole instances. Each
+// class is also tried alone: for a small demand a small class may be cheaper
+// although its price per unit is higher.
 func idealFleet(d Demand, offers []candidate) ([]candidate, bool) {
 	var best []candidate
 	lowest := math.Inf(1)
-	for _, choice := range offerSets(offers) {
-		sides := domainsByPrice(choice, d)
-		for k := 2; k <= len(sides); k++ {
-			parts, _ := trim(correctMix(spread(d, sides[:k]), d, sides[:k]), d, alwaysDroppable)
-			f := newFleet(parts)
+	for _, set := range offerSets(offers) {
+		domains := domainsByPrice(set, d)
+		for k := 2; k <= len(domains); k++ {
+			candidates, _ := trim(correctMix(spread(d, domains[:k]), d, domains[:k]), d, alwaysDroppable)
+			f := newFleet(candidates)
 			if f.meets(d) && f.cost < lowest {
-				best, lowest = parts, f.cost
+				best, lowest = candidates, f.cost
 			}
 		}
 	}
 	return best, best != nil
 }
 
-// offerSets returns all offers, and those of each class alone.
+// offerSets returns the set of all offers and, if there are several classes, the
+// offers of each class alone.
 func offerSets(offers []candidate) [][]candidate {
 	all := [][]candidate{offers}
 	classes := map[string][]candidate{}
@@ -52,16 +55,17 @@
 	return all
 }
 
-// domainOffers is the cheapest that one failure domain offers in each market.
+// domainOffers holds the cheapest offer per unit of one failure domain in each market.
 type domainOffers struct {
 	failureDomain string
 	reclaimable   *candidate
 	onDemand      *candidate
-	// unitPrice is that of one unit in the mix that the demand allows.
+	// unitPrice is the price of one unit at the mix of markets that the demand allows.
 	unitPrice float64
 }
 
-// domainsByPrice returns the failure domains, the cheapest first.
+// domainsByPrice returns the cheapest offers of each failure domain, the cheapest
+// domain first.
 func domainsByPrice(offers []candidate, d Demand) []domainOffers {
 	byDomain := map[string]*domainOffers{}
 	for i := range offers {
@@ -81,21 +85,21 @@
 			*best = p
 		}
 	}
-	sides := make([]domainOffers, 0, len(byDomain))
+	domains := make([]domainOffers, 0, len(byDomain))
 	for _, s := range byDomain {
 		if s.reclaimable != nil && s.onDemand != nil && s.onDemand.unitPrice() <= s.reclaimable.unitPrice() {
 			s.reclaimable = nil
 		}
 		s.unitPrice = s.mixedUnitPrice(d.Reclaimable)
-		sides = append(sides, *s)
+		domains = append(domains, *s)
 	}
-	slices.SortFunc(sides, func(a, b domainOffers) int {
+	slices.SortFunc(domains, func(a, b domainOffers) int {
 		if c := compare(a.unitPrice, b.unitPrice); c != 0 {
 			return c
 		}
 		return strings.Compare(a.failureDomain, b.failureDomain)
 	})
-	return sides
+	return domains
 }
 
 func (s *domainOffers) mixedUnitPrice(reclaimable float64) float64 {
@@ -108,7 +112,7 @@
 	return reclaimable*s.reclaimable.unitPrice() + (1-reclaimable)*s.onDemand.unitPrice()
 }
 
-// premium is what a unit costs more on demand.
+// premium returns how much more a unit costs on demand than reclaimable.
 func (s *domainOffers) premium() float64 {
 	switch {
 	case s.onDemand == nil:
@@ -119,14 +123,14 @@
 	return s.onDemand.unitPrice() - s.reclaimable.unitPrice()
 }
 
-// spread gives each side the same share and puts what must be on demand where
-// it costs least more.
-func spread(d Demand, sides []domainOffers) []candidate {
-	share := d.Units / float64(len(sides)-1)
-	quota := (1 - d.Reclaimable) * share * float64(len(sides))
-	order := slices.Clone(sides)
+// spread gives each failure domain the same share of the demand and buys the part
+// that must be on demand where its premium is lowest.
+func spread(d Demand, domains []domainOffers) []candidate {
+	share := d.Units / float64(len(domains)-1)
+	quota := (1 - d.Reclaimable) * share * float64(len(domains))
+	order := slices.Clone(domains)
 	slices.SortStableFunc(order, func(a, b domainOffers) int { return compare(a.premium(), b.premium()) })
-	var parts []candidate
+	var candidates []candidate
 	for _, s := range order {
 		for units := 0.0; units+epsilon < share; {
 			p := s.reclaimable
@@ -134,45 +138,47 @@
 				p = s.onDemand
 				quota -= p.units
 			}
-			parts = append(parts, *p)
+			candidates = append(candidates, *p)
 			units += p.units
 		}
 	}
-	return parts
+	return candidates
 }
 
-// correctMix puts more on demand where whole instances left too much reclaimable.
-func correctMix(parts []candidate, d Demand, sides []domainOffers) []candidate {
-	f := newFleet(parts)
-	order := slices.Clone(sides)
+// correctMix replaces reclaimable candidates by on-demand ones where rounding to whole
+// instances left too large a reclaimable share.
+func correctMix(candidates []candidate, d Demand, domains []domainOffers) []candidate {
+	f := newFleet(candidates)
+	order := slices.Clone(domains)
 	slices.SortStableFunc(order, func(a, b domainOffers) int { return compare(a.premium(), b.premium()) })
 	for _, s := range order {
-		for i := range parts {
+		for i := range candidates {
 			if f.hasAllowedMix(d) {
-				return parts
+				return candidates
 			}
-			if s.onDemand == nil || parts[i].domain != s.onDemand.domain || !parts[i].isReclaimable() {
+			if s.onDemand == nil || candidates[i].domain != s.onDemand.domain || !candidates[i].isReclaimable() {
 				continue
 			}
-			units := parts[i].units - s.onDemand.units
-			f.add(&parts[i], -1)
-			parts[i] = *s.onDemand
-			f.add(&parts[i], 1)
+			units := candidates[i].units - s.onDemand.units
+			f.add(&candidates[i], -1)
+			candidates[i] = *s.onDemand
+			f.add(&candidates[i], 1)
 			for ; units > epsilon; units -= s.onDemand.units {
-				parts = append(parts, *s.onDemand)
+				candidates = append(candidates, *s.onDemand)
 				f.add(s.onDemand, 1)
 			}
 		}
 	}
-	return parts
+	return candidates
 }
 
-// maxAddedInstances bounds grow against a demand that no offer can meet.
+// maxAddedInstances ends grow if no number of offers can meet the demand.
 const maxAddedInstances = 10000
 
-// grow adds offers to what is there until the demand is met or nothing helps.
-func grow(have []candidate, d Demand, offers []candidate) []candidate {
-	f := newFleet(have)
+// grow returns the offers to add to a fleet until it meets the demand or no offer
+// brings it closer.
+func grow(present []candidate, d Demand, offers []candidate) []candidate {
+	f := newFleet(present)
 	var added []candidate
 	for !f.meets(d) && len(added) < maxAddedInstances {
 		p := bestOffer(f, d, offers)
@@ -185,7 +191,8 @@
 	return added
 }
 
-// bestOffer returns the offer that brings the most for its price, or nil.
+// bestOffer returns the offer with the lowest price per unit gained, or nil if no
+// offer helps.
 func bestOffer(f *fleet, d Demand, offers []candidate) *candidate {
 	var best *candidate
 	lowest := math.Inf(1)
@@ -193,14 +200,14 @@
 	for i := range offers {
 		p := &offers[i]
 		f.add(p, 1)
-		gain, mixed := f.unitsAfterDomainLoss()-before, f.hasAllowedMix(d)
+		gain, isMixAllowed := f.unitsAfterDomainLoss()-before, f.hasAllowedMix(d)
 		f.add(p, -1)
 		if before+epsilon >= d.Units {
-			// Only the mix is wrong.
+			// There are enough units, but the reclaimable share is too large.
 			gain = p.units
-			mixed = p.offer.Market == zinniamast.OnDemand
+			isMixAllowed = p.offer.Market == zinniamast.OnDemand
 		}
-		if !mixed || gain <= epsilon {
+		if !isMixAllowed || gain <= epsilon {
 			continue
 		}
 		if price := p.offer.Price / min(gain, p.units); price < lowest {
@@ -208,7 +215,8 @@
 		}
 	}
 	if best == nil && f.total+epsilon < d.Units {
-		// One failure domain alone is left: no spread is to be had, but the load must be carried.
+		// Only one failure domain has offers: its loss can't be survived, but the
+		// load must still be served.
 		return cheapestOffer(offers)
 	}
 	return best
--- a/capacity/look.go
+++ b/capacity/look.go
@@ -13,14 +13,15 @@
 	"zinniamast"
 )
 
-// view is what a round sees.
+// view is the state of the fleet that a round observes.
 type view struct {
 	now     time.Time
 	listed  map[string]zinniamast.Instance
 	leaving map[string]bool
 }
 
-// observe asks the platform for instances, notices and prices.
+// observe reads instances, notices and, if the last ones are stale, offers from the
+// platform.
 func (c *Controller) observe(ctx context.Context) (*view, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -61,8 +62,8 @@
 		v.listed[instance.ID] = instance
 		v.leaving[instance.ID] = instance.Leaving
 	}
-	// A notice counts at once, whatever the lagging list says: the replacement
-	// must load its weights while the old instance still works.
+	// A notice counts at once, even if the lagging list doesn't show it yet: the
+	// replacement must load its weights while the old instance still serves.
 	for _, notice := range notices {
 		v.leaving[notice.Instance] = true
 	}
@@ -72,7 +73,7 @@
 	return v, nil
 }
 
-// plan turns the view into actions.
+// plan decides on the actions for a view.
 func (c *Controller) plan(v *view, demands []Demand) Actions {
 	s := Snapshot{
 		Now:     v.now,
@@ -122,7 +123,8 @@
 	return actions
 }
 
-// expectedInstance is the instance that a purchase leads to, also before the cloud answers.
+// expectedInstance returns the instance that results from a purchase. Its ID is empty
+// until the cloud has answered.
 func (s pendingStart) expectedInstance() zinniamast.Instance {
 	instance := s.Instance
 	instance.FailureDomain = s.Purchase.Offer.FailureDomain
@@ -134,7 +136,7 @@
 	return instance
 }
 
-// isServing says whether an instance holds all that it shall.
+// isServing reports whether an instance has loaded all the given models and is not leaving.
 func (c *Controller) isServing(instance zinniamast.Instance, models []string) bool {
 	if instance.ID == "" {
 		return false
@@ -143,7 +145,7 @@
 	return ok && !report.Leaving && len(missing(models, report.Models)) == 0
 }
 
-// recordIntents puts the actions into the intents and reports whether there are any.
+// recordIntents adds the actions to the intents and reports whether there were any.
 func (c *Controller) recordIntents(now time.Time, actions Actions) bool {
 	for _, purchase := range actions.Starts {
 		c.sequence++
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -13,31 +13,32 @@
 	"zinniamast/blackboard"
 )
 
-// MeterConfig says what a meter works with.
+// MeterConfig holds the dependencies and settings of a meter.
 type MeterConfig struct {
-	// Gossip carries the figures.
+	// Gossip distributes the rates.
 	Gossip zinniamast.Gossip
-	// Members are the entry instances.
+	// Members are the nodes on the entry instances.
 	Members *blackboard.Members
-	// Node and FailureDomain are this node's.
+	// Node is this node's ID and FailureDomain its failure domain.
 	Node          string
 	FailureDomain string
 }
 
-// The meter's pace. A node's figure goes to its failure domain; the live node
-// with the lowest ID there tells the sum to all, so that a node hears one
-// figure a domain and not one a node.
+// Intervals and gossip keys of the meter. A node publishes its rates within its
+// failure domain; the live node with the lowest ID there publishes the domain's
+// sum to all nodes, so that a node receives one sum from each other domain and
+// not the rates of each of its nodes.
 const (
 	meterInterval = 15 * time.Second
 	meterExpiry   = 4 * meterInterval
-	// silentDomainTimeout is how long a failure domain that is no longer heard counts as
-	// cut off; after that as gone.
+	// silentDomainTimeout is how long a failure domain from which no sum arrives
+	// any more counts as cut off; after that it counts as removed.
 	silentDomainTimeout = time.Hour
 	sumKey              = "sum"
 	nodeKey             = "node"
 )
 
-// Meter counts what is asked of each service, in tokens, and adds up the fleet.
+// Meter measures the demand for each service in tokens and sums it over the fleet.
 type Meter struct {
 	config MeterConfig
 
@@ -46,7 +47,8 @@
 	counts       map[string]float64
 	rates        map[string]float64
 	countedSince time.Time
-	// nodes holds what others of this failure domain said; domains each domain's sum.
+	// nodes holds the rates of other nodes in this failure domain by node ID, and
+	// domains the sum of each failure domain.
 	nodes   map[string]receivedRates
 	domains map[string]receivedRates
 }
@@ -57,7 +59,7 @@
 	expires    time.Time
 }
 
-// NewMeter returns a meter that listens at once; Run makes it publish.
+// NewMeter returns a meter that receives rates at once; Run publishes its own.
 func NewMeter(c MeterConfig) *Meter {
 	m := &Meter{
 		config:       c,
@@ -71,15 +73,15 @@
 	return m
 }
 
-// Add counts tokens that were generated, or that were asked for and refused
-// for want of capacity.
+// Add counts tokens that were generated, or that were requested and refused for
+// lack of capacity.
 func (m *Meter) Add(service string, tokens int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts[service] += float64(tokens)
 }
 
-// Run publishes until ctx ends.
+// Run publishes rates at each interval until ctx ends.
 func (m *Meter) Run(ctx context.Context) {
 	ticker := time.NewTicker(meterInterval)
 	defer ticker.Stop()
@@ -94,7 +96,7 @@
 }
 
 func (m *Meter) publish(now time.Time) {
-	speaks := m.publishesSum()
+	publishes := m.publishesSum()
 	m.mu.Lock()
 	seconds := now.Sub(m.countedSince).Seconds()
 	m.rates = map[string]float64{}
@@ -106,14 +108,15 @@
 	sum := m.domainSum(now)
 	m.mu.Unlock()
 	m.publishRates(nodeKey, own, false, now)
-	if speaks {
+	if publishes {
 		m.publishRates(sumKey+"/"+m.config.FailureDomain, sum, true, now)
 	}
 }
 
-// publishesSum says whether this node tells the domain's sum. Two that both believe
-// so, because they do not hear each other, tell figures of one name, and the
-// later one counts: the demand is then seen too low in part, never doubled.
+// publishesSum reports whether this node publishes the domain's sum. If two nodes
+// that can't reach each other both do, they publish under the same key and the
+// later sum replaces the earlier one: the demand then appears too low in part,
+// but is never counted twice.
 func (m *Meter) publishesSum() bool {
 	for _, member := range m.config.Members.All() {
 		if member.FailureDomain == m.config.FailureDomain && !member.Dead && member.ID < m.config.Node {
@@ -123,7 +126,7 @@
 	return true
 }
 
-// domainSum adds up the failure domain; the caller holds the lock.
+// domainSum sums the rates of this failure domain; the caller holds the lock.
 func (m *Meter) domainSum(now time.Time) map[string]float64 {
 	total := maps.Clone(m.rates)
 	for node, h := range m.nodes {
@@ -142,22 +145,23 @@
 	}
 }
 
-// publishRates publishes rates, the largest first as far as they fit into one item.
-func (m *Meter) publishRates(key string, rates map[string]float64, wide bool, now time.Time) {
+// publishRates publishes rates. If they don't fit into one gossip item, it omits the
+// smallest.
+func (m *Meter) publishRates(key string, rates map[string]float64, isWide bool, now time.Time) {
 	services := slices.SortedFunc(maps.Keys(rates), func(a, b string) int { return compare(rates[b], rates[a]) })
 	for {
-		kept := map[string]float64{}
+		included := map[string]float64{}
 		for _, service := range services {
-			kept[service] = float64(int(rates[service] + 0.5))
+			included[service] = float64(int(rates[service] + 0.5))
 		}
-		value, err := json.Marshal(kept)
+		value, err := json.Marshal(included)
 		if err == nil && len(value) <= zinniamast.MaxNews {
 			m.config.Gossip.Publish(zinniamast.News{
 				Topic:   zinniamast.TopicDemand,
 				Key:     key,
 				Value:   value,
 				Expires: now.Add(meterExpiry),
-				Wide:    wide,
+				Wide:    isWide,
 			})
 			return
 		}
@@ -165,7 +169,7 @@
 	}
 }
 
-// receive takes in another node's figure or a domain's sum.
+// receive stores another node's rates or a domain's sum.
 func (m *Meter) receive(news zinniamast.News) {
 	var rates map[string]float64
 	if json.Unmarshal(news.Value, &rates) != nil {
@@ -188,8 +192,8 @@
 	}
 }
 
-// Rates returns the fleet's tokens a second by service. False means that a
-// failure domain heard within the last hour is silent now; its last figure
+// Rates returns the fleet's tokens a second by service. False means that the sum
+// of a failure domain that reported within the last hour has expired; that sum
 // still counts.
 func (m *Meter) Rates() (map[string]float64, bool) {
 	now := time.Now()
--- a/capacity/meter_test.go
+++ b/capacity/meter_test.go
@@ -15,8 +15,8 @@
 	"zinniamast/standin/platform"
 )
 
-// gossipBus is gossip between the meters of a test; a cut failure domain neither
-// hears nor is heard.
+// gossipBus delivers gossip between the meters of a test, but none between the
+// isolated failure domain and the others.
 type gossipBus struct {
 	mu        sync.Mutex
 	endpoints []*busEndpoint
@@ -43,25 +43,26 @@
 	defer e.bus.mu.Unlock()
 	news.Origin = e.node
 	for _, other := range e.bus.endpoints {
-		near := other.domain == e.domain
-		if other.receive == nil || !near && (!news.Wide || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
+		sameDomain := other.domain == e.domain
+		if other.receive == nil || !sameDomain && (!news.Wide || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
 			continue
 		}
 		other.receive(news)
 	}
 }
 
-// Nine nodes in three failure domains count; every node learns the fleet's sum
-// from one figure a domain. One domain is cut off: the others keep its last
-// figure and say that they do not know all, so that nothing is returned. The
-// node that tells a domain's sum dies: the next one does.
+// Guards against a wrong sum of demand on any of nine nodes in three failure domains,
+// each of which receives one sum from each other domain. While one domain is cut
+// off, the others must keep its last sum and report incomplete rates, so that no
+// instance is returned. When the node that publishes a domain's sum dies, the next
+// one must take over.
 func TestMeterSumsFleetDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := &gossipBus{}
 		members := blackboard.NewMembers()
 		var meters []*capacity.Meter
-		var ends []context.CancelFunc
+		var stops []context.CancelFunc
 		var running sync.WaitGroup
 		for _, domain := range []string{"a", "b", "c"} {
 			for _, n := range []string{"1", "2", "3"} {
@@ -70,21 +71,21 @@
 					member.FailureDomain = domain
 					return true
 				})
-				end := &busEndpoint{
+				endpoint := &busEndpoint{
 					bus:    b,
 					node:   id,
 					domain: domain,
 				}
-				b.endpoints = append(b.endpoints, end)
+				b.endpoints = append(b.endpoints, endpoint)
 				meter := capacity.NewMeter(capacity.MeterConfig{
-					Gossip:        end,
+					Gossip:        endpoint,
 					Members:       members,
 					Node:          id,
 					FailureDomain: domain,
 				})
 				meters = append(meters, meter)
 				ctx, cancel := context.WithCancel(context.Background())
-				ends = append(ends, cancel)
+				stops = append(stops, cancel)
 				running.Go(func() { meter.Run(ctx) })
 			}
 		}
@@ -116,33 +117,33 @@
 		b.mu.Lock()
 		b.endpoints[3].receive = nil
 		b.mu.Unlock()
-		ends[3]()
+		stops[3]()
 		count(120)
 		rates, all := meters[0].Rates()
 		is.True(all)
 		is.True(rates["draft"] > 700 && rates["draft"] < 900)
-		for _, end := range ends {
-			end()
+		for _, stop := range stops {
+			stop()
 		}
 		running.Wait()
 	})
 }
 
-// A node takes over that has just started, while a failure domain is cut off:
-// it sees no demand, and must not return what is in use.
+// Guards against returning instances in use: a node that has just started takes over
+// while a failure domain is cut off, so that it sees no demand.
 func TestReturnsNothingOnIncompleteDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newCluster(platform.Config{})
-		end := s.startNode("one", s.platform.Cloud, s.platform.Table)
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		full := len(s.platform.Cloud.Live())
-		end()
+		stop()
 		s.mu.Lock()
 		s.units = 0
 		s.complete = false
 		s.mu.Unlock()
-		endNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
+		stopNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		is.Equal(len(s.platform.Cloud.Live()), full)
 		s.mu.Lock()
@@ -150,7 +151,7 @@
 		s.mu.Unlock()
 		time.Sleep(time.Hour)
 		is.True(len(s.platform.Cloud.Live()) < full)
-		endNext()
+		stopNext()
 		s.running.Wait()
 	})
 }
--- a/capacity/metrics.go
+++ b/capacity/metrics.go
@@ -17,7 +17,8 @@
 	failures *prometheus.CounterVec
 }
 
-// Steps of a round that may fail, as metric labels.
+// Metric labels: steps of a round that may fail, and reasons for which an action is
+// put off to a later round.
 const (
 	stepRecord   = "record"
 	stepCloud    = "cloud"
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -7,15 +7,15 @@
 	"zinniamast"
 )
 
-// Replica is an engine as the order plan sees it.
+// Replica is what [Orders.Plan] needs to know about an engine.
 type Replica struct {
 	// Instance is the instance's ID.
 	Instance string
 	// Service is the model deployment that it serves.
 	Service string
-	// Loaded are the models it reported last.
+	// Loaded are the models in its last report.
 	Loaded []string
-	// Reported is when it reported; zero means never.
+	// Reported is the time of its last report; zero means that there is none.
 	Reported time.Time
 }
 
@@ -26,11 +26,12 @@
 	Order    zinniamast.Order
 }
 
-// Orders remembers what was ordered, so that a report that lags does not make
-// the controller order the same again and again.
+// Orders records the orders that were sent, so that the controller doesn't repeat
+// an order while the engine's report lags behind.
 type Orders struct {
-	// RetryDelay is how long an order may take to show in a report; it doubles
-	// with each repetition. Zero means five minutes, longer than a load takes.
+	// RetryDelay is how long an order may take to show in a report before it is
+	// repeated; it doubles with each repetition. Zero means five minutes, which is
+	// longer than a load takes.
 	RetryDelay time.Duration
 
 	sent map[orderKey]sentOrder
@@ -45,36 +46,37 @@
 	tries int
 }
 
-// Bounds of orders.
+// Limits of repeated orders and of unloading.
 const (
 	defaultRetryDelay = 5 * time.Minute
 	maxDelayDoublings = 5
-	// unloadThreshold is the share of a service's replicas that must hold all new
-	// models before any drops an old one.
+	// unloadThreshold is the share of a service's replicas that must have loaded
+	// all wanted models before any replica unloads an old one.
 	unloadThreshold = 0.9
 )
 
-// Plan compares what replicas hold with what they shall hold. An order names
-// the wanted state and never a change of it, so that one which comes twice or
-// late asks for what is wanted anyway; and what a late one spoiled shows in
-// the next report and is ordered right.
+// Plan compares the models that replicas have loaded with those that the demands
+// require and returns the orders that are due. An order names the wanted state
+// and not a change, so an order that arrives twice or late still asks for what is
+// wanted. If a late order of a former holder undoes the wanted state, the next
+// report shows it and Plan corrects it.
 func (o *Orders) Plan(now time.Time, demands []Demand, replicas []Replica) []Command {
 	var commands []Command
 	for _, d := range demands {
-		mine := slices.DeleteFunc(slices.Clone(replicas), func(r Replica) bool {
+		ours := slices.DeleteFunc(slices.Clone(replicas), func(r Replica) bool {
 			return r.Service != d.Service || r.Reported.IsZero()
 		})
 		complete := 0
-		for _, r := range mine {
+		for _, r := range ours {
 			if len(missing(d.Models, r.Loaded)) == 0 {
 				complete++
 			}
 		}
-		for _, r := range mine {
+		for _, r := range ours {
 			for _, model := range missing(d.Models, r.Loaded) {
 				commands = o.appendIfDue(commands, now, r, "load", model)
 			}
-			if len(missing(d.Models, r.Loaded)) > 0 || float64(complete) < unloadThreshold*float64(len(mine)) {
+			if len(missing(d.Models, r.Loaded)) > 0 || float64(complete) < unloadThreshold*float64(len(ours)) {
 				continue
 			}
 			for _, model := range missing(r.Loaded, d.Models) {
@@ -85,25 +87,26 @@
 	return commands
 }
 
-// missing returns the wanted that are not there.
-func missing(wanted, there []string) []string {
-	var none []string
+// missing returns the wanted models that are not present.
+func missing(wanted, present []string) []string {
+	var absent []string
 	for _, w := range wanted {
-		if !slices.Contains(there, w) {
-			none = append(none, w)
+		if !slices.Contains(present, w) {
+			absent = append(absent, w)
 		}
 	}
-	return none
+	return absent
 }
 
-// appendIfDue appends an order unless the last one like it may still be at work.
+// appendIfDue appends an order unless the engine may still be carrying out the last
+// identical one.
 func (o *Orders) appendIfDue(commands []Command, now time.Time, r Replica, action, model string) []Command {
-	patience := o.RetryDelay
-	if patience == 0 {
-		patience = defaultRetryDelay
+	delay := o.RetryDelay
+	if delay == 0 {
+		delay = defaultRetryDelay
 	}
 	last, ok := o.sent[keyOf(r.Instance, action, model)]
-	if ok && now.Sub(last.at) < patience<<min(last.tries-1, maxDelayDoublings) {
+	if ok && now.Sub(last.at) < delay<<min(last.tries-1, maxDelayDoublings) {
 		return commands
 	}
 	return append(commands, Command{
@@ -116,7 +119,7 @@
 	})
 }
 
-// Sent records that an order went out.
+// Sent records that an order was sent.
 func (o *Orders) Sent(now time.Time, c Command) {
 	if o.sent == nil {
 		o.sent = map[orderKey]sentOrder{}
@@ -126,7 +129,8 @@
 		at:    now,
 		tries: o.sent[key].tries + 1,
 	}
-	// The opposite order may be wanted again at once: what it undid is past.
+	// The opposite order must not wait if it is wanted again: this order has
+	// superseded the last one.
 	opposite := "load"
 	if c.Order.Action == opposite {
 		opposite = "unload"
@@ -134,7 +138,7 @@
 	delete(o.sent, keyOf(c.Instance, opposite, c.Order.Model))
 }
 
-// Retain forgets orders to instances that are gone.
+// Retain removes the orders to instances that are no longer alive.
 func (o *Orders) Retain(alive func(instance string) bool) {
 	for key := range o.sent {
 		if !alive(key.instance) {
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -7,39 +7,39 @@
 	"zinniamast"
 )
 
-// Snapshot is all that a plan is made from.
+// Snapshot is the input of a plan.
 type Snapshot struct {
 	// Now is when the snapshot was taken.
 	Now time.Time
 	// Demands are what the services need.
 	Demands []Demand
-	// Classes are the machine classes known.
+	// Classes are the known instance classes.
 	Classes []Class
-	// Offers are what may be bought now; what was refused lately is left out.
+	// Offers are what may be bought now, without recently refused offers.
 	Offers []zinniamast.Offer
-	// Instances are those that take work now or will; none that is leaving.
+	// Instances are those that serve now or will, without those that are leaving.
 	Instances []Instance
-	// Exchange asks to look for a cheaper fleet too, which costs some
+	// Exchange also enables the search for a cheaper fleet, which takes some
 	// milliseconds for each service of hundreds of instances.
 	Exchange bool
 }
 
-// Rules are the plan's few constants.
+// Rules are the settings of a plan.
 type Rules struct {
-	// MinDwell is how long an instance is kept at least; zero means 30 minutes.
+	// MinDwell is the age below which an instance is not returned; zero means 30 minutes.
 	MinDwell time.Duration
-	// Slack is by how much what is left must exceed the demand before an
-	// instance is returned; zero means 0.05.
+	// Slack is the share by which the remaining capacity must exceed the demand
+	// for an instance to be returned; zero means 0.05.
 	Slack float64
-	// SwitchGain is what share of the cost a rebuilt fleet must save before
-	// instances are exchanged for cheaper ones; zero means 0.2.
+	// SwitchGain is the share of the cost that a fleet bought from scratch must
+	// save before instances are exchanged for cheaper ones; zero means 0.2.
 	SwitchGain float64
-	// ReadyTimeout is how long an instance that serves nothing counts as
-	// capacity to come; zero means 15 minutes. After that it is replaced but not
-	// returned: it may serve where this node cannot see it.
+	// ReadyTimeout is how long an instance that is not ready counts as capacity;
+	// zero means 15 minutes. After that it is replaced but not returned, since it
+	// may be serving without its reports reaching this node.
 	ReadyTimeout time.Duration
-	// MaxLoading bounds the instances that are not ready yet, so that a wave of
-	// starts does not pay for machines that wait for weights; zero means 50.
+	// MaxLoading bounds the instances that are not ready yet, so that many starts
+	// at a time don't pay for instances that wait for weights; zero means 50.
 	MaxLoading int
 }
 
@@ -62,9 +62,9 @@
 	return r
 }
 
-// Actions are what a plan asks for.
+// Actions are the result of a plan.
 type Actions struct {
-	// Starts are what to buy, the most urgent first.
+	// Starts are the instances to buy, the most urgent first.
 	Starts []Purchase
 	// Stops are the instances to return.
 	Stops []string
@@ -78,11 +78,11 @@
 	Service string           `json:"service"`
 	Role    string           `json:"role"`
 	Offer   zinniamast.Offer `json:"offer"`
-	// shortfall is how much of the demand is missing, 0 to 1.
+	// shortfall is the share of the demand that is unmet, 0 to 1.
 	shortfall float64
 }
 
-// Plan decides what to buy and what to return.
+// Plan decides which instances to buy and which to return.
 func Plan(s Snapshot, rules Rules) Actions {
 	rules = rules.withDefaults()
 	numbers := newNumbering(s.Classes)
@@ -118,7 +118,7 @@
 	return actions
 }
 
-// planner plans for one service.
+// planner makes the plan for one service.
 type planner struct {
 	now             time.Time
 	rules           Rules
@@ -129,7 +129,7 @@
 	candidates      []candidate
 }
 
-// collect picks the service's instances and what each counts.
+// collect selects the service's instances and adds a candidate for each.
 func (p *planner) collect(instances []Instance, numbers *numbering) {
 	for i := range instances {
 		instance := &instances[i]
@@ -185,8 +185,8 @@
 }
 
 // fillShortfall returns what to buy so that the demand is met: first what the ideal
-// fleet has and this one lacks, then whatever helps most, less what turns out
-// to be too much.
+// fleet has and this one lacks, then the offers with the lowest price per unit
+// gained. Purchases that turn out to be unnecessary are left out.
 func (p *planner) fillShortfall() []candidate {
 	wanted, _ := idealFleet(p.demand, p.offers)
 	all := slices.Clone(p.candidates)
@@ -199,20 +199,21 @@
 		all = append(all, w)
 	}
 	all = append(all, grow(all, p.demand, p.offers)...)
-	kept, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.candidates) })
-	return kept[len(p.candidates):]
+	retained, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.candidates) })
+	return retained[len(p.candidates):]
 }
 
-// unmatched returns the wanted parts that no instance stands for, cheapest first.
+// unmatched returns the wanted candidates for which there is no instance of the same
+// kind, the cheapest per unit first.
 func (p *planner) unmatched(wanted []candidate) []candidate {
-	have := map[int]int{}
+	present := map[int]int{}
 	for _, a := range p.candidates {
-		have[a.kind]++
+		present[a.kind]++
 	}
 	var lacking []candidate
 	for _, w := range wanted {
-		if have[w.kind] > 0 {
-			have[w.kind]--
+		if present[w.kind] > 0 {
+			present[w.kind]--
 			continue
 		}
 		lacking = append(lacking, w)
@@ -221,8 +222,9 @@
 	return lacking
 }
 
-// surplus returns the instances to return: those that a raised demand does
-// not need either, old enough, counting only what is ready now.
+// surplus returns the IDs of the instances to return: those that are at least
+// MinDwell old and that even the raised demand doesn't need. Only ready
+// instances count.
 func (p *planner) surplus() []string {
 	raised := p.raisedDemand()
 	var ready []candidate
@@ -246,28 +248,29 @@
 	return stops
 }
 
-// raisedDemand is the demand that must be met by what stays before anything goes.
+// raisedDemand returns the demand that the remaining instances must meet for any
+// instance to be returned.
 func (p *planner) raisedDemand() Demand {
 	raised := p.demand
 	raised.Units *= 1 + p.rules.Slack
 	return raised
 }
 
-// exchangeDivisor is one over the part of a fleet that is exchanged at a time.
+// exchangeDivisor limits an exchange to one instance plus this fraction (1/50) of the fleet at a time.
 const exchangeDivisor = 50
 
-// exchange returns a few cheaper instances to buy if a fleet bought anew would
-// cost much less; once they are ready the dearest become surplus. Few at a
-// time, and never while another is loading, so that prices that swing do not
-// make the fleet swing.
+// exchange returns a few cheaper instances to buy if a fleet bought from scratch
+// would cost much less; once they are ready, the most expensive instances become
+// surplus. It exchanges only a few at a time and none while another is loading,
+// so that the fleet doesn't follow every price fluctuation.
 func (p *planner) exchange() []candidate {
 	for _, instance := range p.instances {
 		if !instance.Ready {
 			return nil
 		}
 	}
-	// What is surplus already but too young to go would be bought for again and
-	// again, and the fleet would grow instead of getting cheaper.
+	// While surplus instances are too young to be returned, each exchange would
+	// buy more of them, and the fleet would grow instead of getting cheaper.
 	if _, extra := trim(p.candidates, p.raisedDemand(), alwaysDroppable); len(extra) > 0 {
 		return nil
 	}
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -13,24 +13,25 @@
 	"zinniamast/capacity"
 )
 
-// simulatedFleet is a fleet that obeys plans at once, for tests of the plan alone.
+// simulatedFleet is a fleet on which plans take effect at once, for tests of the plan
+// alone.
 type simulatedFleet struct {
 	snapshot capacity.Snapshot
 	lastID   int
 }
 
 func (w *simulatedFleet) apply(actions capacity.Actions) {
-	kept := w.snapshot.Instances[:0]
+	retained := w.snapshot.Instances[:0]
 	for _, instance := range w.snapshot.Instances {
 		stopped := false
 		for _, id := range actions.Stops {
 			stopped = stopped || id == instance.ID
 		}
 		if !stopped {
-			kept = append(kept, instance)
+			retained = append(retained, instance)
 		}
 	}
-	w.snapshot.Instances = kept
+	w.snapshot.Instances = retained
 	for _, purchase := range actions.Starts {
 		w.lastID++
 		w.snapshot.Instances = append(w.snapshot.Instances, capacity.Instance{
@@ -49,7 +50,8 @@
 	w.snapshot.Now = w.snapshot.Now.Add(time.Hour)
 }
 
-// unitsAfterDomainLoss returns what each service has without one failure domain, the worst one.
+// unitsAfterDomainLoss returns the units that a service retains after the loss of its
+// largest failure domain.
 func (w *simulatedFleet) unitsAfterDomainLoss(service string) float64 {
 	total, domains, largest := 0.0, map[string]float64{}, 0.0
 	for _, instance := range w.snapshot.Instances {
@@ -103,9 +105,10 @@
 	return w
 }
 
-// Whatever the offers, the demand and the instances at hand, the plan leads to
-// a fleet that carries the demand without any one failure domain, and there it
-// rests: a plan that starts and stops for ever would load weights all day.
+// Guards against a plan that leaves a demand unmet or never converges. For any offers,
+// demands and present instances the fleet must meet the demand without any one
+// failure domain and then stay as it is; a plan that starts and stops instances for
+// ever would load weights all day.
 func TestPlanMeetsDemandAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := randomFleet(rt)
@@ -113,42 +116,43 @@
 		for round := 0; ; round++ {
 			actions := capacity.Plan(w.snapshot, rules)
 			if len(actions.Unmet) > 0 {
-				rt.Fatalf("unmet: %v", actions.Unmet)
+				rt.Fatalf("services with unmet demand: %v", actions.Unmet)
 			}
 			if len(actions.Starts)+len(actions.Stops) == 0 {
 				break
 			}
 			if round > 200 {
-				rt.Fatalf("no rest after %d rounds: %+v", round, actions)
+				rt.Fatalf("plan still has actions after %d rounds: %+v", round, actions)
 			}
 			w.apply(actions)
 		}
 		for _, d := range w.snapshot.Demands {
-			if left := w.unitsAfterDomainLoss(d.Service); left+1e-3 < d.Units {
-				rt.Fatalf("%s: %v left of %v", d.Service, left, d.Units)
+			if remaining := w.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
+				rt.Fatalf("%s: %v units remain, want %v", d.Service, remaining, d.Units)
 			}
 		}
-		// A failure domain is reclaimed whole: the plan replaces it elsewhere.
+		// All instances of a failure domain are reclaimed: the plan replaces them.
 		lost := w.snapshot.Instances[0].FailureDomain
-		var kept []capacity.Instance
+		var retained []capacity.Instance
 		for _, instance := range w.snapshot.Instances {
 			if instance.FailureDomain != lost {
-				kept = append(kept, instance)
+				retained = append(retained, instance)
 			}
 		}
-		w.snapshot.Instances = kept
+		w.snapshot.Instances = retained
 		w.apply(capacity.Plan(w.snapshot, rules))
 		for _, d := range w.snapshot.Demands {
-			if left := w.unitsAfterDomainLoss(d.Service); left+1e-3 < d.Units {
-				rt.Fatalf("%s after the loss of %s: %v left of %v", d.Service, lost, left, d.Units)
+			if remaining := w.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
+				rt.Fatalf("%s after the loss of %s: %v units remain, want %v", d.Service, lost, remaining, d.Units)
 			}
 		}
 	})
 }
 
-// Every start in the cheap failure domain is refused, then all but one domain
-// are. The plan goes elsewhere, and with one domain left it still carries the
-// load and says that the loss of a domain would not be survived.
+// Guards against a plan that depends on offers that are refused, first in the cheapest
+// failure domain, then in all but one. It must use the other domains; with one
+// domain left it must still carry the load and report that it could not survive
+// the loss of a domain.
 func TestPlanAvoidsRefusedFailureDomains(t *testing.T) {
 	is := is.New(t)
 	w := &simulatedFleet{snapshot: capacity.Snapshot{
@@ -179,7 +183,7 @@
 	is.Equal(len(actions.Starts), 10)
 }
 
-// BenchmarkPlan measures one plan for fleets of growing size.
+// BenchmarkPlan measures one plan for fleets of different sizes.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct {
 		services int
--- a/capacity/record.go
+++ b/capacity/record.go
@@ -12,16 +12,17 @@
 	"zinniamast"
 )
 
-// recordKey is where the controller's intents stand in the table.
+// recordKey is the key of the controller's intents in the table.
 var recordKey = zinniamast.Key{
 	Partition: "capacity",
 	Sort:      "intents",
 }
 
-// record is what outlives a holder: what was to be bought under which token
-// and what was to be returned. It is written before anything is done, on
-// condition of its revision: a former holder fails here, and the next one
-// repeats an open purchase under the same token and gets the same instance.
+// record holds the intents, which outlive a lease holder: the purchases with their
+// tokens and the instances to return. It is written before any action and only if
+// the stored revision is unchanged, so that the write of a former holder fails.
+// The next holder retries a pending purchase with the same token and gets the
+// same instance.
 type record struct {
 	// Fence is the fencing number of the holder that wrote it.
 	Fence  uint64         `json:"fence"`
@@ -31,7 +32,7 @@
 	revision uint64
 }
 
-// pendingStart is a purchase that the instance list may not show yet.
+// pendingStart is a purchase that the instance list may not yet show.
 type pendingStart struct {
 	Token    string   `json:"token"`
 	Purchase Purchase `json:"purchase"`
@@ -40,16 +41,16 @@
 	At       time.Time           `json:"at"`
 }
 
-// pendingStop is a return that is under way or that the list may not show yet.
+// pendingStop is a return that is in progress or that the list may not yet show.
 type pendingStop struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
-	// Done means that the cloud has taken it back.
+	// Done means that the cloud has stopped the instance.
 	Done bool `json:"done"`
 }
 
 // listLagTimeout is how long the instance list may lag before a purchase that it
-// does not show counts as gone.
+// doesn't show counts as lost.
 const listLagTimeout = 10 * time.Minute
 
 func readRecord(ctx context.Context, table zinniamast.Table) (*record, error) {
@@ -64,7 +65,7 @@
 		revision: item.Revision,
 	}
 	if err := json.Unmarshal(item.Value, r); err != nil {
-		return nil, merry.Prepend(err, "capacity: intents")
+		return nil, merry.Prepend(err, "capacity: decode intents")
 	}
 	return r, nil
 }
@@ -88,7 +89,8 @@
 	return nil
 }
 
-// prune drops what the list has caught up with and reports whether it dropped any.
+// prune drops starts and stops that the list reflects or that have timed out, and
+// reports whether it dropped any.
 func (r *record) prune(now time.Time, listed map[string]zinniamast.Instance) bool {
 	before := len(r.Starts) + len(r.Stops)
 	r.Starts = slices.DeleteFunc(r.Starts, func(s pendingStart) bool {
--- a/capacity/refusal.go
+++ b/capacity/refusal.go
@@ -8,14 +8,14 @@
 	"zinniamast"
 )
 
-// Backoff of an offer that the cloud refused to start.
+// Bounds of the backoff after the cloud refused to start an offer.
 const (
 	minRefusalBackoff = 30 * time.Second
 	maxRefusalBackoff = 10 * time.Minute
 )
 
-// refusals remembers which offers were refused lately, so that the plan goes
-// elsewhere and comes back in a while.
+// refusals records recently refused offers, so that the plan uses other offers
+// until the backoff ends.
 type refusals struct {
 	byKind map[kindName]refusal
 }
@@ -47,7 +47,7 @@
 
 func (r *refusals) clear(offer zinniamast.Offer) { delete(r.byKind, kindNameOf(offer)) }
 
-// availableOffers returns the offers that may be tried now.
+// availableOffers returns the offers that are not in backoff.
 func (r *refusals) availableOffers(now time.Time, offers []zinniamast.Offer) []zinniamast.Offer {
 	return slices.DeleteFunc(slices.Clone(offers), func(offer zinniamast.Offer) bool {
 		return now.Before(r.byKind[kindNameOf(offer)].until)
--- a/capacity/reports.go
+++ b/capacity/reports.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// unsettledPollInterval is how old the report of an engine may be from which something
-	// is awaited.
+	// unsettledPollInterval is how often an engine is polled whose state is expected
+	// to change.
 	unsettledPollInterval = 15 * time.Second
-	// settlePeriod is how long something is awaited from an engine that is new,
-	// was given an order, or holds something else than before.
+	// settlePeriod is how long an engine's state is expected to change after it
+	// started, was sent an order, or reported other models than before.
 	settlePeriod = 15 * time.Minute
-	// settledPollsPerSecond bounds the questions to the engines from which nothing is
-	// awaited, whatever their number.
+	// settledPollsPerSecond bounds the rate of polls to all settled engines together,
+	// whatever their number.
 	settledPollsPerSecond = 4
-	// pollTimeout bounds one question to an engine.
+	// pollTimeout bounds one poll of an engine.
 	pollTimeout = time.Second
-	// maxConcurrentPolls bounds the questions under way.
+	// maxConcurrentPolls bounds the polls in flight.
 	maxConcurrentPolls = 8
 )
 
-// Reports keeps engines' last load reports for the node that buys. Only the
-// lease's holder asks, and only for what it looks at. Asking thousands of
-// engines every few seconds would cost one node more than its part; most have
-// long done all that was asked of them, and their reports serve only to find
-// an order that came late from a former holder.
+// Reports caches the engines' last load reports for the node that holds the lease.
+// Only that node polls, and only engines whose report it reads. Polling thousands
+// of engines every few seconds would overload one node. Most engines are settled:
+// they have carried out all their orders, and their reports are needed only to
+// detect a delayed order of a former holder. They are polled at a lower rate.
 type Reports struct {
 	upstreams *blackboard.Upstreams
 	pollSlots chan struct{}
@@ -45,13 +45,13 @@
 	content  zinniamast.LoadReport
 	received bool
 	settled  bool
-	// changedAt is when an order went out or the engine last held something new.
+	// changedAt is when an order was last sent or the loaded models last changed.
 	changedAt time.Time
-	// nextPoll is when to ask again.
+	// nextPoll is when the next poll is due.
 	nextPoll time.Time
 }
 
-// NewReports returns reports of what stands in the table of upstreams.
+// NewReports returns the reports of the engines in the table of upstreams.
 func NewReports(upstreams *blackboard.Upstreams) *Reports {
 	return &Reports{
 		upstreams: upstreams,
@@ -60,7 +60,8 @@
 	}
 }
 
-// Last returns an engine's last report and asks for a newer one behind it.
+// Last returns an engine's last report. If a poll is due, it starts one in the
+// background.
 func (r *Reports) Last(instance string) (zinniamast.LoadReport, bool) {
 	upstream := r.upstreams.Get(instance)
 	r.mu.Lock()
@@ -87,7 +88,8 @@
 	return known.content, known.received
 }
 
-// Expect tells that an engine was given an order, so that its effect is seen soon.
+// Expect records that an engine was sent an order, so that it is polled soon for the
+// effect.
 func (r *Reports) Expect(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,13 +99,14 @@
 	r.put(instance, known)
 }
 
-// isUnsettled says whether something is to be seen in an engine's next reports.
+// isUnsettled reports whether a change is expected in an engine's next reports.
 func isUnsettled(upstream *blackboard.Upstream, known engineReport, now time.Time) bool {
 	return upstream.Leaving() || now.Sub(upstream.Instance.Started) < settlePeriod || now.Sub(known.changedAt) < settlePeriod
 }
 
-// pollInterval is how long a report stands; the caller holds the lock. What is settled
-// is spread by chance, since a new holder asks all at once.
+// pollInterval returns the time until the next poll; the caller holds the lock. The
+// polls of settled engines are spread with jitter, since a new lease holder polls
+// all engines at once.
 func (r *Reports) pollInterval(settled bool) time.Duration {
 	if !settled {
 		return unsettledPollInterval
@@ -112,7 +115,7 @@
 	return max(unsettledPollInterval, slow*3/4+rand.N(slow/2+1))
 }
 
-// put keeps a report and the count of those settled; the caller holds the lock.
+// put stores a report and updates the count of settled ones; the caller holds the lock.
 func (r *Reports) put(instance string, known engineReport) {
 	if r.reports[instance].settled {
 		r.settledCount--
--- a/capacity/reports_test.go
+++ b/capacity/reports_test.go
@@ -15,7 +15,7 @@
 	"zinniamast/capacity"
 )
 
-// countingEngine is an engine that counts who asks it for its load.
+// countingEngine is an engine that counts the polls of its load report.
 type countingEngine struct {
 	zinniamast.Engine
 	totalPolls *atomic.Int64
@@ -31,21 +31,22 @@
 	}, nil
 }
 
-// The holder looks at every instance in each round. Asked every 15 s, 5,700
-// engines would cost it 380 questions a second for good. It must hear of all
-// soon after it takes over, then ask the settled ones seldom, and still see
-// within seconds what leaves and what was given an order.
+// Guards against overloading the lease holder, which reads the report of every
+// instance in each round: polled every 15 s, 5,700 engines would cost it a permanent
+// 380 polls a second. It must have all reports soon after it takes over, then poll
+// settled engines seldom, and still poll those that are leaving or were sent an
+// order within seconds.
 func TestSettledEnginesArePolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		const count = 5700
-		var asked atomic.Int64
+		var totalPolls atomic.Int64
 		board := blackboard.NewUpstreams()
 		engines := make([]*countingEngine, count)
 		var all []*blackboard.Upstream
 		for i := range engines {
 			engines[i] = &countingEngine{
-				totalPolls: &asked,
+				totalPolls: &totalPolls,
 			}
 			all = append(all, &blackboard.Upstream{
 				Instance: zinniamast.Instance{
@@ -57,34 +58,34 @@
 		}
 		board.AddAll(all)
 		reports := capacity.NewReports(board)
-		look := func(rounds int, apart time.Duration) int {
-			heard := 0
+		pollAll := func(rounds int, interval time.Duration) int {
+			received := 0
 			for range rounds {
-				heard = 0
+				received = 0
 				for i := range engines {
 					if _, ok := reports.Last(fmt.Sprint(i)); ok {
-						heard++
+						received++
 					}
 					synctest.Wait()
 				}
-				time.Sleep(apart)
+				time.Sleep(interval)
 			}
-			return heard
+			return received
 		}
 		const round = 5 * time.Second
-		check.Equal(look(3, round), count)
-		look(10, time.Minute)
-		before := asked.Load()
+		check.Equal(pollAll(3, round), count)
+		pollAll(10, time.Minute)
+		before := totalPolls.Load()
 		const minutes = 60
-		look(minutes, time.Minute)
-		perSecond := float64(asked.Load()-before) / (minutes * 60)
-		t.Logf("%.1f questions a second", perSecond)
+		pollAll(minutes, time.Minute)
+		perSecond := float64(totalPolls.Load()-before) / (minutes * 60)
+		t.Logf("%.1f polls a second", perSecond)
 		check.True(perSecond < 6)
 
 		reports.Expect("1")
 		board.MarkLeaving("2", time.Now().Add(time.Minute))
 		ordered, leaving := engines[1].polls.Load(), engines[2].polls.Load()
-		look(8, round)
+		pollAll(8, round)
 		check.True(engines[1].polls.Load() >= ordered+2)
 		check.True(engines[2].polls.Load() >= leaving+2)
 	})
--- a/capacity/trace_test.go
+++ b/capacity/trace_test.go
@@ -25,7 +25,8 @@
 	},
 }
 
-// The trace's pace: a notice comes a minute ahead, weights load in two minutes.
+// Timing of the trace: a notice comes a minute before the reclaim, weights load in two
+// minutes.
 const (
 	step        = 30 * time.Second
 	dayLength   = 24 * time.Hour
@@ -34,15 +35,15 @@
 	loadTime    = 2 * time.Minute
 )
 
-// trace is one day of prices, reclaims and refusals, the same for each policy.
+// trace is one day of load, prices, reclaims and refusals, the same for each policy.
 type trace struct {
 	offers [][]zinniamast.Offer
-	// lost names the failure domain whose reclaimable instances get notice in a step.
+	// lost holds the failure domain whose reclaimable instances get notice in each step.
 	lost []string
-	// hazard holds a number below one for each step; an instance is reclaimed
-	// alone where a hash of its ID falls below it.
+	// hazard holds the probability for each step that a single reclaimable instance
+	// gets notice.
 	hazard []float64
-	// refused names the failure domain that starts nothing in a step.
+	// refused holds the failure domain without offers in each step.
 	refused []string
 	load    []float64
 }
@@ -93,7 +94,7 @@
 	return t
 }
 
-// result is what a policy made of the trace.
+// result is the outcome of a policy on the trace.
 type result struct {
 	cost     float64
 	onTime   float64
@@ -104,14 +105,14 @@
 
 type policy func(capacity.Snapshot) capacity.Actions
 
-// replay replays the trace; a minute's work beyond what is ready is late.
+// replay replays the trace; load beyond the ready units in a step counts as late.
 func (t *trace) replay(reclaimable float64, decide policy) result {
 	var r result
 	var fleet []capacity.Instance
 	leaving := map[string]int{}
-	var served, asked float64
-	held := []float64{}
-	next, safe := 0, 0
+	var served, requested float64
+	recentLoads := []float64{}
+	next, survivingSteps := 0, 0
 	random := rand.New(rand.NewPCG(1, 2))
 	for i, load := range t.load {
 		now := time.Unix(0, 0).Add(time.Duration(i) * step)
@@ -120,15 +121,15 @@
 			return ok && i >= end
 		})
 		for _, instance := range fleet {
-			alone := instance.Market == zinniamast.Reclaimable && random.Float64() < t.hazard[i]
-			wave := instance.Market == zinniamast.Reclaimable && instance.FailureDomain == t.lost[i]
-			if _, ok := leaving[instance.ID]; !ok && (alone || wave) {
+			single := instance.Market == zinniamast.Reclaimable && random.Float64() < t.hazard[i]
+			domainWide := instance.Market == zinniamast.Reclaimable && instance.FailureDomain == t.lost[i]
+			if _, ok := leaving[instance.ID]; !ok && (single || domainWide) {
 				leaving[instance.ID] = i + int(noticeLead/step)
 			}
 		}
 		if i == warmUpSteps {
-			// The fleet starts empty; the day is measured once it stands.
-			r, served, asked, safe = result{}, 0, 0, 0
+			// The fleet starts empty; results count from the end of the warm-up.
+			r, served, requested, survivingSteps = result{}, 0, 0, 0
 		}
 		ready, byDomain := 0.0, map[string]float64{}
 		var staying []capacity.Instance
@@ -143,17 +144,17 @@
 			}
 			r.cost += priceOf(t.offers[i], fleet[j]) * step.Hours()
 		}
-		asked += load
+		requested += load
 		served += min(ready, load)
 		largest := 0.0
 		for _, units := range byDomain {
 			largest = max(largest, units)
 		}
 		if ready-largest >= load {
-			safe++
+			survivingSteps++
 		}
-		held = append(held, load*1.1)
-		held = held[max(0, len(held)-20):]
+		recentLoads = append(recentLoads, load*1.1)
+		recentLoads = recentLoads[max(0, len(recentLoads)-20):]
 		for j := range staying {
 			staying[j].Price = priceOf(t.offers[i], staying[j])
 		}
@@ -165,7 +166,7 @@
 			Demands: []capacity.Demand{{
 				Service:     "draft",
 				Role:        "engine",
-				Units:       slices.Max(held),
+				Units:       slices.Max(recentLoads),
 				Reclaimable: reclaimable,
 			}},
 			Classes:   classes,
@@ -190,8 +191,8 @@
 			}})
 		}
 	}
-	r.onTime = served / asked
-	r.survived = float64(safe) / float64(len(t.load)-warmUpSteps)
+	r.onTime = served / requested
+	r.survived = float64(survivingSteps) / float64(len(t.load)-warmUpSteps)
 	return r
 }
 
@@ -213,8 +214,8 @@
 	return 0
 }
 
-// cheapestFirst buys the cheapest units until the load is carried, wherever
-// they are, and returns the dearest that it does not need.
+// cheapestFirst buys the cheapest units until they carry the load, in whatever failure
+// domain, and returns ready instances that the load doesn't need.
 func cheapestFirst(s capacity.Snapshot) capacity.Actions {
 	var actions capacity.Actions
 	total := 0.0
@@ -238,9 +239,10 @@
 
 func planned(s capacity.Snapshot) capacity.Actions { return capacity.Plan(s, capacity.Rules{}) }
 
-// One day of prices, three failure domains' reclaimable instances lost and
-// single reclaims, the same for each policy. Ours must cost well below all
-// on demand at the same share on time; cheapest-first is cheap and late.
+// Guards against a plan that is too expensive or serves too late, on one day of prices
+// with single reclaims and three losses of all reclaimable instances in a failure
+// domain. The plan must cost well below an all-on-demand fleet while serving on time,
+// and serve more on time than the cheapest-first policy.
 func TestCostOnOneDay(t *testing.T) {
 	is := is.New(t)
 	for _, peak := range []float64{5_000, 40_000} {
