--- a/capacity/act.go
+++ b/capacity/act.go
@@ -67,7 +67,7 @@
 		s.Instance = instance
 		c.refusals.clear(offer)
 		c.metrics.starts.WithLabelValues(labels...).Inc()
-		c.config.Logger.Info("instance started", "action", "start", "instance", instance.ID, "service", s.Purchase.Service,
+		c.config.Logger.Info("capacity", "action", "start", "instance", instance.ID, "service", s.Purchase.Service,
 			"failure_domain", offer.FailureDomain, "class", offer.Class, "market", offer.Market, "price", offer.Price)
 		return true
 	case errors.Is(err, zinniamast.ErrRefused):
@@ -102,7 +102,7 @@
 		s.Done = true
 		changed = true
 		c.metrics.stops.Inc()
-		c.config.Logger.Info("instance stopped", "action", "stop", "instance", s.Instance)
+		c.config.Logger.Info("capacity", "action", "stop", "instance", s.Instance)
 	}
 	return changed
 }
@@ -116,9 +116,9 @@
 	return c.config.Cloud.Stop(guarded, id)
 }
 
-// isIdle reports whether an instance has finished its work. A report counts only
-// if it was taken after every node learnt that the instance is leaving;
-// otherwise the stop would cut off requests that arrived since the report.
+// isIdle reports whether an instance has finished its work. Only a report from after
+// leavingPropagationTime counts; otherwise the stop would cut off requests that
+// arrived since the report.
 func (c *Controller) isIdle(s *pendingStop) bool {
 	report, ok := c.config.Report(s.Instance)
 	return ok && report.Running+report.Waiting == 0 && report.At.Sub(s.At) > leavingPropagationTime
@@ -169,7 +169,8 @@
 	}
 	if command.Order.Action == "load" {
 		if err := c.config.Weights.Permit(guarded, command.Order.Model); err != nil {
-			// The weight store's rate limit is reached; the remaining orders wait for the next round.
+			// The weight store's rate limit is reached; the remaining orders wait for
+			// the next round.
 			c.metrics.waits.WithLabelValues(waitWeights).Inc()
 			return false
 		}
@@ -181,7 +182,7 @@
 		return true
 	}
 	c.metrics.orders.WithLabelValues(command.Order.Action).Inc()
-	c.config.Logger.Info("order sent to engine", "action", command.Order.Action, "instance", instance.ID,
+	c.config.Logger.Info("capacity", "action", command.Order.Action, "instance", instance.ID,
 		"model", command.Order.Model, "fence", fence)
 	return true
 }
--- a/capacity/controller.go
+++ b/capacity/controller.go
@@ -119,8 +119,8 @@
 
 // round observes the fleet, plans actions, stores them as intents and carries them out.
 func (c *Controller) round(ctx context.Context) {
-	asked, complete := c.config.Demands()
-	demands := c.peaks.apply(time.Now(), asked)
+	current, complete := c.config.Demands()
+	demands := c.peaks.apply(time.Now(), current)
 	if !c.prepare(ctx) {
 		return
 	}
@@ -142,9 +142,9 @@
 			return
 		}
 	}
-	did := c.startInstances(ctx)
-	did = c.stopInstances(ctx) || did
-	if did && !c.save(ctx) {
+	acted := c.startInstances(ctx)
+	acted = c.stopInstances(ctx) || acted
+	if acted && !c.save(ctx) {
 		return
 	}
 	c.sendOrders(ctx, view, demands)
--- a/capacity/controller_test.go
+++ b/capacity/controller_test.go
@@ -172,12 +172,12 @@
 // cloud.
 func (s *cluster) startNode(name string, cloud zinniamast.Cloud, table zinniamast.Table) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	discard := slog.New(slog.DiscardHandler)
+	logger := slog.New(slog.DiscardHandler)
 	l := lease.New(lease.Config{
 		Table:  table,
 		Name:   "capacity",
 		Holder: name,
-		Logger: discard,
+		Logger: logger,
 	})
 	controller := capacity.New(capacity.Config{
 		Lease:   l,
@@ -191,7 +191,7 @@
 		Report:  func(id string) (zinniamast.LoadReport, bool) { return s.engine(id).report(), true },
 		Leave:   s.announceLeaving,
 		Rules:   capacity.Rules{MaxLoading: 20},
-		Logger:  discard,
+		Logger:  logger,
 	})
 	s.running.Go(func() { l.Run(ctx) })
 	s.running.Go(func() { controller.Run(ctx) })
@@ -272,7 +272,7 @@
 		is := is.New(t)
 		s := newCluster(platform.Config{PermitsASecond: 0.2})
 		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
-		began, last := time.Now(), 0
+		started, last := time.Now(), 0
 		for range 60 {
 			time.Sleep(5 * time.Second)
 			orders := 0
@@ -282,7 +282,7 @@
 			is.True(orders-last <= 2)
 			last = orders
 		}
-		is.True(time.Since(began) >= 5*time.Minute)
+		is.True(time.Since(started) >= 5*time.Minute)
 		is.Equal(last, int(s.platform.Counts().Starts))
 		stop()
 		s.running.Wait()
@@ -367,12 +367,12 @@
 			Model:  "draft",
 			Fence:  0,
 		}))
-		began := time.Now()
-		for fmt.Sprint(s.engine(victim).report().Models) != "[draft-2]" && time.Since(began) < time.Hour {
+		started := time.Now()
+		for fmt.Sprint(s.engine(victim).report().Models) != "[draft-2]" && time.Since(started) < time.Hour {
 			time.Sleep(time.Second)
 		}
-		t.Logf("delayed order corrected after %v", time.Since(began))
-		is.True(time.Since(began) < 10*time.Minute)
+		t.Logf("delayed order corrected after %v", time.Since(started))
+		is.True(time.Since(started) < 10*time.Minute)
 		time.Sleep(time.Minute)
 		orders := s.engine(victim).orderCount()
 		time.Sleep(2 * time.Hour)
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -152,11 +152,11 @@
 func (p *planner) plan(actions *Actions) {
 	f := newFleet(p.candidates)
 	if !f.meets(p.demand) {
-		missing := 1 - f.unitsAfterDomainLoss()/max(p.demand.Units, epsilon)
+		shortfall := 1 - f.unitsAfterDomainLoss()/max(p.demand.Units, epsilon)
 		added := p.fillShortfall()
 		for _, a := range added {
 			f.add(&a, 1)
-			actions.Starts = append(actions.Starts, p.purchase(a, missing))
+			actions.Starts = append(actions.Starts, p.purchase(a, shortfall))
 		}
 		if !f.meets(p.demand) {
 			actions.Unmet = append(actions.Unmet, p.demand.Service)
@@ -175,12 +175,12 @@
 	}
 }
 
-func (p *planner) purchase(a candidate, need float64) Purchase {
+func (p *planner) purchase(a candidate, shortfall float64) Purchase {
 	return Purchase{
 		Service:   p.demand.Service,
 		Role:      p.demand.Role,
 		Offer:     a.offer,
-		shortfall: need,
+		shortfall: shortfall,
 	}
 }
 
@@ -256,7 +256,8 @@
 	return raised
 }
 
-// exchangeDivisor limits an exchange to one instance plus this fraction (1/50) of the fleet at a time.
+// exchangeDivisor limits an exchange to one instance plus a fiftieth of the fleet at a
+// time.
 const exchangeDivisor = 50
 
 // exchange returns a few cheaper instances to buy if a fleet bought from scratch
--- a/capacity/plan_test.go
+++ b/capacity/plan_test.go
@@ -20,9 +20,9 @@
 	lastID   int
 }
 
-func (w *simulatedFleet) apply(actions capacity.Actions) {
-	retained := w.snapshot.Instances[:0]
-	for _, instance := range w.snapshot.Instances {
+func (f *simulatedFleet) apply(actions capacity.Actions) {
+	retained := f.snapshot.Instances[:0]
+	for _, instance := range f.snapshot.Instances {
 		stopped := false
 		for _, id := range actions.Stops {
 			stopped = stopped || id == instance.ID
@@ -31,30 +31,30 @@
 			retained = append(retained, instance)
 		}
 	}
-	w.snapshot.Instances = retained
+	f.snapshot.Instances = retained
 	for _, purchase := range actions.Starts {
-		w.lastID++
-		w.snapshot.Instances = append(w.snapshot.Instances, capacity.Instance{
+		f.lastID++
+		f.snapshot.Instances = append(f.snapshot.Instances, capacity.Instance{
 			Instance: zinniamast.Instance{
-				ID:            fmt.Sprint(w.lastID),
+				ID:            fmt.Sprint(f.lastID),
 				FailureDomain: purchase.Offer.FailureDomain,
 				Class:         purchase.Offer.Class,
 				Market:        purchase.Offer.Market,
 				Service:       purchase.Service,
-				Started:       w.snapshot.Now,
+				Started:       f.snapshot.Now,
 			},
 			Price: purchase.Offer.Price,
 			Ready: true,
 		})
 	}
-	w.snapshot.Now = w.snapshot.Now.Add(time.Hour)
+	f.snapshot.Now = f.snapshot.Now.Add(time.Hour)
 }
 
 // unitsAfterDomainLoss returns the units that a service retains after the loss of its
 // largest failure domain.
-func (w *simulatedFleet) unitsAfterDomainLoss(service string) float64 {
+func (f *simulatedFleet) unitsAfterDomainLoss(service string) float64 {
 	total, domains, largest := 0.0, map[string]float64{}, 0.0
-	for _, instance := range w.snapshot.Instances {
+	for _, instance := range f.snapshot.Instances {
 		if instance.Service == service {
 			total += unitsOf(instance.Class)
 			domains[instance.FailureDomain] += unitsOf(instance.Class)
@@ -70,7 +70,7 @@
 	seed := rapid.Uint64().Draw(rt, "seed")
 	random := rand.New(rand.NewPCG(seed, 3))
 	domains := rapid.IntRange(2, 6).Draw(rt, "domains")
-	w := &simulatedFleet{snapshot: capacity.Snapshot{
+	f := &simulatedFleet{snapshot: capacity.Snapshot{
 		Now:      time.Unix(1e6, 0),
 		Classes:  classes,
 		Exchange: true,
@@ -78,14 +78,14 @@
 	for i := range domains {
 		for _, class := range classes {
 			price := class.Units * (0.5 + random.Float64())
-			w.snapshot.Offers = append(w.snapshot.Offers, zinniamast.Offer{
+			f.snapshot.Offers = append(f.snapshot.Offers, zinniamast.Offer{
 				FailureDomain: fmt.Sprint(i),
 				Class:         class.Name,
 				Market:        zinniamast.OnDemand,
 				Price:         price,
 			})
 			if random.IntN(4) > 0 {
-				w.snapshot.Offers = append(w.snapshot.Offers, zinniamast.Offer{
+				f.snapshot.Offers = append(f.snapshot.Offers, zinniamast.Offer{
 					FailureDomain: fmt.Sprint(i),
 					Class:         class.Name,
 					Market:        zinniamast.Reclaimable,
@@ -95,14 +95,14 @@
 		}
 	}
 	for i := range rapid.IntRange(1, 3).Draw(rt, "services") {
-		w.snapshot.Demands = append(w.snapshot.Demands, capacity.Demand{
+		f.snapshot.Demands = append(f.snapshot.Demands, capacity.Demand{
 			Service:     fmt.Sprint("service-", i),
 			Role:        "engine",
 			Units:       float64(rapid.IntRange(1, 20_000).Draw(rt, "units")),
 			Reclaimable: rapid.SampledFrom([]float64{0, 0.5, 0.67, 1}).Draw(rt, "reclaimable"),
 		})
 	}
-	return w
+	return f
 }
 
 // Guards against a plan that leaves a demand unmet or never converges. For any offers,
@@ -111,10 +111,10 @@
 // ever would load weights all day.
 func TestPlanMeetsDemandAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := randomFleet(rt)
+		f := randomFleet(rt)
 		rules := capacity.Rules{MaxLoading: 1000}
 		for round := 0; ; round++ {
-			actions := capacity.Plan(w.snapshot, rules)
+			actions := capacity.Plan(f.snapshot, rules)
 			if len(actions.Unmet) > 0 {
 				rt.Fatalf("services with unmet demand: %v", actions.Unmet)
 			}
@@ -124,25 +124,25 @@
 			if round > 200 {
 				rt.Fatalf("plan still has actions after %d rounds: %+v", round, actions)
 			}
-			w.apply(actions)
+			f.apply(actions)
 		}
-		for _, d := range w.snapshot.Demands {
-			if remaining := w.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
+		for _, d := range f.snapshot.Demands {
+			if remaining := f.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
 				rt.Fatalf("%s: %v units remain, want %v", d.Service, remaining, d.Units)
 			}
 		}
 		// All instances of a failure domain are reclaimed: the plan replaces them.
-		lost := w.snapshot.Instances[0].FailureDomain
+		lost := f.snapshot.Instances[0].FailureDomain
 		var retained []capacity.Instance
-		for _, instance := range w.snapshot.Instances {
+		for _, instance := range f.snapshot.Instances {
 			if instance.FailureDomain != lost {
 				retained = append(retained, instance)
 			}
 		}
-		w.snapshot.Instances = retained
-		w.apply(capacity.Plan(w.snapshot, rules))
-		for _, d := range w.snapshot.Demands {
-			if remaining := w.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
+		f.snapshot.Instances = retained
+		f.apply(capacity.Plan(f.snapshot, rules))
+		for _, d := range f.snapshot.Demands {
+			if remaining := f.unitsAfterDomainLoss(d.Service); remaining+1e-3 < d.Units {
 				rt.Fatalf("%s after the loss of %s: %v units remain, want %v", d.Service, lost, remaining, d.Units)
 			}
 		}
@@ -155,7 +155,7 @@
 // the loss of a domain.
 func TestPlanAvoidsRefusedFailureDomains(t *testing.T) {
 	is := is.New(t)
-	w := &simulatedFleet{snapshot: capacity.Snapshot{
+	f := &simulatedFleet{snapshot: capacity.Snapshot{
 		Classes: classes,
 		Demands: []capacity.Demand{{
 			Service:     "draft",
@@ -164,21 +164,21 @@
 		}},
 	}}
 	for i, domain := range []string{"a", "b", "c"} {
-		w.snapshot.Offers = append(w.snapshot.Offers, zinniamast.Offer{
+		f.snapshot.Offers = append(f.snapshot.Offers, zinniamast.Offer{
 			FailureDomain: domain,
 			Class:         "small",
 			Market:        zinniamast.OnDemand,
 			Price:         float64(i + 1),
 		})
 	}
-	w.snapshot.Offers = w.snapshot.Offers[1:]
-	actions := capacity.Plan(w.snapshot, capacity.Rules{})
+	f.snapshot.Offers = f.snapshot.Offers[1:]
+	actions := capacity.Plan(f.snapshot, capacity.Rules{})
 	is.Equal(len(actions.Unmet), 0)
 	for _, start := range actions.Starts {
 		is.True(start.Offer.FailureDomain != "a")
 	}
-	w.snapshot.Offers = w.snapshot.Offers[1:]
-	actions = capacity.Plan(w.snapshot, capacity.Rules{})
+	f.snapshot.Offers = f.snapshot.Offers[1:]
+	actions = capacity.Plan(f.snapshot, capacity.Rules{})
 	is.Equal(actions.Unmet, []string{"draft"})
 	is.Equal(len(actions.Starts), 10)
 }
@@ -191,14 +191,14 @@
 	}{{1, false}, {4, false}, {20, false}, {1, true}, {20, true}} {
 		services := c.services
 		b.Run(fmt.Sprintf("services=%d/exchange=%v", services, c.exchange), func(b *testing.B) {
-			w := &simulatedFleet{snapshot: capacity.Snapshot{
+			f := &simulatedFleet{snapshot: capacity.Snapshot{
 				Classes:  classes,
 				Exchange: c.exchange,
 			}}
 			for i := range 14 {
 				for _, class := range classes {
 					for n, market := range []zinniamast.Market{zinniamast.OnDemand, zinniamast.Reclaimable} {
-						w.snapshot.Offers = append(w.snapshot.Offers, zinniamast.Offer{
+						f.snapshot.Offers = append(f.snapshot.Offers, zinniamast.Offer{
 							FailureDomain: fmt.Sprint(i),
 							Class:         class.Name,
 							Market:        market,
@@ -208,19 +208,19 @@
 				}
 			}
 			for i := range services {
-				w.snapshot.Demands = append(w.snapshot.Demands, capacity.Demand{
+				f.snapshot.Demands = append(f.snapshot.Demands, capacity.Demand{
 					Service:     fmt.Sprint(i),
 					Units:       420_000,
 					Reclaimable: 0.67,
 				})
 			}
 			for range 3 {
-				w.apply(capacity.Plan(w.snapshot, capacity.Rules{MaxLoading: 10_000}))
+				f.apply(capacity.Plan(f.snapshot, capacity.Rules{MaxLoading: 10_000}))
 			}
 			for b.Loop() {
-				capacity.Plan(w.snapshot, capacity.Rules{})
+				capacity.Plan(f.snapshot, capacity.Rules{})
 			}
-			b.ReportMetric(float64(len(w.snapshot.Instances)), "instances")
+			b.ReportMetric(float64(len(f.snapshot.Instances)), "instances")
 		})
 	}
 }
--- a/capacity/refusal.go
+++ b/capacity/refusal.go
@@ -38,10 +38,10 @@
 		r.byKind = map[kindName]refusal{}
 	}
 	name := kindNameOf(offer)
-	wait := min(max(minRefusalBackoff, 2*r.byKind[name].backoff), maxRefusalBackoff)
+	backoff := min(max(minRefusalBackoff, 2*r.byKind[name].backoff), maxRefusalBackoff)
 	r.byKind[name] = refusal{
-		until:   now.Add(wait*3/4 + rand.N(wait/2)),
-		backoff: wait,
+		until:   now.Add(backoff*3/4 + rand.N(backoff/2)),
+		backoff: backoff,
 	}
 }
 
--- a/capacity/reports.go
+++ b/capacity/reports.go
@@ -29,7 +29,7 @@
 
 // Reports caches the engines' last load reports for the node that holds the lease.
 // Only that node polls, and only engines whose report it reads. Polling thousands
-// of engines every few seconds would overload one node. Most engines are settled:
+// of engines every few seconds would take too much of one node. Most are settled:
 // they have carried out all their orders, and their reports are needed only to
 // detect a delayed order of a former holder. They are polled at a lower rate.
 type Reports struct {
--- a/capacity/reports_test.go
+++ b/capacity/reports_test.go
@@ -22,9 +22,9 @@
 	polls      atomic.Int64
 }
 
-func (r *countingEngine) Load(context.Context) (zinniamast.LoadReport, error) {
-	r.totalPolls.Add(1)
-	r.polls.Add(1)
+func (e *countingEngine) Load(context.Context) (zinniamast.LoadReport, error) {
+	e.totalPolls.Add(1)
+	e.polls.Add(1)
 	return zinniamast.LoadReport{
 		At:     time.Now(),
 		Models: []string{"draft"},
