--- a/capacity/fleet.go
+++ b/capacity/fleet.go
@@ -6,17 +6,18 @@
 	"zinniamast"
 )
 
-// part is one instance, bought or on offer, as the plan counts it.
-type part struct {
+// candidate is one instance, bought or on offer, that the plan may count in a fleet.
+type candidate struct {
 	offer zinniamast.Offer
 	units float64
-	// domain numbers the failure domain, and kind domain, class and market, so
-	// that a plan for thousands of instances compares numbers and not names.
+	// domain is the number of the failure domain, and kind that of the domain,
+	// class and market together, so that a plan for thousands of instances
+	// compares numbers and not names.
 	domain int
 	kind   int
 }
 
-// numbering gives failure domains and kinds of instances their numbers.
+// numbering assigns numbers to failure domains and kinds of instances.
 type numbering struct {
 	units   map[string]float64
 	domains map[string]int
@@ -41,11 +42,11 @@
 	return n
 }
 
-// part returns the part for an offer; it reports false for an unknown class.
-func (n *numbering) part(offer zinniamast.Offer) (part, bool) {
+// candidate returns the candidate for an offer; it reports false for an unknown class.
+func (n *numbering) candidate(offer zinniamast.Offer) (candidate, bool) {
 	units := n.units[offer.Class]
 	if units <= 0 {
-		return part{}, false
+		return candidate{}, false
 	}
 	name := kindName{
 		failureDomain: offer.FailureDomain,
@@ -58,7 +59,7 @@
 	if _, ok := n.kinds[name]; !ok {
 		n.kinds[name] = len(n.kinds)
 	}
-	return part{
+	return candidate{
 		offer:  offer,
 		units:  units,
 		domain: n.domains[offer.FailureDomain],
@@ -66,15 +67,15 @@
 	}, true
 }
 
-// unitPrice is the price of one unit for an hour.
-func (p *part) unitPrice() float64 { return p.offer.Price / p.units }
+// unitPrice returns the price of one unit for an hour.
+func (p *candidate) unitPrice() float64 { return p.offer.Price / p.units }
 
-func (p *part) reclaimable() bool { return p.offer.Market == zinniamast.Reclaimable }
+func (p *candidate) isReclaimable() bool { return p.offer.Market == zinniamast.Reclaimable }
 
-// rounding absorbs the error of sums of floats.
-const rounding = 1e-6
+// epsilon absorbs the rounding error of floating-point sums.
+const epsilon = 1e-6
 
-// fleet sums the parts that serve one service.
+// fleet holds the sums over the candidates that serve one service.
 type fleet struct {
 	domains     []float64
 	total       float64
@@ -82,29 +83,30 @@
 	cost        float64
 }
 
-func newFleet(parts []part) *fleet {
+func newFleet(candidates []candidate) *fleet {
 	f := &fleet{}
-	for i := range parts {
-		f.add(&parts[i], 1)
+	for i := range candidates {
+		f.add(&candidates[i], 1)
 	}
 	return f
 }
 
-// add counts a part in, or out with sign -1.
-func (f *fleet) add(p *part, sign float64) {
+// add adds a candidate with sign 1 and removes it with sign -1.
+func (f *fleet) add(p *candidate, sign float64) {
 	for len(f.domains) <= p.domain {
 		f.domains = append(f.domains, 0)
 	}
 	f.domains[p.domain] += sign * p.units
 	f.total += sign * p.units
 	f.cost += sign * p.offer.Price
-	if p.reclaimable() {
+	if p.isReclaimable() {
 		f.reclaimable += sign * p.units
 	}
 }
 
-// remaining is what is left after the loss of the largest failure domain.
-func (f *fleet) remaining() float64 {
+// unitsAfterDomainLoss returns the units that remain after the loss of the largest
+// failure domain.
+func (f *fleet) unitsAfterDomainLoss() float64 {
 	largest := 0.0
 	for _, units := range f.domains {
 		largest = max(largest, units)
@@ -112,29 +114,31 @@
 	return f.total - largest
 }
 
-func (f *fleet) mixed(d Demand) bool { return f.reclaimable <= d.Reclaimable*f.total+rounding }
+func (f *fleet) hasAllowedMix(d Demand) bool { return f.reclaimable <= d.Reclaimable*f.total+epsilon }
 
-// meets says whether the fleet carries the demand after the loss of any one domain.
+// meets reports whether the fleet meets the demand after the loss of any one
+// failure domain and has no more reclaimable units than allowed.
 func (f *fleet) meets(d Demand) bool {
-	return f.remaining()+rounding >= d.Units && f.mixed(d)
+	return f.unitsAfterDomainLoss()+epsilon >= d.Units && f.hasAllowedMix(d)
 }
 
-// trim drops parts, the dearest per unit first, that the demand does not need,
-// and returns what is left and what was dropped as indexes.
-func trim(parts []part, d Demand, droppable func(i int) bool) (kept []part, dropped []int) {
-	order := make([]int, len(parts))
+// trim drops candidates that the demand does not need, the most expensive per
+// unit first. It returns the retained candidates and the indexes of the dropped ones.
+func trim(candidates []candidate, d Demand, droppable func(i int) bool) (retained []candidate, dropped []int) {
+	order := make([]int, len(candidates))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return compare(parts[b].unitPrice(), parts[a].unitPrice())
+		return compare(candidates[b].unitPrice(), candidates[a].unitPrice())
 	})
-	f := newFleet(parts)
-	gone := make([]bool, len(parts))
-	// needed marks kinds of which one could not be dropped: then no other can.
+	f := newFleet(candidates)
+	isDropped := make([]bool, len(candidates))
+	// needed marks kinds of which one could not be dropped; then no other of
+	// that kind can be dropped either.
 	var needed []bool
 	for _, i := range order {
-		p := &parts[i]
+		p := &candidates[i]
 		for len(needed) <= p.kind {
 			needed = append(needed, false)
 		}
@@ -143,19 +147,19 @@
 		}
 		f.add(p, -1)
 		if f.meets(d) {
-			gone[i] = true
+			isDropped[i] = true
 			dropped = append(dropped, i)
 			continue
 		}
 		f.add(p, 1)
 		needed[p.kind] = true
 	}
-	for i, p := range parts {
-		if !gone[i] {
-			kept = append(kept, p)
+	for i, p := range candidates {
+		if !isDropped[i] {
+			retained = append(retained, p)
 		}
 	}
-	return kept, dropped
+	return retained, dropped
 }
 
 func compare(a, b float64) int {
@@ -168,4 +172,4 @@
 	return 0
 }
 
-func always(int) bool { return true }
+func alwaysDroppable(int) bool { return true }
--- a/capacity/meter_test.go
+++ b/capacity/meter_test.go
@@ -15,53 +15,54 @@
 	"zinniamast/standin/platform"
 )
 
-// bus is gossip between the meters of a test; a cut failure domain neither
-// hears nor is heard.
-type bus struct {
-	mu   sync.Mutex
-	ends []*busEnd
-	cut  string
+// gossipBus delivers gossip between the meters of a test, but none between the
+// isolated failure domain and the others.
+type gossipBus struct {
+	mu        sync.Mutex
+	endpoints []*busEndpoint
+	isolated  string
 }
 
-func (b *bus) cutOff(domain string) {
+func (b *gossipBus) isolate(domain string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.cut = domain
+	b.isolated = domain
 }
 
-type busEnd struct {
-	bus    *bus
-	node   string
-	domain string
-	hear   func(zinniamast.News)
+type busEndpoint struct {
+	bus     *gossipBus
+	node    string
+	domain  string
+	receive func(zinniamast.News)
 }
 
-func (e *busEnd) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) { e.hear = f }
+func (e *busEndpoint) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) { e.receive = f }
 
-func (e *busEnd) Publish(news zinniamast.News) {
+func (e *busEndpoint) Publish(news zinniamast.News) {
 	e.bus.mu.Lock()
 	defer e.bus.mu.Unlock()
 	news.Origin = e.node
-	for _, other := range e.bus.ends {
-		near := other.domain == e.domain
-		if other.hear == nil || !near && (!news.Wide || e.domain == e.bus.cut || other.domain == e.bus.cut) {
+	for _, other := range e.bus.endpoints {
+		sameDomain := other.domain == e.domain
+		if other.receive == nil || !sameDomain && (!news.Wide || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
 			continue
 		}
-		other.hear(news)
+		other.receive(news)
 	}
 }
 
-// Nine nodes in three failure domains count; every node learns the fleet's sum
-// from one figure a domain. One domain is cut off: the others keep its last
-// figure and say that they do not know all, so that nothing is returned. The
-// node that tells a domain's sum dies: the next one does.
-func TestMeterAddsUpTheFleet(t *testing.T) {
+// Guards against a wrong sum of demand on any of nine nodes in three failure domains,
+// each of which receives one sum from each other domain. While one domain is cut
+// off, the others must keep its last sum and report incomplete rates, so that no
+// instance is returned. When the node that publishes a domain's sum dies, the next
+// one must take over.
+func TestMeterSumsFleetDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &bus{}
+		b := &gossipBus{}
 		members := blackboard.NewMembers()
 		var meters []*capacity.Meter
-		var ends []context.CancelFunc
+		var stops []context.CancelFunc
 		var running sync.WaitGroup
 		for _, domain := range []string{"a", "b", "c"} {
 			for _, n := range []string{"1", "2", "3"} {
@@ -70,21 +71,21 @@
 					member.FailureDomain = domain
 					return true
 				})
-				end := &busEnd{
+				endpoint := &busEndpoint{
 					bus:    b,
 					node:   id,
 					domain: domain,
 				}
-				b.ends = append(b.ends, end)
+				b.endpoints = append(b.endpoints, endpoint)
 				meter := capacity.NewMeter(capacity.MeterConfig{
-					Gossip:        end,
+					Gossip:        endpoint,
 					Members:       members,
 					Node:          id,
 					FailureDomain: domain,
 				})
 				meters = append(meters, meter)
 				ctx, cancel := context.WithCancel(context.Background())
-				ends = append(ends, cancel)
+				stops = append(stops, cancel)
 				running.Go(func() { meter.Run(ctx) })
 			}
 		}
@@ -105,44 +106,44 @@
 		for node := range meters {
 			check(node, true)
 		}
-		b.cutOff("c")
+		b.isolate("c")
 		count(120)
 		check(0, false)
-		b.cutOff("")
+		b.isolate("")
 		members.Update("b1", func(member *blackboard.Member) bool {
 			member.Dead = true
 			return true
 		})
 		b.mu.Lock()
-		b.ends[3].hear = nil
+		b.endpoints[3].receive = nil
 		b.mu.Unlock()
-		ends[3]()
+		stops[3]()
 		count(120)
 		rates, all := meters[0].Rates()
 		is.True(all)
 		is.True(rates["draft"] > 700 && rates["draft"] < 900)
-		for _, end := range ends {
-			end()
+		for _, stop := range stops {
+			stop()
 		}
 		running.Wait()
 	})
 }
 
-// A node takes over that has just started, while a failure domain is cut off:
-// it sees no demand, and must not return what is in use.
-func TestReturnsNothingWithoutKnowingAll(t *testing.T) {
+// Guards against returning instances in use: a node that has just started takes over
+// while a failure domain is cut off, so that it sees no demand.
+func TestReturnsNothingOnIncompleteDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(platform.Config{})
-		end := s.node("one", s.platform.Cloud, s.platform.Table)
+		s := newCluster(platform.Config{})
+		stop := s.startNode("one", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		full := len(s.platform.Cloud.Live())
-		end()
+		stop()
 		s.mu.Lock()
-		s.need = 0
+		s.units = 0
 		s.complete = false
 		s.mu.Unlock()
-		endNext := s.node("two", s.platform.Cloud, s.platform.Table)
+		stopNext := s.startNode("two", s.platform.Cloud, s.platform.Table)
 		time.Sleep(time.Hour)
 		is.Equal(len(s.platform.Cloud.Live()), full)
 		s.mu.Lock()
@@ -150,7 +151,7 @@
 		s.mu.Unlock()
 		time.Sleep(time.Hour)
 		is.True(len(s.platform.Cloud.Live()) < full)
-		endNext()
+		stopNext()
 		s.running.Wait()
 	})
 }
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -7,43 +7,43 @@
 	"zinniamast"
 )
 
-// Snapshot is all that a plan is made from.
+// Snapshot is the input of a plan.
 type Snapshot struct {
 	// Now is when the snapshot was taken.
 	Now time.Time
 	// Demands are what the services need.
 	Demands []Demand
-	// Classes are the machine classes known.
+	// Classes are the known instance classes.
 	Classes []Class
-	// Offers are what may be bought now; what was refused lately is left out.
+	// Offers are what may be bought now, without recently refused offers.
 	Offers []zinniamast.Offer
-	// Instances are those that take work now or will; none that is leaving.
+	// Instances are those that serve now or will, without those that are leaving.
 	Instances []Instance
-	// Exchange asks to look for a cheaper fleet too, which costs some
+	// Exchange also enables the search for a cheaper fleet, which takes some
 	// milliseconds for each service of hundreds of instances.
 	Exchange bool
 }
 
-// Rules are the plan's few constants.
+// Rules are the settings of a plan.
 type Rules struct {
-	// MinDwell is how long an instance is kept at least; zero means 30 minutes.
+	// MinDwell is the age below which an instance is not returned; zero means 30 minutes.
 	MinDwell time.Duration
-	// Slack is by how much what is left must exceed the demand before an
-	// instance is returned; zero means 0.05.
+	// Slack is the share by which the remaining capacity must exceed the demand
+	// for an instance to be returned; zero means 0.05.
 	Slack float64
-	// SwitchGain is what share of the cost a rebuilt fleet must save before
-	// instances are exchanged for cheaper ones; zero means 0.2.
+	// SwitchGain is the share of the cost that a fleet bought from scratch must
+	// save before instances are exchanged for cheaper ones; zero means 0.2.
 	SwitchGain float64
-	// ReadyTimeout is how long an instance that serves nothing counts as
-	// capacity to come; zero means 15 minutes. After that it is replaced but not
-	// returned: it may serve where this node cannot see it.
+	// ReadyTimeout is how long an instance that is not ready counts as capacity;
+	// zero means 15 minutes. After that it is replaced but not returned, since it
+	// may be serving without its reports reaching this node.
 	ReadyTimeout time.Duration
-	// MaxLoading bounds the instances that are not ready yet, so that a wave of
-	// starts does not pay for machines that wait for weights; zero means 50.
+	// MaxLoading bounds the instances that are not ready yet, so that many starts
+	// at a time don't pay for instances that wait for weights; zero means 50.
 	MaxLoading int
 }
 
-func (r Rules) filled() Rules {
+func (r Rules) withDefaults() Rules {
 	if r.MinDwell == 0 {
 		r.MinDwell = 30 * time.Minute
 	}
@@ -62,9 +62,9 @@
 	return r
 }
 
-// Actions are what a plan asks for.
+// Actions are the result of a plan.
 type Actions struct {
-	// Starts are what to buy, the most urgent first.
+	// Starts are the instances to buy, the most urgent first.
 	Starts []Purchase
 	// Stops are the instances to return.
 	Stops []string
@@ -78,17 +78,17 @@
 	Service string           `json:"service"`
 	Role    string           `json:"role"`
 	Offer   zinniamast.Offer `json:"offer"`
-	// need is how much of the demand is missing, 0 to 1.
-	need float64
+	// shortfall is the share of the demand that is unmet, 0 to 1.
+	shortfall float64
 }
 
-// Plan decides what to buy and what to return.
+// Plan decides which instances to buy and which to return.
 func Plan(s Snapshot, rules Rules) Actions {
-	rules = rules.filled()
+	rules = rules.withDefaults()
 	numbers := newNumbering(s.Classes)
-	offers := make([]part, 0, len(s.Offers))
+	offers := make([]candidate, 0, len(s.Offers))
 	for _, offer := range s.Offers {
-		if p, ok := numbers.part(offer); ok && offer.Price > 0 {
+		if p, ok := numbers.candidate(offer); ok && offer.Price > 0 {
 			offers = append(offers, p)
 		}
 	}
@@ -104,39 +104,39 @@
 	}
 	for _, d := range s.Demands {
 		p := planner{
-			now:    s.Now,
-			rules:  rules,
-			demand: d,
-			offers: offers,
-			search: s.Exchange,
+			now:             s.Now,
+			rules:           rules,
+			demand:          d,
+			offers:          offers,
+			exchangeEnabled: s.Exchange,
 		}
 		p.collect(s.Instances, numbers)
 		p.plan(&actions)
 	}
-	slices.SortStableFunc(actions.Starts, func(a, b Purchase) int { return compare(b.need, a.need) })
+	slices.SortStableFunc(actions.Starts, func(a, b Purchase) int { return compare(b.shortfall, a.shortfall) })
 	actions.Starts = actions.Starts[:min(len(actions.Starts), max(0, rules.MaxLoading-loading))]
 	return actions
 }
 
-// planner plans for one service.
+// planner makes the plan for one service.
 type planner struct {
-	now       time.Time
-	rules     Rules
-	demand    Demand
-	offers    []part
-	search    bool
-	instances []*Instance
-	parts     []part
+	now             time.Time
+	rules           Rules
+	demand          Demand
+	offers          []candidate
+	exchangeEnabled bool
+	instances       []*Instance
+	candidates      []candidate
 }
 
-// collect picks the service's instances and what each counts.
+// collect selects the service's instances and adds a candidate for each.
 func (p *planner) collect(instances []Instance, numbers *numbering) {
 	for i := range instances {
 		instance := &instances[i]
 		if instance.Service != p.demand.Service {
 			continue
 		}
-		counted, ok := numbers.part(zinniamast.Offer{
+		counted, ok := numbers.candidate(zinniamast.Offer{
 			FailureDomain: instance.FailureDomain,
 			Class:         instance.Class,
 			Market:        instance.Market,
@@ -144,19 +144,19 @@
 		})
 		if ok {
 			p.instances = append(p.instances, instance)
-			p.parts = append(p.parts, counted)
+			p.candidates = append(p.candidates, counted)
 		}
 	}
 }
 
 func (p *planner) plan(actions *Actions) {
-	f := newFleet(p.parts)
+	f := newFleet(p.candidates)
 	if !f.meets(p.demand) {
-		missing := 1 - f.remaining()/max(p.demand.Units, rounding)
-		added := p.fill()
+		shortfall := 1 - f.unitsAfterDomainLoss()/max(p.demand.Units, epsilon)
+		added := p.fillShortfall()
 		for _, a := range added {
 			f.add(&a, 1)
-			actions.Starts = append(actions.Starts, p.purchase(a, missing))
+			actions.Starts = append(actions.Starts, p.purchase(a, shortfall))
 		}
 		if !f.meets(p.demand) {
 			actions.Unmet = append(actions.Unmet, p.demand.Service)
@@ -167,7 +167,7 @@
 		actions.Stops = append(actions.Stops, stops...)
 		return
 	}
-	if !p.search {
+	if !p.exchangeEnabled {
 		return
 	}
 	for _, cheaper := range p.exchange() {
@@ -175,23 +175,23 @@
 	}
 }
 
-func (p *planner) purchase(a part, need float64) Purchase {
+func (p *planner) purchase(a candidate, shortfall float64) Purchase {
 	return Purchase{
-		Service: p.demand.Service,
-		Role:    p.demand.Role,
-		Offer:   a.offer,
-		need:    need,
+		Service:   p.demand.Service,
+		Role:      p.demand.Role,
+		Offer:     a.offer,
+		shortfall: shortfall,
 	}
 }
 
-// fill returns what to buy so that the demand is met: first what the ideal
-// fleet has and this one lacks, then whatever helps most, less what turns out
-// to be too much.
-func (p *planner) fill() []part {
-	wanted, _ := ideal(p.demand, p.offers)
-	all := slices.Clone(p.parts)
+// fillShortfall returns what to buy so that the demand is met: first what the ideal
+// fleet has and this one lacks, then the offers with the lowest price per unit
+// gained. Purchases that turn out to be unnecessary are left out.
+func (p *planner) fillShortfall() []candidate {
+	wanted, _ := idealFleet(p.demand, p.offers)
+	all := slices.Clone(p.candidates)
 	f := newFleet(all)
-	for _, w := range p.lacking(wanted) {
+	for _, w := range p.unmatched(wanted) {
 		if f.meets(p.demand) {
 			break
 		}
@@ -199,37 +199,39 @@
 		all = append(all, w)
 	}
 	all = append(all, grow(all, p.demand, p.offers)...)
-	kept, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.parts) })
-	return kept[len(p.parts):]
+	retained, _ := trim(all, p.demand, func(i int) bool { return i >= len(p.candidates) })
+	return retained[len(p.candidates):]
 }
 
-// lacking returns the wanted parts that no instance stands for, cheapest first.
-func (p *planner) lacking(wanted []part) []part {
-	have := map[int]int{}
-	for _, a := range p.parts {
-		have[a.kind]++
+// unmatched returns the wanted candidates for which there is no instance of the same
+// kind, the cheapest per unit first.
+func (p *planner) unmatched(wanted []candidate) []candidate {
+	present := map[int]int{}
+	for _, a := range p.candidates {
+		present[a.kind]++
 	}
-	var lacking []part
+	var lacking []candidate
 	for _, w := range wanted {
-		if have[w.kind] > 0 {
-			have[w.kind]--
+		if present[w.kind] > 0 {
+			present[w.kind]--
 			continue
 		}
 		lacking = append(lacking, w)
 	}
-	slices.SortStableFunc(lacking, func(a, b part) int { return compare(a.unitPrice(), b.unitPrice()) })
+	slices.SortStableFunc(lacking, func(a, b candidate) int { return compare(a.unitPrice(), b.unitPrice()) })
 	return lacking
 }
 
-// surplus returns the instances to return: those that a raised demand does
-// not need either, old enough, counting only what is ready now.
+// surplus returns the IDs of the instances to return: those that are at least
+// MinDwell old and that even the raised demand doesn't need. Only ready
+// instances count.
 func (p *planner) surplus() []string {
-	raised := p.raised()
-	var ready []part
+	raised := p.raisedDemand()
+	var ready []candidate
 	var index []int
 	for i, instance := range p.instances {
 		if instance.Ready {
-			ready = append(ready, p.parts[i])
+			ready = append(ready, p.candidates[i])
 			index = append(index, i)
 		}
 	}
@@ -246,35 +248,37 @@
 	return stops
 }
 
-// raised is the demand that must be met by what stays before anything goes.
-func (p *planner) raised() Demand {
+// raisedDemand returns the demand that the remaining instances must meet for any
+// instance to be returned.
+func (p *planner) raisedDemand() Demand {
 	raised := p.demand
 	raised.Units *= 1 + p.rules.Slack
 	return raised
 }
 
-// exchangeShare is one over the part of a fleet that is exchanged at a time.
-const exchangeShare = 50
+// exchangeDivisor limits an exchange to one instance plus a fiftieth of the fleet at a
+// time.
+const exchangeDivisor = 50
 
-// exchange returns a few cheaper instances to buy if a fleet bought anew would
-// cost much less; once they are ready the dearest become surplus. Few at a
-// time, and never while another is loading, so that prices that swing do not
-// make the fleet swing.
-func (p *planner) exchange() []part {
+// exchange returns a few cheaper instances to buy if a fleet bought from scratch
+// would cost much less; once they are ready, the most expensive instances become
+// surplus. It exchanges only a few at a time and none while another is loading,
+// so that the fleet doesn't follow every price fluctuation.
+func (p *planner) exchange() []candidate {
 	for _, instance := range p.instances {
 		if !instance.Ready {
 			return nil
 		}
 	}
-	// What is surplus already but too young to go would be bought for again and
-	// again, and the fleet would grow instead of getting cheaper.
-	if _, extra := trim(p.parts, p.raised(), always); len(extra) > 0 {
+	// While surplus instances are too young to be returned, each exchange would
+	// buy more of them, and the fleet would grow instead of getting cheaper.
+	if _, extra := trim(p.candidates, p.raisedDemand(), alwaysDroppable); len(extra) > 0 {
 		return nil
 	}
-	wanted, ok := ideal(p.demand, p.offers)
-	if !ok || newFleet(wanted).cost > newFleet(p.parts).cost*(1-p.rules.SwitchGain) {
+	wanted, ok := idealFleet(p.demand, p.offers)
+	if !ok || newFleet(wanted).cost > newFleet(p.candidates).cost*(1-p.rules.SwitchGain) {
 		return nil
 	}
-	lacking := p.lacking(wanted)
-	return lacking[:min(len(lacking), 1+len(p.parts)/exchangeShare)]
+	lacking := p.unmatched(wanted)
+	return lacking[:min(len(lacking), 1+len(p.candidates)/exchangeDivisor)]
 }
--- a/capacity/refusal.go
+++ b/capacity/refusal.go
@@ -8,24 +8,24 @@
 	"zinniamast"
 )
 
-// Backoff of an offer that the cloud refused to start.
+// Bounds of the backoff after the cloud refused to start an offer.
 const (
-	refusedFirst = 30 * time.Second
-	refusedLast  = 10 * time.Minute
+	minRefusalBackoff = 30 * time.Second
+	maxRefusalBackoff = 10 * time.Minute
 )
 
-// refusals remembers which offers were refused lately, so that the plan goes
-// elsewhere and comes back in a while.
+// refusals records recently refused offers, so that the plan uses other offers
+// until the backoff ends.
 type refusals struct {
 	byKind map[kindName]refusal
 }
 
 type refusal struct {
-	until time.Time
-	wait  time.Duration
+	until   time.Time
+	backoff time.Duration
 }
 
-func nameOf(offer zinniamast.Offer) kindName {
+func kindNameOf(offer zinniamast.Offer) kindName {
 	return kindName{
 		failureDomain: offer.FailureDomain,
 		class:         offer.Class,
@@ -33,23 +33,23 @@
 	}
 }
 
-func (r *refusals) refused(now time.Time, offer zinniamast.Offer) {
+func (r *refusals) recordRefusal(now time.Time, offer zinniamast.Offer) {
 	if r.byKind == nil {
 		r.byKind = map[kindName]refusal{}
 	}
-	name := nameOf(offer)
-	wait := min(max(refusedFirst, 2*r.byKind[name].wait), refusedLast)
+	name := kindNameOf(offer)
+	backoff := min(max(minRefusalBackoff, 2*r.byKind[name].backoff), maxRefusalBackoff)
 	r.byKind[name] = refusal{
-		until: now.Add(wait*3/4 + rand.N(wait/2)),
-		wait:  wait,
+		until:   now.Add(backoff*3/4 + rand.N(backoff/2)),
+		backoff: backoff,
 	}
 }
 
-func (r *refusals) started(offer zinniamast.Offer) { delete(r.byKind, nameOf(offer)) }
+func (r *refusals) clear(offer zinniamast.Offer) { delete(r.byKind, kindNameOf(offer)) }
 
-// open returns the offers that may be tried now.
-func (r *refusals) open(now time.Time, offers []zinniamast.Offer) []zinniamast.Offer {
+// availableOffers returns the offers that are not in backoff.
+func (r *refusals) availableOffers(now time.Time, offers []zinniamast.Offer) []zinniamast.Offer {
 	return slices.DeleteFunc(slices.Clone(offers), func(offer zinniamast.Offer) bool {
-		return now.Before(r.byKind[nameOf(offer)].until)
+		return now.Before(r.byKind[kindNameOf(offer)].until)
 	})
 }
--- a/capacity/look.go
+++ b/capacity/view.go
@@ -13,15 +13,16 @@
 	"zinniamast"
 )
 
-// view is what a round sees.
+// view is the state of the fleet that a round observes.
 type view struct {
 	now     time.Time
 	listed  map[string]zinniamast.Instance
 	leaving map[string]bool
 }
 
-// look asks the platform for instances, notices and prices.
-func (c *Controller) look(ctx context.Context) (*view, error) {
+// observe reads instances, notices and, if the last ones are stale, offers from the
+// platform.
+func (c *Controller) observe(ctx context.Context) (*view, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	v := &view{
@@ -41,7 +42,7 @@
 		notices, err = c.config.Cloud.Notices(ctx)
 		return err
 	})
-	stale := v.now.Sub(c.offersAt) >= offersInterval
+	stale := v.now.Sub(c.offersReadAt) >= offersInterval
 	if stale {
 		group.Go(func() (err error) {
 			offers, err = c.config.Cloud.Offers(ctx)
@@ -52,17 +53,17 @@
 		return nil, err
 	}
 	if stale {
-		c.offers, c.offersAt = offers, v.now
+		c.offers, c.offersReadAt = offers, v.now
 		for _, offer := range offers {
-			c.prices[nameOf(offer)] = offer.Price
+			c.prices[kindNameOf(offer)] = offer.Price
 		}
 	}
 	for _, instance := range instances {
 		v.listed[instance.ID] = instance
 		v.leaving[instance.ID] = instance.Leaving
 	}
-	// A notice counts at once, whatever the lagging list says: the replacement
-	// must load its weights while the old instance still works.
+	// A notice counts at once, even if the lagging list doesn't show it yet: the
+	// replacement must load its weights while the old instance still serves.
 	for _, notice := range notices {
 		v.leaving[notice.Instance] = true
 	}
@@ -72,17 +73,17 @@
 	return v, nil
 }
 
-// plan turns the view into actions.
+// plan decides on the actions for a view.
 func (c *Controller) plan(v *view, demands []Demand) Actions {
 	s := Snapshot{
 		Now:     v.now,
 		Demands: demands,
 		Classes: c.config.Classes(),
-		Offers:  c.refusals.open(v.now, c.offers),
+		Offers:  c.refusals.availableOffers(v.now, c.offers),
 	}
-	if v.now.Sub(c.exchanged) >= exchangeInterval {
+	if v.now.Sub(c.exchangedAt) >= exchangeInterval {
 		s.Exchange = true
-		c.exchanged = v.now
+		c.exchangedAt = v.now
 	}
 	models := map[string][]string{}
 	for _, d := range demands {
@@ -93,7 +94,7 @@
 		if v.leaving[instance.ID] || instance.Role == "entry" {
 			return
 		}
-		price := c.prices[nameOf(zinniamast.Offer{
+		price := c.prices[kindNameOf(zinniamast.Offer{
 			FailureDomain: instance.FailureDomain,
 			Class:         instance.Class,
 			Market:        instance.Market,
@@ -101,8 +102,8 @@
 		cost += price
 		s.Instances = append(s.Instances, Instance{
 			Instance: instance,
-			Price:    max(price, rounding),
-			Ready:    c.serves(instance, models[instance.Service]),
+			Price:    max(price, epsilon),
+			Ready:    c.isServing(instance, models[instance.Service]),
 		})
 	}
 	for _, instance := range v.listed {
@@ -110,7 +111,7 @@
 	}
 	for _, start := range c.record.Starts {
 		if _, listed := v.listed[start.Instance.ID]; !listed {
-			add(start.bought())
+			add(start.expectedInstance())
 		}
 	}
 	slices.SortFunc(s.Instances, func(a, b Instance) int {
@@ -122,8 +123,9 @@
 	return actions
 }
 
-// bought is the instance that a purchase leads to, also before the cloud answers.
-func (s starting) bought() zinniamast.Instance {
+// expectedInstance returns the instance that results from a purchase. Its ID is empty
+// until the cloud has answered.
+func (s pendingStart) expectedInstance() zinniamast.Instance {
 	instance := s.Instance
 	instance.FailureDomain = s.Purchase.Offer.FailureDomain
 	instance.Class = s.Purchase.Offer.Class
@@ -134,8 +136,8 @@
 	return instance
 }
 
-// serves says whether an instance holds all that it shall.
-func (c *Controller) serves(instance zinniamast.Instance, models []string) bool {
+// isServing reports whether an instance has loaded all the given models and is not leaving.
+func (c *Controller) isServing(instance zinniamast.Instance, models []string) bool {
 	if instance.ID == "" {
 		return false
 	}
@@ -143,11 +145,11 @@
 	return ok && !report.Leaving && len(missing(models, report.Models)) == 0
 }
 
-// intend puts the actions into the intents and reports whether there are any.
-func (c *Controller) intend(now time.Time, actions Actions) bool {
+// recordIntents adds the actions to the intents and reports whether there were any.
+func (c *Controller) recordIntents(now time.Time, actions Actions) bool {
 	for _, purchase := range actions.Starts {
 		c.sequence++
-		c.record.Starts = append(c.record.Starts, starting{
+		c.record.Starts = append(c.record.Starts, pendingStart{
 			Token: strconv.FormatUint(c.fence, 10) + "-" + strconv.FormatUint(c.record.revision, 10) + "-" +
 				strconv.FormatUint(c.sequence, 10),
 			Purchase: purchase,
@@ -155,7 +157,7 @@
 		})
 	}
 	for _, id := range actions.Stops {
-		c.record.Stops = append(c.record.Stops, stopping{
+		c.record.Stops = append(c.record.Stops, pendingStop{
 			Instance: id,
 			At:       now,
 		})
