--- a/duties.go
+++ b/duties.go
@@ -2,25 +2,25 @@
 
 import "context"
 
-// Duties are the calls that one node at a time owes the platform, under a
-// fencing number that rises with each holder.
+// Duties are the calls to the platform that only one node at a time, the lease
+// holder, makes. Each carries a fencing number that rises with each holder.
 type Duties interface {
-	// Report sends the usage of one window; sending the same again is harmless.
+	// Report sends the usage of one window. It is idempotent.
 	Report(ctx context.Context, fence uint64, report UsageReport) error
-	// Scale orders how many replicas of one market there shall be; ErrRefused
-	// if there are none to be had now.
+	// Scale sets the desired number of replicas in one market. It returns
+	// ErrRefused if none are available now.
 	Scale(ctx context.Context, fence uint64, order ScaleOrder) error
 }
 
-// UsageReport counts the requests that began to run in one window.
+// UsageReport counts the requests that started running in one window.
 type UsageReport struct {
-	// Window is the window's number since 1970.
+	// Window is the window's sequence number, counted from the Unix epoch.
 	Window int64 `json:"window"`
-	// Counts are by organisation.
+	// Counts holds the number of requests by organisation.
 	Counts map[string]int `json:"counts"`
 }
 
-// ScaleOrder is a number of replicas of a service in a failure domain.
+// ScaleOrder is the desired number of replicas of a service in a failure domain.
 type ScaleOrder struct {
 	Service       string
 	FailureDomain string
--- a/failure.go
+++ b/failure.go
@@ -5,44 +5,44 @@
 	"fmt"
 )
 
-// Failure names how one attempt at an upstream ended without a whole answer.
+// Failure is the way in which one attempt at an upstream ended without a complete answer.
 type Failure string
 
 // The ways an attempt can fail.
 const (
-	// FailureDial means no connection was made, so no byte left this node.
+	// FailureDial means that no connection was established, so nothing was sent.
 	FailureDial Failure = "dial"
-	// FailureRefused means the upstream answered that it did not take the work.
+	// FailureRefused means that the upstream answered that it did not accept the request.
 	FailureRefused Failure = "refused"
-	// FailureTimeout means the request went out and no answer came in time.
+	// FailureTimeout means that the request was sent and no answer arrived in time.
 	FailureTimeout Failure = "timeout"
-	// FailureReset means the connection died after the first byte went out.
+	// FailureReset means that the connection broke after the first byte was sent.
 	FailureReset Failure = "reset"
-	// FailureCutShort means an answer began and ended without its end mark.
+	// FailureCutShort means that an answer started and ended without its end mark.
 	FailureCutShort Failure = "cut_short"
-	// FailureCrossed means an answer carried another attempt's identity.
+	// FailureCrossed means that an answer carried the ID of another attempt.
 	FailureCrossed Failure = "crossed"
-	// FailureError means the upstream said that it failed while running.
+	// FailureError means that the upstream reported an error while running the request.
 	FailureError Failure = "error"
-	// FailureInvalid means the upstream judged the request itself invalid.
+	// FailureInvalid means that the upstream rejected the request as invalid.
 	FailureInvalid Failure = "invalid"
-	// FailureStopped means this node stopped the attempt itself.
+	// FailureStopped means that this node stopped the attempt.
 	FailureStopped Failure = "stopped"
 )
 
-// FailureOutcome says what a failure proves.
+// FailureOutcome describes what can be concluded from a failure.
 type FailureOutcome struct {
-	// Ran is what is known of the run after the failure.
+	// Ran says whether the request ran, as far as the failure shows.
 	Ran Ran
-	// BlamesReplica means the failure counts against the replica's health.
+	// BlamesReplica means that the failure counts against the replica's health.
 	BlamesReplica bool
-	// MayHaveCrashed means the replica may have died of this very request.
+	// MayHaveCrashed means that this request may have crashed the replica.
 	MayHaveCrashed bool
 }
 
-// FailureOutcomes is the one table that decides what each failure proves.
-// "Not run" stands only where no byte can have reached a replica that may
-// act on it, or where the replica itself promised not to act.
+// FailureOutcomes is the only table that maps each failure to its outcome.
+// Ran is NotRun only if no byte can have reached a replica that may act on it,
+// or if the replica itself confirmed that it does not act on the request.
 var FailureOutcomes = map[Failure]FailureOutcome{
 	FailureDial:     {Ran: NotRun, BlamesReplica: true, MayHaveCrashed: false},
 	FailureRefused:  {Ran: NotRun, BlamesReplica: false, MayHaveCrashed: false},
@@ -57,13 +57,13 @@
 
 // UpstreamError is the error that clients of upstreams return.
 type UpstreamError struct {
-	// Failure says how the attempt ended.
+	// Failure is the way in which the attempt ended.
 	Failure Failure
 	// Upstream is the upstream's ID.
 	Upstream string
-	// Leaving means the upstream refused because it is going away.
+	// Leaving means that the upstream refused the attempt because it is shutting down.
 	Leaving bool
-	// Cause is the error from below, kept for the log.
+	// Cause is the underlying error, for the log.
 	Cause error
 }
 
@@ -72,10 +72,10 @@
 	return fmt.Sprintf("upstream %s: %s: %v", e.Upstream, e.Failure, e.Cause)
 }
 
-// Unwrap returns the error from below.
+// Unwrap returns the underlying error.
 func (e *UpstreamError) Unwrap() error { return e.Cause }
 
-// Outcome returns what the failure proves.
+// Outcome returns what can be concluded from the failure.
 func (e *UpstreamError) Outcome() FailureOutcome {
 	outcome, ok := FailureOutcomes[e.Failure]
 	if !ok {
@@ -87,7 +87,7 @@
 	return outcome
 }
 
-// AsUpstreamError returns the upstream error inside err, or nil.
+// AsUpstreamError returns the *UpstreamError in err's chain, or nil.
 func AsUpstreamError(err error) *UpstreamError {
 	var upstream *UpstreamError
 	if errors.As(err, &upstream) {
--- a/gossip.go
+++ b/gossip.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// Topic names a kind of news.
+// Topic is a kind of gossip item.
 type Topic string
 
-// The topics that nodes exchange.
+// The topics that nodes publish.
 const (
-	// TopicUpstreamLeaving tells that an upstream takes no new work; the key is its ID.
+	// TopicUpstreamLeaving reports that an upstream accepts no new requests. The key is its ID.
 	TopicUpstreamLeaving Topic = "upstream_leaving"
-	// TopicUpstreamGone tells that an upstream is gone.
+	// TopicUpstreamGone reports that an upstream no longer exists.
 	TopicUpstreamGone Topic = "upstream_gone"
-	// TopicCrash tells that a replica died; the key is its ID.
+	// TopicCrash reports that a replica crashed. The key is its ID.
 	TopicCrash Topic = "crash"
-	// TopicQuarantine tells which requests are held back, and which were freed.
+	// TopicQuarantine reports requests that were quarantined or released.
 	TopicQuarantine Topic = "quarantine"
-	// TopicUsage tells what an organisation uses at one node.
+	// TopicUsage reports an organisation's usage at one node.
 	TopicUsage Topic = "usage"
-	// TopicCircuit tells one node's view of an upstream's health.
+	// TopicCircuit reports the state of one node's circuit breaker for an upstream.
 	TopicCircuit Topic = "circuit"
-	// TopicDemand tells what is asked of each service, of one node or one failure domain.
+	// TopicDemand reports the demand for each service at one node or in one failure domain.
 	TopicDemand Topic = "demand"
-	// TopicLoad tells what one node has in flight at upstreams.
+	// TopicLoad reports one node's in-flight requests at upstreams.
 	TopicLoad Topic = "load"
 )
 
-// Gossip carries small news between nodes within a few hundred milliseconds,
-// and again with each heartbeat until it expires.
+// Gossip spreads small items between nodes within a few hundred milliseconds
+// and repeats each with every heartbeat until it expires.
 type Gossip interface {
-	// Publish sends news to the failure domain, or to all where Wide is set.
-	Publish(news News)
-	// Subscribe calls f for each item newer than what was known before; f must not block.
-	Subscribe(topic Topic, f func(news News))
+	// Publish sends an item to the nodes of the failure domain, or to all nodes if
+	// Wide is set.
+	Publish(item News)
+	// Subscribe calls f for each received item that is newer than the last one of
+	// the same topic, key and origin. f must not block.
+	Subscribe(topic Topic, f func(item News))
 }
 
-// News is one small fact; a later one of the same topic, key and origin replaces it.
+// News is one gossip item. A later item of the same topic, key and origin replaces it.
 type News struct {
 	Topic Topic
 	Key   string
 	// Value is the content, at most MaxNews bytes.
 	Value []byte
-	// Origin is the node that published it; Publish fills it in.
+	// Origin is the node that published the item. Publish sets it.
 	Origin string
-	// Sequence orders items of one origin; Publish fills it in.
+	// Sequence orders the items of one origin. Publish sets it.
 	Sequence uint64
-	// Expires is when it stops being news.
+	// Expires is the time after which nodes drop the item.
 	Expires time.Time
-	// Wide means that other failure domains hear it too.
+	// Wide means that the item is also sent to other failure domains.
 	Wide bool
 }
 
-// MaxNews bounds one item's value, in bytes.
+// MaxNews is the maximum size of one item's value, in bytes.
 const MaxNews = 1024
--- a/platform.go
+++ b/platform.go
@@ -6,42 +6,45 @@
 	"time"
 )
 
-// Errors of the platform that callers tell apart. Any other error leaves the
-// effect of a write open: it may have happened although its answer was lost.
+// Errors of the platform that callers distinguish. After any other error, the
+// effect of a write is unknown: it may have been applied and its answer lost.
 var (
-	// ErrConflict means a write's condition did not hold; nothing was written.
+	// ErrConflict means that a write's condition did not hold. Nothing was written.
 	ErrConflict = errors.New("condition does not hold")
-	// ErrNotFound means there is no such item, object or instance.
+	// ErrNotFound means that there is no such item, object or instance.
 	ErrNotFound = errors.New("not found")
-	// ErrThrottled means the platform refused the call for its rate; nothing was done.
+	// ErrThrottled means that the platform rate-limited the call. Nothing was changed.
 	ErrThrottled = errors.New("throttled")
-	// ErrUnavailable means the call was not sent, since the platform is known to be out; nothing was done.
+	// ErrUnavailable means that the call was not sent, because the platform is
+	// known to be unavailable. Nothing was changed.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrOversized means a write exceeds a bound of the platform; nothing was done.
+	// ErrOversized means that a write exceeds a limit of the platform. Nothing was changed.
 	ErrOversized = errors.New("too large for the platform")
-	// ErrRefused means the cloud would not start an instance; nothing was done.
+	// ErrRefused means that the cloud refused to start an instance. Nothing was changed.
 	ErrRefused = errors.New("start refused")
 )
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Get reads one item with strong consistency; ErrNotFound if there is none.
+	// Get reads one item with strong consistency. It returns ErrNotFound if there is none.
 	Get(ctx context.Context, key Key) (Item, error)
-	// Query reads the items of one partition in the order of their sort keys, at most limit.
+	// Query reads at most limit items of one partition, in the order of their sort
+	// keys.
 	Query(ctx context.Context, partition string, after string, limit int) ([]Item, error)
-	// Write applies all writes or none; ErrConflict comes as a *ConflictError that names which failed.
+	// Write applies all writes or none. ErrConflict is returned as a
+	// *ConflictError that lists the writes that failed.
 	Write(ctx context.Context, writes []Write) error
 }
 
-// Bounds of one write to the table.
+// Limits of one write to the table.
 const (
-	// MaxWrites is how many items one Write may change.
+	// MaxWrites is the maximum number of items that one Write may change.
 	MaxWrites = 100
-	// MaxValue is the largest value of an item, in bytes.
+	// MaxValue is the maximum size of an item's value, in bytes.
 	MaxValue = 300 << 10
 )
 
-// CheckWrites returns ErrOversized where the writes exceed the table's bounds.
+// CheckWrites returns ErrOversized if the writes exceed the table's limits.
 func CheckWrites(writes []Write) error {
 	if len(writes) > MaxWrites {
 		return ErrOversized
@@ -54,9 +57,9 @@
 	return nil
 }
 
-// Key names an item.
+// Key identifies an item.
 type Key struct {
-	// Partition groups the items that Query reads together.
+	// Partition groups the items that one Query reads.
 	Partition string
 	// Sort orders items within the partition.
 	Sort string
@@ -64,53 +67,54 @@
 
 // Item is one stored value with its revision.
 type Item struct {
-	// Key is the item's name.
+	// Key identifies the item.
 	Key Key
 	// Value is the content, at most MaxValue bytes.
 	Value []byte
-	// Revision is 1 after the first write and rises by one with each.
+	// Revision is 1 after the first write and increases by one with each write.
 	Revision uint64
-	// Expires is when the platform may drop the item; zero means never.
+	// Expires is the time after which the platform may delete the item. Zero means never.
 	Expires time.Time
-	// Token is unique to the write that left the item so. Read back, it tells
-	// whether a write whose answer was lost took effect. The node's budgeted
-	// path fills it in.
+	// Token is unique to the write that produced this revision. Reading it back
+	// shows whether a write whose answer was lost took effect. Package tablebudget
+	// sets it.
 	Token string
 }
 
 // Write is one conditional write.
 type Write struct {
-	// Item is the new content; its Revision is ignored.
+	// Item is the new content. Its Revision is ignored.
 	Item Item
 	// Delete removes the item instead.
 	Delete bool
-	// Expect is the revision that must stand; zero means that no item may exist.
+	// Expect is the revision that the stored item must have. Zero means that no
+	// item may exist.
 	Expect uint64
 }
 
-// ConflictError names the writes whose condition did not hold.
+// ConflictError lists the writes whose condition did not hold.
 type ConflictError struct {
-	// Failed holds indexes into the writes.
+	// Failed holds the indexes of the failed writes.
 	Failed []int
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string { return ErrConflict.Error() }
 
-// Is makes errors.Is(err, ErrConflict) hold.
+// Is makes errors.Is(err, ErrConflict) true.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// ObjectStore keeps what is too large for the table.
+// ObjectStore stores objects that are too large for the table.
 type ObjectStore interface {
-	// Put stores an object whole.
+	// Put stores a complete object.
 	Put(ctx context.Context, name string, content []byte) error
-	// Get reads an object whole; ErrNotFound if there is none.
+	// Get reads a complete object. It returns ErrNotFound if there is none.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Delete removes an object; removing a missing one is no error.
+	// Delete removes an object. Removing a missing one is not an error.
 	Delete(ctx context.Context, name string) error
 }
 
-// Market says how an instance is paid for.
+// Market is the purchasing model of an instance.
 type Market string
 
 // The cloud's two markets.
@@ -119,16 +123,16 @@
 	OnDemand    Market = "on_demand"
 )
 
-// Cloud buys and returns instances.
+// Cloud starts and stops instances.
 type Cloud interface {
-	// Offers lists what can be bought now, with prices.
+	// Offers lists the instances that can be bought now, with their prices.
 	Offers(ctx context.Context) ([]Offer, error)
-	// Start buys an instance; the token makes a repeated call return the same
-	// one. The role may name the service too, as in "engine/draft".
+	// Start buys an instance. Repeating the call with the same token returns the
+	// same instance. The role may include the service, as in "engine/draft".
 	Start(ctx context.Context, token string, offer Offer, role string) (Instance, error)
-	// Stop returns an instance; stopping a missing one is no error.
+	// Stop gives an instance back. Stopping a missing one is not an error.
 	Stop(ctx context.Context, id string) error
-	// Notices lists the reclaims announced and not yet carried out.
+	// Notices lists the announced reclaims that have not happened yet.
 	Notices(ctx context.Context) ([]Notice, error)
 }
 
@@ -141,7 +145,7 @@
 	Price float64 `json:"price"`
 }
 
-// Notice announces a reclaim.
+// Notice announces that the cloud will reclaim an instance.
 type Notice struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
@@ -149,35 +153,37 @@
 
 // InstanceList is the platform's lagging list of instances.
 type InstanceList interface {
-	// List returns all instances known to the platform, live and leaving.
+	// List returns all instances known to the platform, including leaving ones.
 	List(ctx context.Context) ([]Instance, error)
 }
 
-// Instance is one entry of the platform's list.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Class         string `json:"class"`
 	Market        Market `json:"market"`
-	// Role is entry, engine or service.
+	// Role is "entry", "engine" or "service".
 	Role string `json:"role"`
 	// Service is the model deployment or plain service that the instance runs.
 	Service string `json:"service"`
-	// Address is the base URL of an upstream, host:port of an entry instance's peer listener.
+	// Address is the base URL of an upstream, or the host:port of an entry
+	// instance's peer listener.
 	Address string `json:"address"`
-	// Leaving means that a stop is announced.
+	// Leaving means that a stop of the instance is announced.
 	Leaving bool `json:"leaving"`
-	// LeavesAt is when an announced stop takes effect; zero if unknown.
+	// LeavesAt is the time at which an announced stop takes effect. It is zero if unknown.
 	LeavesAt time.Time `json:"leaves_at,omitzero"`
-	// Started rises with each start of an instance under the same ID.
+	// Started is the start time. It increases with each start of an instance under
+	// the same ID.
 	Started time.Time `json:"started"`
 }
 
-// WeightStore serves model weights, rate-limited.
+// WeightStore is the rate-limited store of model weights.
 type WeightStore interface {
 	// Size returns the size of a model's weights in bytes.
 	Size(ctx context.Context, model string) (int64, error)
-	// Permit asks for a share of the store's rate before an engine is told to
-	// load; ErrThrottled if there is none now.
+	// Permit reserves a share of the store's rate before an engine is asked to
+	// load a model. It returns ErrThrottled if no share is available now.
 	Permit(ctx context.Context, model string) error
 }
--- a/policy.go
+++ b/policy.go
@@ -4,165 +4,174 @@
 
 // Router chooses the upstream of each attempt.
 type Router interface {
-	// Route chooses an upstream; its errors are *Refusal.
+	// Route chooses an upstream. Errors are of type *Refusal.
 	Route(need *Need) (Choice, error)
-	// Observe tells what an attempt did; it is called from many goroutines.
+	// Observe reports the progress of an attempt. It is safe for concurrent use.
 	Observe(observation Observation)
-	// Explain says in a few lines why a recent request went where it went.
+	// Explain describes in a few lines why a recent request was routed to its upstream.
 	Explain(request string) string
 }
 
-// Need is what one attempt asks of an upstream.
+// Need describes one attempt for which an upstream is chosen.
 type Need struct {
-	// Request is the request's ID, for Explain.
+	// Request is the request's ID, which Explain uses.
 	Request string
 	// Service is the model deployment or plain service.
 	Service string
-	// Organisation is the caller's.
+	// Organisation is the caller's organisation.
 	Organisation string
-	// Class is the priority class and Priority its number; lower runs first.
+	// Class is the priority class and Priority its number. Lower numbers run first.
 	Class    string
 	Priority int
-	// PromptTokens is the prompt's length, about.
+	// PromptTokens is the approximate length of the prompt.
 	PromptTokens int
-	// Produced is how many tokens of the answer exist already.
+	// Produced is the number of tokens of the answer that earlier attempts have produced.
 	Produced int
-	// MaxTokens bounds the whole answer.
+	// MaxTokens limits the length of the whole answer.
 	MaxTokens int
 	// Prefix holds hashes of the prompt's leading blocks, shortest first, as
-	// package prefix computes them.
+	// computed by package prefix.
 	Prefix []uint64
-	// Deadline is when the answer is worthless.
+	// Deadline is the time after which the answer is useless to the caller.
 	Deadline time.Time
-	// FirstTokenTarget and BetweenTokensTarget are the latency target.
+	// FirstTokenTarget and BetweenTokensTarget are the latency targets.
 	FirstTokenTarget    time.Duration
 	BetweenTokensTarget time.Duration
-	// Avoid lists upstreams that have failed this request.
+	// Avoid lists upstreams at which attempts of this request have failed.
 	Avoid []string
-	// Alone asks for a replica with nothing else of value on it, for a suspect request.
+	// Alone asks for a replica without other important requests, because this
+	// request is suspected of crashing replicas.
 	Alone bool
 }
 
-// Choice is where an attempt goes.
+// Choice is the routing decision for an attempt.
 type Choice struct {
 	// Upstream is the upstream's ID.
 	Upstream string
-	// FirstToken and BetweenTokens are the predictions the choice rests on.
+	// FirstToken and BetweenTokens are the predicted latencies on which the choice
+	// is based.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// CachedTokens is how much of the prompt the replica probably holds, with what
-	// it is to fetch.
+	// CachedTokens is the number of prompt tokens that the replica probably has in
+	// its cache, including those that it is to fetch from FetchFrom.
 	CachedTokens int
-	// Work is the machine time that the attempt's prompt takes at a replica of the
-	// usual speed; zero where that is not known yet.
+	// Work is the compute time that the attempt's prompt takes on a replica of
+	// typical speed. It is zero while that is unknown.
 	Work time.Duration
-	// FetchFrom is the upstream from which it shall fetch what it does not hold of
-	// the prompt; empty if from none.
+	// FetchFrom is the upstream from which the replica fetches the part of the
+	// prompt's KV cache that it lacks. It is empty if nothing is fetched.
 	FetchFrom string
 }
 
-// ObservationKind says what was observed.
+// ObservationKind is the event that an Observation reports.
 type ObservationKind int
 
-// What the request path reports to the router.
+// The events that the request path reports to the router.
 const (
-	// ObservedStart comes when an attempt is sent.
+	// ObservedStart is reported when an attempt is sent.
 	ObservedStart ObservationKind = iota
-	// ObservedFirstToken comes with the first token; Elapsed counts from the start.
+	// ObservedFirstToken is reported with the first token. Elapsed is measured from
+	// the start of the attempt.
 	ObservedFirstToken
-	// ObservedEnd comes when an attempt ends; Elapsed counts from the first token.
+	// ObservedEnd is reported when an attempt ends. Elapsed is measured from the
+	// first token.
 	ObservedEnd
 )
 
-// UnknownCached stands for a count of cached tokens that the engine does not tell.
+// UnknownCached is the number of cached tokens if the engine does not report it.
 const UnknownCached = -1
 
-// Observation is one thing seen of an attempt.
+// Observation reports one event of an attempt.
 type Observation struct {
-	// Kind says which.
+	// Kind is the event.
 	Kind ObservationKind
 	// Attempt identifies the attempt.
 	Attempt string
 	// Upstream is the upstream's ID.
 	Upstream string
-	// Priority is the request's, set at ObservedStart; lower runs first.
+	// Priority is the request's priority number, set with ObservedStart. Lower
+	// numbers run first.
 	Priority int
-	// Elapsed is the time that Kind names.
+	// Elapsed is the duration described at Kind's constants.
 	Elapsed time.Duration
-	// PromptTokens, CachedTokens and Tokens count the attempt's work, as far as
-	// known. CachedTokens is UnknownCached where the engine does not say; Tokens
-	// may count pieces of the answer where tokens are not told apart, as long as
-	// a service's pieces are all of a kind.
+	// PromptTokens, CachedTokens and Tokens count the attempt's work, as far as it
+	// is known. CachedTokens is UnknownCached if the engine does not report it.
+	// Tokens may count the pieces of the answer if the tokens in them cannot be
+	// counted, provided that all pieces of a service are of the same kind.
 	PromptTokens int
 	CachedTokens int
 	Tokens       int
 	// Prefix holds hashes of the prompt's leading blocks, shortest first.
 	Prefix []uint64
-	// BetweenTokensTarget is the request's own, set at ObservedStart; zero means
-	// that the configuration's holds.
+	// BetweenTokensTarget is the request's own target, set with ObservedStart. Zero
+	// means that the configured target applies.
 	BetweenTokensTarget time.Duration
-	// Failure is how the attempt failed; empty for a whole answer.
+	// Failure is the way in which the attempt failed. It is empty for a complete answer.
 	Failure Failure
 }
 
-// Limiter decides whether a request may begin.
+// Limiter decides whether a request is admitted.
 type Limiter interface {
-	// Admit returns a ticket or a *Refusal that says "not run" and when to come back.
-	Admit(ask Admission) (Ticket, error)
+	// Admit returns a ticket, or a *Refusal with Ran set to NotRun and RetryAfter set
+	// to the time to wait.
+	Admit(admission Admission) (Ticket, error)
 }
 
-// Ticket is a place that an admitted request holds.
+// Ticket holds the resources reserved for an admitted request.
 type Ticket interface {
-	// Grow counts more memory against the node's cap; it reports false where the cap is met.
+	// Grow counts additional memory against the node's memory cap. It returns false
+	// if that would exceed the cap.
 	Grow(bytes int) bool
-	// Release gives the place back; it may be called twice.
+	// Release returns the reserved resources. Calling it again has no effect.
 	Release()
 }
 
-// Admission is what a request asks for before it begins.
+// Admission describes a request that asks to be admitted.
 type Admission struct {
-	// Organisation is the caller's.
+	// Organisation is the caller's organisation.
 	Organisation string
 	// Service is the model deployment or plain service.
 	Service string
-	// Class is the priority class and Priority its number; lower runs first.
+	// Class is the priority class and Priority its number. Lower numbers run first.
 	Class    string
 	Priority int
-	// PromptTokens and MaxTokens bound the work.
+	// PromptTokens and MaxTokens are upper bounds of the work.
 	PromptTokens int
 	MaxTokens    int
-	// Bytes is the memory that the request holds at first.
+	// Bytes is the memory that the request uses initially.
 	Bytes int
-	// Deadline is when the answer is worthless.
+	// Deadline is the time after which the answer is useless to the caller.
 	Deadline time.Time
 }
 
-// RetryPolicy bounds retries so that they cannot amplify an outage.
+// RetryPolicy limits retries so that they cannot amplify an outage.
 type RetryPolicy interface {
-	// Started counts a first attempt, which earns a part of a retry.
+	// Started counts a first attempt, which adds a fraction of a retry to the budget.
 	Started(organisation, service string)
-	// Retry returns how long to wait before the given retry (1 is the first), or a
-	// *Refusal if the budget is spent.
+	// Retry returns the backoff before the given retry (1 is the first), or a
+	// *Refusal if the retry budget is exhausted.
 	Retry(organisation, service string, retry int, ratio float64) (time.Duration, error)
-	// Succeeded tells that a replica of the service has begun to answer.
+	// Succeeded reports that a replica of the service has started to answer.
 	Succeeded(service string)
-	// GoOn is Retry for an attempt that adds no load beyond the request's own:
-	// nothing of the one before went out, or it died with a part of the answer
-	// that stands. It is refused only while the service does not answer others.
+	// GoOn is like Retry, for an attempt that adds no load beyond the request's
+	// own: either nothing of the previous attempt was sent, or its replica failed
+	// and the part of the answer already produced remains valid. Such an attempt
+	// is refused only while the service does not answer other requests.
 	GoOn(organisation, service string, retry int, ratio float64) (time.Duration, error)
 }
 
-// Quarantine holds back requests that crash what runs them.
+// Quarantine refuses requests that crash the replicas that run them.
 type Quarantine interface {
-	// Check returns a *Refusal for a request held back; alone asks that a suspect
-	// runs where it can harm no other.
+	// Check returns a *Refusal for a quarantined request. For a suspect request,
+	// alone is true: it must run where it cannot harm other requests.
 	Check(fingerprint uint64) (alone bool, err error)
-	// Apart returns which of the replicas a suspect should not run on, so that
-	// its next run tells it apart from the others.
+	// Apart returns the replicas that a suspect request should avoid, so that its
+	// next run distinguishes it from the other suspects.
 	Apart(fingerprint uint64, replicas []string) []string
-	// Running counts a request in at a replica, and Ended counts it out.
+	// Running reports that a request starts running on a replica, and Ended that it
+	// has ended there.
 	Running(upstream string, fingerprint uint64)
 	Ended(upstream string, fingerprint uint64)
-	// Crashed tells that a replica died under the requests running there.
+	// Crashed reports that a replica crashed while it ran requests.
 	Crashed(upstream string)
 }
--- a/reason.go
+++ b/reason.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// Ran says what is known of whether a refused or failed request ran.
+// Ran says whether a refused or failed request ran, as far as that is known.
 type Ran string
 
-// What can be known of a request that got no answer of its own.
+// The possible states of a request that received no answer.
 const (
-	// NotRun is said only when no byte can have reached a replica that may act on it.
+	// NotRun means that the request did not run. It is used only if no byte can have
+	// reached a replica that may act on it.
 	NotRun Ran = "not_run"
-	// DidRun means the request ran although its answer was not delivered.
+	// DidRun means that the request ran but its answer was not delivered.
 	DidRun Ran = "ran"
-	// Unknown means the outcome cannot be known from here.
+	// Unknown means that this node cannot determine whether the request ran.
 	Unknown Ran = "unknown"
 )
 
-// Reason names why a request was refused or failed; the same word is the
-// JSON field, the metric label and the log value.
+// Reason is the reason why a request was refused or failed. The same text is
+// used in JSON, in metric labels and in logs.
 type Reason string
 
-// Reasons a caller may read.
+// The reasons that are returned to callers.
 const (
 	ReasonUnauthorised     Reason = "unauthorised"
 	ReasonMalformed        Reason = "malformed"
@@ -84,7 +85,7 @@
 	ReasonCancelled:        499,
 }
 
-// Reasons lists every reason, so that metrics can show zero for each.
+// Reasons returns all reasons, so that metrics can initialise a counter for each.
 func Reasons() []Reason {
 	reasons := make([]Reason, 0, len(reasonStatus))
 	for reason := range reasonStatus {
@@ -93,15 +94,15 @@
 	return reasons
 }
 
-// Refusal is the error every layer hands to the caller's side.
+// Refusal is the error type that every layer returns towards the caller.
 type Refusal struct {
-	// Reason is the machine-readable cause.
+	// Reason is the machine-readable reason.
 	Reason Reason
 	// Ran says whether the request ran.
 	Ran Ran
-	// Message is a plain sentence for a person.
+	// Message is a human-readable sentence.
 	Message string
-	// RetryAfter is how long to wait before asking again; zero means that a retry cannot help.
+	// RetryAfter is the time to wait before a retry. Zero means that a retry cannot help.
 	RetryAfter time.Duration
 }
 
@@ -114,13 +115,13 @@
 	}
 }
 
-// After returns the refusal with an honest time to come back.
+// After sets RetryAfter, which should be a realistic estimate, and returns the refusal.
 func (r *Refusal) After(wait time.Duration) *Refusal {
 	r.RetryAfter = wait
 	return r
 }
 
-// With returns the refusal with what is known of its run.
+// With sets whether the request ran and returns the refusal.
 func (r *Refusal) With(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
@@ -139,7 +140,8 @@
 	return http.StatusInternalServerError
 }
 
-// AsRefusal returns the refusal inside err, or one that admits not knowing.
+// AsRefusal returns the *Refusal in err's chain. For any other error it returns one
+// with ReasonUpstreamFailed and Unknown.
 func AsRefusal(err error) *Refusal {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
--- a/replica.go
+++ b/replica.go
@@ -5,10 +5,11 @@
 	"net/http"
 )
 
-// Replica is one upstream that takes requests as they are.
+// Replica is the client of one upstream that receives requests unmodified.
 type Replica interface {
-	// Send sends a request at most once and returns the answer's head; errors
-	// are *UpstreamError. Closing the answer's body gives the attempt up.
+	// Send sends a request at most once and returns the response with its body
+	// unread. Errors are of type *UpstreamError. Closing the response body abandons
+	// the attempt.
 	Send(ctx context.Context, request *http.Request) (*http.Response, error)
 	// Close closes idle connections.
 	Close()
