--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -1,21 +1,21 @@
 package retry
 
-// HedgeAsk says what a second, parallel attempt would repeat.
+// HedgeAsk describes the call that a hedge, a second parallel attempt, would repeat.
 type HedgeAsk struct {
-	// Organisation pays for it.
+	// Organisation is the caller's organisation, whose retry budget the hedge uses.
 	Organisation string
 	// Service is the plain service.
 	Service string
 	// Idempotent means that the call may be repeated.
 	Idempotent bool
-	// Ratio is the retry budget in force.
+	// Ratio is the configured retry budget, in retries per first attempt.
 	Ratio float64
 }
 
-// Hedge reports whether a slow call may be sent a second time in parallel. A
-// call that may not be repeated never is: two copies would both run. A hedge
-// is paid like a retry, without the reserve, so that hedges neither add to an
-// overload nor spend what failures may need.
+// Hedge reports whether a slow call may be sent a second time in parallel. Calls
+// that are not idempotent are never hedged, because both copies would run. A hedge
+// counts against the retry budget like a retry but cannot use the reserve, so that
+// hedges neither add to an overload nor use up retries that failures may need.
 func (p *Policy) Hedge(ask HedgeAsk) bool {
 	if !ask.Idempotent {
 		p.decisions.WithLabelValues(decisionHedgeDenied).Inc()
@@ -24,8 +24,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	all := p.service(ask.Service, now)
-	if !all.verdict.helping() || !p.pay(p.account(ask.Organisation, ask.Service, now), all, ask.Ratio, 0) {
+	state := p.serviceState(ask.Service, now)
+	if !state.effect.retriesHelp() || !p.spend(p.organisationBudget(ask.Organisation, ask.Service, now), state, ask.Ratio, 0) {
 		p.decisions.WithLabelValues(decisionHedgeDenied).Inc()
 		return false
 	}
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Decisions as metric labels.
+// Values of the metric label "decision".
 const (
 	decisionAllowed     = "allowed"
 	decisionFree        = "free"
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry bounds retries: each organisation earns retries at a service
-// by its first attempts, so that retries cannot amplify an outage.
+// Package retry limits retries by budgets: first attempts of an organisation at a
+// service add to its retry budget there, so that retries cannot amplify an outage.
 package retry
 
 import (
@@ -13,26 +13,26 @@
 	"zinniamast"
 )
 
-// Config says how retries are paid for and spaced.
+// Config holds the settings of a Policy.
 type Config struct {
-	// Base is the mean wait's scale before the first retry; 50 ms if zero.
+	// Base is the maximum backoff before the first retry. If zero, it is 50 ms.
 	Base time.Duration
-	// Limit bounds the wait before any retry; 2 s if zero.
+	// Limit is the maximum backoff before any retry. If zero, it is 2 s.
 	Limit time.Duration
-	// Reserve is how many retries may be spent before they are earned, while
-	// retries help; 20 if zero.
+	// Reserve is the number of retries that a budget allows without first attempts
+	// that earned them, while retries help. If zero, it is 20.
 	Reserve float64
-	// Seed makes the jitter repeatable; zero draws one.
+	// Seed makes the jitter repeatable. If zero, a random seed is used.
 	Seed uint64
-	// Logger hears of refusals at debug level; nil is silent.
+	// Logger logs refused retries at debug level. If nil, nothing is logged.
 	Logger *slog.Logger
-	// Registerer takes the counters; nil keeps them unregistered.
+	// Registerer registers the counters. If nil, they are not registered.
 	Registerer prometheus.Registerer
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time. If nil, it is time.Now.
 	Now func() time.Time
 }
 
-// Defaults for fields left zero.
+// Defaults of Config fields that are zero.
 const (
 	defaultBase    = 50 * time.Millisecond
 	defaultLimit   = 2 * time.Second
@@ -44,43 +44,44 @@
 	config    Config
 	decisions *prometheus.CounterVec
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	accounts map[payer]*account
-	services map[string]*service
-	swept    time.Time
+	mu        sync.Mutex
+	random    *rand.Rand
+	budgets   map[budgetKey]*budget
+	services  map[string]*serviceState
+	lastSweep time.Time
 }
 
 var _ zinniamast.RetryPolicy = (*Policy)(nil)
 
-// payer names who pays for a retry.
-type payer struct {
+// budgetKey identifies an organisation's budget at a service.
+type budgetKey struct {
 	organisation string
 	service      string
 }
 
-// service is the account of all organisations together, and whether retries help.
-type service struct {
-	account *account
-	verdict verdict
-	// succeeded is when a replica last began to answer.
-	succeeded time.Time
+// serviceState holds the budget that all organisations share at a service, and
+// whether retries help there.
+type serviceState struct {
+	budget *budget
+	effect retryEffect
+	// lastSuccess is the time at which a replica last started to answer.
+	lastSuccess time.Time
 }
 
-// New returns a policy with empty accounts.
+// New returns a policy with empty budgets.
 func New(config Config) *Policy {
-	config.fill()
+	config.setDefaults()
 	p := &Policy{
 		config:    config,
 		decisions: newDecisions(config.Registerer),
 		random:    rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
-		accounts:  map[payer]*account{},
-		services:  map[string]*service{},
+		budgets:   map[budgetKey]*budget{},
+		services:  map[string]*serviceState{},
 	}
 	return p
 }
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	if c.Base == 0 {
 		c.Base = defaultBase
 	}
@@ -107,31 +108,32 @@
 	defer p.mu.Unlock()
 	now := p.config.Now()
 	p.sweep(now)
-	p.account(organisation, service, now).start()
-	p.service(service, now).account.start()
+	p.organisationBudget(organisation, service, now).countStarted()
+	p.serviceState(service, now).budget.countStarted()
 }
 
-// Retry implements zinniamast.RetryPolicy. Its refusal says "not run", which
-// holds for the retry alone; the caller puts in what the attempts before it prove.
+// Retry implements zinniamast.RetryPolicy. Its refusal has Ran set to NotRun, which
+// applies only to the retry. The caller replaces it according to the outcome of
+// the earlier attempts.
 func (p *Policy) Retry(organisation, service string, retry int, ratio float64) (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	all := p.service(service, now)
+	state := p.serviceState(service, now)
 	if retry > 1 {
-		all.verdict.useless++
+		state.effect.failed++
 	}
-	one := p.account(organisation, service, now)
-	if !p.pay(one, all, ratio, p.config.Reserve) {
+	own := p.organisationBudget(organisation, service, now)
+	if !p.spend(own, state, ratio, p.config.Reserve) {
 		p.decisions.WithLabelValues(decisionRefused).Inc()
 		p.config.Logger.Debug("retry refused", "organisation", organisation, "service", service, "retry", retry)
 		refusal := zinniamast.Refuse(zinniamast.ReasonRetryBudget,
 			"the retry budget of %s at %s is spent", organisation, service)
-		return 0, refusal.After(one.nextRetry(ratio))
+		return 0, refusal.After(own.timeToNextRetry(ratio))
 	}
-	all.verdict.allowed++
+	state.effect.allowed++
 	p.decisions.WithLabelValues(decisionAllowed).Inc()
-	return p.wait(retry), nil
+	return p.backoff(retry), nil
 }
 
 // Succeeded implements zinniamast.RetryPolicy.
@@ -139,36 +141,39 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	p.service(service, now).succeeded = now
+	p.serviceState(service, now).lastSuccess = now
 }
 
 const (
-	// maxGoOn is how often one request may go on beyond the budget.
-	maxGoOn = 2
-	// lately is how old a service's last answer may be for it to count as up.
-	lately = time.Second
+	// maxGoOnRetries is the number of retries per request that GoOn allows beyond
+	// the budget.
+	maxGoOnRetries = 2
+	// successWindow is the maximum age of a service's last success for the service to
+	// count as available.
+	successWindow = time.Second
 )
 
 // GoOn implements zinniamast.RetryPolicy.
 //
-// Failure: one of a few replicas dies, and the dozens of streams it ran spend
-// the budget of an organisation at once; the rest are refused although other
-// replicas have room. Each needs one more attempt, which is the work that the
-// dead replica no longer does, so it adds none. While no replica answers
-// anybody the attempts would come back again and again, so they are held to
-// the budget then; what went beyond it before is owed.
+// If one of a few replicas crashes, the retries of the dozens of streams that it
+// ran would exhaust an organisation's budget at once, and the remaining streams
+// would be refused although other replicas have capacity. Each stream needs one
+// more attempt, which only replaces work of the crashed replica and adds no load.
+// While no replica answers any request, such attempts would fail repeatedly, so
+// the budget applies to them as well. Retries that exceeded the budget before are
+// counted against it.
 func (p *Policy) GoOn(organisation, service string, retry int, ratio float64) (time.Duration, error) {
 	p.mu.Lock()
 	now := p.config.Now()
-	all := p.service(service, now)
-	if retry <= maxGoOn && now.Sub(all.succeeded) < lately {
+	state := p.serviceState(service, now)
+	if retry <= maxGoOnRetries && now.Sub(state.lastSuccess) < successWindow {
 		if retry > 1 {
-			all.verdict.useless++
+			state.effect.failed++
 		}
-		all.verdict.allowed++
-		all.account.retry()
-		p.account(organisation, service, now).retry()
-		wait := p.wait(retry)
+		state.effect.allowed++
+		state.budget.countRetried()
+		p.organisationBudget(organisation, service, now).countRetried()
+		wait := p.backoff(retry)
 		p.mu.Unlock()
 		p.decisions.WithLabelValues(decisionFree).Inc()
 		return wait, nil
@@ -177,26 +182,28 @@
 	return p.Retry(organisation, service, retry, ratio)
 }
 
-// pay takes one retry from the account if the budget has it; the caller holds
-// the lock. The service's own account bounds all of them together: in an outage
-// many small organisations would otherwise spend their reserves at once and
-// double the load on a service that tries to come back.
-func (p *Policy) pay(one *account, all *service, ratio, reserve float64) bool {
-	helping := all.verdict.helping()
-	if !all.account.affords(ratio, reserve, helping) {
+// spend counts one retry if both the organisation's and the service's budget
+// allow it, and reports whether they do. The service's budget limits all
+// organisations together: in an outage, many small organisations would otherwise
+// use their reserves at once and double the load on a recovering service. The
+// caller holds the lock.
+func (p *Policy) spend(own *budget, state *serviceState, ratio, reserve float64) bool {
+	retriesHelp := state.effect.retriesHelp()
+	if !state.budget.allows(ratio, reserve, retriesHelp) {
 		return false
 	}
-	if !one.affords(ratio, reserve, helping) {
+	if !own.allows(ratio, reserve, retriesHelp) {
 		return false
 	}
-	all.account.retry()
-	one.retry()
+	state.budget.countRetried()
+	own.countRetried()
 	return true
 }
 
-// wait draws a wait evenly from zero to a bound that doubles with each retry:
-// callers that failed together do not come back together.
-func (p *Policy) wait(retry int) time.Duration {
+// backoff returns a random duration between zero and a limit that doubles with
+// each retry (full jitter), so that callers that failed together do not retry
+// together.
+func (p *Policy) backoff(retry int) time.Duration {
 	bound := p.config.Base
 	for range retry - 1 {
 		bound = min(2*bound, p.config.Limit)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,26 +11,26 @@
 	"zinniamast/retry"
 )
 
-// clock is a time that only the test moves.
-type clock struct {
+// fakeClock is a clock that only the test advances.
+type fakeClock struct {
 	now time.Time
 }
 
-func newClock() *clock { return &clock{now: time.Unix(1_800_000_000, 0)} }
+func newFakeClock() *fakeClock { return &fakeClock{now: time.Unix(1_800_000_000, 0)} }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
 const ratio = 0.1
 
-// The caller sees refusals with reason retry_budget at once. Order: a service
-// answers nothing for a minute, every first attempt fails and asks for up to
-// five retries. Attempts per request must stay at 1.1, or the retries of a
-// whole fleet keep down a service that tries to come back.
+// A service answers no request for a minute; every first attempt fails and asks
+// for up to five retries. Retries beyond the budget are refused immediately with
+// reason retry_budget. There must be at most 1.1 attempts per request, because
+// the retries of all nodes would otherwise prevent the service from recovering.
 func TestFullOutageIsNotAmplified(t *testing.T) {
 	for _, organisations := range []int{1, 5, 50} {
 		t.Run(fmt.Sprintf("%d organisations", organisations), func(t *testing.T) {
 			is := is.New(t)
-			c := newClock()
+			c := newFakeClock()
 			policy := retry.New(retry.Config{
 				Seed: 7,
 				Now:  c.Now,
@@ -62,12 +62,12 @@
 	}
 }
 
-// One of three replicas dies without notice under 40 streams. Their callers
-// see no refusal: each stream goes on elsewhere, since the other replicas
-// answer. Then all replicas die; going on is held to the budget like any retry.
-func TestStreamsOfADeadReplicaGoOn(t *testing.T) {
+// One of three replicas crashes while it runs 40 streams. None of them is refused:
+// each continues on another replica, because the other replicas answer. Then all
+// replicas crash, and GoOn is limited by the budget like any retry.
+func TestStreamsOfCrashedReplicaAreNotRefused(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	policy := retry.New(retry.Config{
 		Seed: 7,
 		Now:  c.Now,
@@ -99,12 +99,12 @@
 	is.True(perRequest <= 1.1)
 }
 
-// The caller sees refusals, late ones. Order: the same outage, but every
-// attempt takes five seconds to fail, so that for as long nobody can know that
-// retries do not help. What was saved must not be enough to pass the bound.
+// As in TestFullOutageIsNotAmplified, but every attempt takes five seconds to fail,
+// so it is unknown for that long that retries do not help. Retries that were
+// earned before the outage must not exceed the limit. Callers receive refusals late.
 func TestSlowOutageIsNotAmplified(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	policy := retry.New(retry.Config{
 		Seed: 7,
 		Now:  c.Now,
@@ -134,12 +134,11 @@
 	is.True(perRequest <= 1.1)
 }
 
-// Callers see their answers, late. Order: a failure domain dies without notice
-// under a third of the streams that run, at a busy site and at a quiet one;
-// all of them ask for a retry at once, and their retries succeed. A budget made
-// for outages must not refuse them, although they are many times a tenth of
-// the requests that began lately.
-func TestLostFailureDomainIsRetriedWhole(t *testing.T) {
+// A failure domain that runs a third of the streams fails without notice, at high
+// and at low traffic. All of these streams ask for a retry at once, and their
+// retries succeed, so that callers receive their answers late. The budget must not
+// refuse the retries, although they are many times a tenth of the recent requests.
+func TestAllRequestsOfLostFailureDomainAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		gap     time.Duration
@@ -158,7 +157,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			now := newClock()
+			now := newFakeClock()
 			policy := retry.New(retry.Config{Now: now.Now})
 			for i := range 600 {
 				policy.Started(fmt.Sprint(i%3), "summary")
@@ -172,12 +171,11 @@
 	}
 }
 
-// The caller of a quiet site sees its answer. Order: one replica is reclaimed
-// without notice, the only request of the minute loses its attempt. It has
-// earned nothing, so the reserve must pay for its retry.
-func TestQuietOrganisationMayRetry(t *testing.T) {
+// A replica is reclaimed without notice, and the only request of the last minute
+// loses its attempt. No retry has been earned yet, so the reserve must cover it.
+func TestReserveCoversRetryOfQuietOrganisation(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	policy := retry.New(retry.Config{Now: c.Now})
 	policy.Started("atlas", "drafting")
 	_, err := policy.Retry("atlas", "drafting", 1, ratio)
@@ -204,9 +202,9 @@
 	is.True(fmt.Sprint(draw(3)) != fmt.Sprint(draw(4)))
 }
 
-func TestHedgesOnlyIdempotentCallsWithinBudget(t *testing.T) {
+func TestHedgeOnlyIdempotentCallsWithinBudget(t *testing.T) {
 	is := is.New(t)
-	c := newClock()
+	c := newFakeClock()
 	policy := retry.New(retry.Config{Now: c.Now})
 	ask := retry.HedgeAsk{
 		Organisation: "atlas",
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// WindowConfig says how many repeated sends a node may make to each service.
+// WindowConfig holds the limits of a Window.
 type WindowConfig struct {
-	// Ratio of the node's own requests, plus its part of Slack, may be sent
-	// again within each Window.
+	// Ratio times the node's own requests, plus its share of Slack, is the number of
+	// repeated sends that a node may make to a service within each Window.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Nodes returns how many nodes divide the slack.
+	// Nodes returns the number of nodes that share Slack.
 	Nodes func() int
-	// Now tells the time; nil is time.Now.
+	// Now returns the current time. If nil, it is time.Now.
 	Now func() time.Time
 }
 
 const (
-	// windowSlots is into how many parts a window is divided; the oldest part
-	// counts whole, so that any span of a window's length stays within the bound.
+	// windowSlots is the number of slots into which a window is divided. The oldest
+	// slot counts completely, so that any period of a window's length stays within
+	// the limit.
 	windowSlots = 10
-	// spendable is the part of the bound that is used: nodes that were just
-	// added are counted late, and a crowd of them would each take a part too many.
-	spendable = 0.85
+	// usableFraction is the fraction of the limit that is used. New nodes are counted
+	// late, so when many are added at once, each node's share of the slack is too
+	// large for a while.
+	usableFraction = 0.85
 )
 
-// Window bounds repeated sends to a service over all nodes without a word
+// Window limits repeated sends to a service over all nodes without communication
 // between them.
 //
-// Failure: a service fails, every node sends again, and the service meets
-// twice its load. A ratio of the node's own requests sums up to the same ratio
-// of all requests, and a part of the slack to the slack, whether or not the
-// nodes hear each other.
+// If every node repeated the requests that fail at a service, the service would
+// receive twice its load. Each node therefore repeats at most a fixed ratio of its
+// own requests plus its share of the slack. Over all nodes this adds up to the
+// same ratio of all requests plus the slack, even if nodes cannot reach each other.
 type Window struct {
 	config WindowConfig
 
@@ -41,15 +43,15 @@
 	services map[string]*counts
 }
 
-// counts are a service's requests and repeats by parts of the window.
+// counts holds a service's first sends and repeated sends by slot of the window.
 type counts struct {
 	started  [windowSlots + 1]int
 	repeated [windowSlots + 1]int
-	// at is the number of the newest part.
-	at int64
+	// newest is the number of the newest slot.
+	newest int64
 }
 
-// NewWindow returns a window that has counted nothing.
+// NewWindow returns a window without any sends.
 func NewWindow(config WindowConfig) *Window {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -60,15 +62,15 @@
 	}
 }
 
-// Started counts a request's first send.
+// Started counts the first send of a request.
 func (w *Window) Started(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service)
-	c.started[c.at%(windowSlots+1)]++
+	c.started[c.newest%(windowSlots+1)]++
 }
 
-// Again says whether one more send may go out, and counts it if so.
+// Again reports whether a request may be sent again, and counts the send if so.
 func (w *Window) Again(service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,30 +80,30 @@
 		started += c.started[i]
 		repeated += c.repeated[i]
 	}
-	bound := spendable * (w.config.Ratio*float64(started) + w.config.Slack/float64(max(1, w.config.Nodes())))
+	bound := usableFraction * (w.config.Ratio*float64(started) + w.config.Slack/float64(max(1, w.config.Nodes())))
 	if float64(repeated+1) > bound {
 		return false
 	}
-	c.repeated[c.at%(windowSlots+1)]++
+	c.repeated[c.newest%(windowSlots+1)]++
 	return true
 }
 
-// counts returns a service's counts, with the parts cleared that have passed;
-// the caller holds the lock.
+// counts returns a service's counts after clearing the slots that have expired.
+// The caller holds the lock.
 func (w *Window) counts(service string) *counts {
 	now := w.config.Now().UnixNano() / int64(w.config.Window/windowSlots)
 	c, ok := w.services[service]
 	if !ok {
 		c = &counts{
-			at: now,
+			newest: now,
 		}
 		w.services[service] = c
 	}
-	for passed := 0; c.at < now && passed <= windowSlots; passed++ {
-		c.at++
-		c.started[c.at%(windowSlots+1)] = 0
-		c.repeated[c.at%(windowSlots+1)] = 0
+	for passed := 0; c.newest < now && passed <= windowSlots; passed++ {
+		c.newest++
+		c.started[c.newest%(windowSlots+1)] = 0
+		c.repeated[c.newest%(windowSlots+1)] = 0
 	}
-	c.at = max(c.at, now)
+	c.newest = max(c.newest, now)
 	return c
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,10 +10,10 @@
 	"zinniamast/retry"
 )
 
-// Every node sends again as often as it is let, at any pace. Over all nodes, in
-// every window, repeats stay within the ratio of the requests and the slack,
-// though the nodes never hear of each other.
-func TestWindowBoundsTheFleet(t *testing.T) {
+// Every node sends again as often as Again allows, at any rate. Over all nodes and
+// in every window, repeated sends stay within the ratio of the requests plus the
+// slack, although the nodes do not communicate.
+func TestWindowLimitsRepeatsOfAllNodes(t *testing.T) {
 	const ratio, slack, window = 0.2, 58.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -42,9 +42,9 @@
 			}
 		}
 		for _, at := range repeated {
-			repeats := within(repeated, at, window)
-			// Requests of this window or the one before, as the platform counts.
-			requests := max(within(started, at, window), within(started, at.Add(-window), window), within(started, at.Add(-window/2), window))
+			repeats := countWithin(repeated, at, window)
+			// Requests of this window or the previous one, which the platform counts.
+			requests := max(countWithin(started, at, window), countWithin(started, at.Add(-window), window), countWithin(started, at.Add(-window/2), window))
 			if float64(repeats) > ratio*float64(requests)+slack {
 				t.Fatalf("%d repeats for %d requests", repeats, requests)
 			}
@@ -52,8 +52,8 @@
 	})
 }
 
-// within counts times in the window that begins at a time.
-func within(times []time.Time, from time.Time, window time.Duration) int {
+// countWithin counts the times in the window that starts at from.
+func countWithin(times []time.Time, from time.Time, window time.Duration) int {
 	count := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(from.Add(window)) {
@@ -63,9 +63,9 @@
 	return count
 }
 
-// A quiet service has its part of the slack for repeats, and a busy one a part
-// of its requests more.
-func TestWindowLetsSomeThrough(t *testing.T) {
+// Again allows the node's share of the slack for a service without requests, and
+// for one with requests a ratio of them in addition.
+func TestWindowAllowsRepeatsUpToLimit(t *testing.T) {
 	check := is.New(t)
 	now := time.Unix(1000, 0)
 	w := retry.NewWindow(retry.WindowConfig{
@@ -82,11 +82,11 @@
 		}
 		return allowed
 	}
-	check.Equal(count(), 8) // 0.85 of half of 20
+	check.Equal(count(), 8) // 0.85 of half of the slack of 20
 	for range 100 {
 		w.Started("svc")
 	}
-	check.Equal(count(), 17) // 0.85 of 0.2 of 100
+	check.Equal(count(), 17) // 0.85 of 0.2 of 100 requests
 	now = now.Add(12 * time.Second)
 	check.Equal(count(), 8) // the window has passed
 }
