--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,22 +1,22 @@
-// Package prefix hashes the leading blocks of prompts, so that routing and
-// engines' cache events name the same prefixes.
+// Package prefix hashes the leading blocks of prompts, so that the router and the
+// engines' cache events identify prefixes by the same hashes.
 package prefix
 
 import "github.com/zeebo/xxh3"
 
-// BytesPerToken is how many bytes of a prompt count as one token.
+// BytesPerToken is the number of prompt bytes that are estimated as one token.
 const BytesPerToken = 4
 
-// blockBytes is the length of the first blocks, 256 tokens.
+// blockBytes is the length of the first blocks in bytes, which is 256 tokens.
 const blockBytes = 1024
 
-// Max is the most prefixes that are hashed of one prompt.
+// Max is the maximum number of prefixes that are hashed per prompt.
 const Max = 48
 
-// Bytes returns the length in bytes of the prefix at an index of Hashes. The
-// blocks grow with depth, so that a prompt of 30,000 tokens costs some 25
-// entries of a routing table, not 120; what a long block rounds off is below a
-// tenth of the prefix.
+// Bytes returns the length in bytes of the prefix at an index of Hashes. Blocks
+// become longer with depth, so that a prompt of 30,000 tokens takes about 25
+// entries of a routing table instead of 120. The part of a prefix that is lost by
+// rounding down to long blocks is less than a tenth of the prefix.
 func Bytes(index int) int {
 	switch {
 	case index < 8:
@@ -28,25 +28,26 @@
 	}
 }
 
-// Tokens returns the length in tokens, about, of the prefix at an index of Hashes.
+// Tokens returns the approximate length in tokens of the prefix at an index of Hashes.
 func Tokens(index int) int { return Bytes(index) / BytesPerToken }
 
-// Hashes appends the hashes of a prompt's leading blocks, shortest first.
-// Each hash covers the whole prefix; a last, incomplete block has none.
-func Hashes(into []uint64, prompt []byte) []uint64 {
+// Hashes appends the hashes of a prompt's leading blocks to dst, shortest first,
+// and returns the extended slice. Each hash covers the whole prefix up to the end
+// of its block. A last, incomplete block has no hash.
+func Hashes(dst []uint64, prompt []byte) []uint64 {
 	chain := uint64(0)
-	from := 0
+	start := 0
 	for i := range Max {
-		to := Bytes(i)
-		if to > len(prompt) {
+		end := Bytes(i)
+		if end > len(prompt) {
 			break
 		}
-		chain = xxh3.HashSeed(prompt[from:to], chain)
-		into = append(into, chain)
-		from = to
+		chain = xxh3.HashSeed(prompt[start:end], chain)
+		dst = append(dst, chain)
+		start = end
 	}
-	return into
+	return dst
 }
 
-// Hash returns the hash of one piece of text.
+// Hash returns the hash of a text.
 func Hash(text []byte) uint64 { return xxh3.Hash(text) }
