--- a/nearest/nearest.go
+++ b/nearest/nearest.go
@@ -1,5 +1,6 @@
-// Package nearest chooses the replica with the fewest requests of this node,
-// in the own failure domain first: the plain policy that others are compared with.
+// Package nearest implements a least-loaded routing policy. It routes to the replica
+// with the fewest in-flight requests of this node and prefers the node's own failure
+// domain. It is the baseline with which other policies are compared.
 package nearest
 
 import (
@@ -13,19 +14,20 @@
 )
 
 const (
-	// shunAfter is how many failures in a row take a replica out, and shunFor
-	// for how long; after that one request tries it.
-	shunAfter = 2
-	shunFor   = time.Second
-	// noReplicaRetryAfter is when a service without replicas may have one again.
+	// ejectAfterFailures is the number of consecutive failures after which a replica
+	// is ejected for ejectionTime. After that, one request probes it.
+	ejectAfterFailures = 2
+	ejectionTime       = time.Second
+	// noReplicaRetryAfter is the time in which a service without replicas may get
+	// one again.
 	noReplicaRetryAfter = 2 * time.Second
-	// farPenalty is how many requests a replica of another failure domain must
-	// be ahead by, as a part of its slots, to be preferred: crossings are paid
-	// for by the byte.
-	farPenalty = 0.25
+	// crossDomainPenalty is the difference in load, as a fraction of a replica's
+	// slots, by which a replica in another failure domain must be less loaded to be
+	// preferred. Traffic between failure domains is charged per byte.
+	crossDomainPenalty = 0.25
 )
 
-// Config says what a router works from.
+// Config holds the settings of a Router.
 type Config struct {
 	Upstreams     *blackboard.Upstreams
 	FailureDomain string
@@ -39,15 +41,15 @@
 	health map[string]*health
 }
 
-// health is what this node's own requests met at a replica lately.
+// health holds the recent consecutive failures of this node's requests at a replica.
 type health struct {
-	failures int
-	until    time.Time
+	failures     int
+	ejectedUntil time.Time
 }
 
 var _ zinniamast.Router = (*Router)(nil)
 
-// New returns a router that has observed nothing yet.
+// New returns a router without observations.
 func New(config Config) *Router {
 	return &Router{
 		config: config,
@@ -60,31 +62,33 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	best, shunned := r.least(need, now)
+	best, ejected := r.leastLoaded(need, now)
 	if best == nil {
-		best = shunned
+		best = ejected
 	}
 	if best == nil {
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 			"no replica of %s takes work", need.Service).After(noReplicaRetryAfter)
 	}
-	if known := r.health[best.Instance.ID]; known != nil && known.failures >= shunAfter {
-		// One request tries a shunned replica; the next waits for its outcome.
-		known.until = now.Add(shunFor)
+	if h := r.health[best.Instance.ID]; h != nil && h.failures >= ejectAfterFailures {
+		// One request probes an ejected replica. Others avoid it until the probe succeeds
+		// or ejectionTime has passed again.
+		h.ejectedUntil = now.Add(ejectionTime)
 	}
 	return zinniamast.Choice{
 		Upstream: best.Instance.ID,
 	}, nil
 }
 
-// least returns the replica with the least load, and that among the shunned
-// ones, which is used where there is no other: a whole service is never shut out.
-func (r *Router) least(need *zinniamast.Need, now time.Time) (best, shunned *blackboard.Upstream) {
+// leastLoaded returns the least loaded replica and the least loaded ejected one.
+// The latter is used if there is no other, so that a service never becomes
+// unavailable because all of its replicas are ejected.
+func (r *Router) leastLoaded(need *zinniamast.Need, now time.Time) (best, ejected *blackboard.Upstream) {
 	all := r.config.Upstreams.Of(need.Service)
 	if len(all) == 0 {
 		return nil, nil
 	}
-	lowest, lowestShunned := 0.0, 0.0
+	lowest, lowestEjected := 0.0, 0.0
 	start := rand.IntN(len(all))
 	for i := range all {
 		u := all[(start+i)%len(all)]
@@ -92,9 +96,9 @@
 			continue
 		}
 		load := r.load(u)
-		if known := r.health[u.Instance.ID]; known != nil && now.Before(known.until) {
-			if shunned == nil || load < lowestShunned {
-				shunned, lowestShunned = u, load
+		if h := r.health[u.Instance.ID]; h != nil && now.Before(h.ejectedUntil) {
+			if ejected == nil || load < lowestEjected {
+				ejected, lowestEjected = u, load
 			}
 			continue
 		}
@@ -102,14 +106,15 @@
 			best, lowest = u, load
 		}
 	}
-	return best, shunned
+	return best, ejected
 }
 
-// load is the part of the replica's slots that this node uses.
+// load returns the fraction of the replica's slots that this node uses, plus
+// crossDomainPenalty for a replica in another failure domain.
 func (r *Router) load(u *blackboard.Upstream) float64 {
 	load := float64(u.Inflight()) / float64(max(1, u.Slots))
 	if u.Instance.FailureDomain != r.config.FailureDomain {
-		load += farPenalty
+		load += crossDomainPenalty
 	}
 	return load
 }
@@ -128,15 +133,15 @@
 	if !zinniamast.FailureOutcomes[o.Failure].BlamesReplica {
 		return
 	}
-	known := r.health[o.Upstream]
-	if known == nil {
-		known = &health{}
-		r.health[o.Upstream] = known
+	h := r.health[o.Upstream]
+	if h == nil {
+		h = &health{}
+		r.health[o.Upstream] = h
 	}
-	known.failures++
-	if known.failures >= shunAfter || o.Failure == zinniamast.FailureDial {
-		known.failures = max(known.failures, shunAfter)
-		known.until = time.Now().Add(shunFor)
+	h.failures++
+	if h.failures >= ejectAfterFailures || o.Failure == zinniamast.FailureDial {
+		h.failures = max(h.failures, ejectAfterFailures)
+		h.ejectedUntil = time.Now().Add(ejectionTime)
 	}
 }
 
