--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -19,7 +19,7 @@
 		second := prefix.Hashes(nil, two)
 		for i := range min(len(first), len(second)) {
 			if prefix.Bytes(i) <= len(shared) && first[i] != second[i] {
-				t.Fatalf("prefix %d of a shared start differs", i)
+				t.Fatalf("hash %d of a shared prefix differs", i)
 			}
 		}
 	})
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -296,7 +296,7 @@
 			failed += f.failed
 		})
 	}
-	t.Logf("seeds by replicas lost %v, innocents refused %d, out of attempts %d", lost, refused, failed)
+	t.Logf("seeds by number of replicas lost: %v; innocent requests refused: %d; requests out of attempts: %d", lost, refused, failed)
 	is := is.New(t)
 	above := 0
 	for count, times := range lost {
@@ -352,7 +352,7 @@
 			refused += f.refused
 		})
 	}
-	t.Logf("replicas lost beside the wave at worst %d, innocents refused %d", worst, refused)
+	t.Logf("at most %d replicas lost in addition to the failed domain, %d innocent requests refused", worst, refused)
 	is := is.New(t)
 	is.True(worst <= 12)
 	is.True(refused <= len(seeds)*innocentTotal/500)
