--- a/membership/fuzz_test.go
+++ b/membership/fuzz_test.go
@@ -12,14 +12,14 @@
 	"zinniamast/membership"
 )
 
-// silence is a network that nobody is on.
-type silence struct{}
+// unreachableTransport is a network that nobody is on.
+type unreachableTransport struct{}
 
-func (silence) Exchange(context.Context, string, *membership.Exchange) (*membership.Exchange, error) {
+func (unreachableTransport) Exchange(context.Context, string, *membership.Exchange) (*membership.Exchange, error) {
 	return nil, errNetwork
 }
 
-func (silence) Probe(context.Context, string, membership.Probe) (membership.ProbeResult, error) {
+func (unreachableTransport) Probe(context.Context, string, membership.Probe) (membership.ProbeResult, error) {
 	return membership.ProbeResult{}, errNetwork
 }
 
@@ -49,7 +49,7 @@
 			FailureDomain: "here",
 			Address:       "a:1",
 			Members:       table,
-			Transport:     silence{},
+			Transport:     unreachableTransport{},
 			Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		for range 2 {
--- a/membership/news.go
+++ b/membership/gossip.go
@@ -17,41 +17,41 @@
 	zinniamast.TopicQuarantine:      true,
 }
 
-type newsKey struct {
+type gossipKey struct {
 	topic  zinniamast.Topic
 	key    string
 	origin string
 }
 
-// newsTable holds what is news now.
-type newsTable struct {
-	items map[newsKey]zinniamast.News
-	// own holds the keys of this node's own items.
-	own         map[newsKey]bool
-	next        uint64
-	subscribers map[zinniamast.Topic][]func(zinniamast.News)
-	dropped     int
+// gossipTable holds what is news now.
+type gossipTable struct {
+	items map[gossipKey]zinniamast.News
+	// ownKeys holds the keys of this node's own items.
+	ownKeys      map[gossipKey]bool
+	lastSequence uint64
+	subscribers  map[zinniamast.Topic][]func(zinniamast.News)
+	dropped      int
 }
 
-// newNewsTable starts sequences above those of the node's earlier lives.
-func newNewsTable(start uint64) newsTable {
-	return newsTable{
-		items:       map[newsKey]zinniamast.News{},
-		own:         map[newsKey]bool{},
-		next:        start << 16,
-		subscribers: map[zinniamast.Topic][]func(zinniamast.News){},
+// newGossipTable starts sequences above those of the node's earlier lives.
+func newGossipTable(start uint64) gossipTable {
+	return gossipTable{
+		items:        map[gossipKey]zinniamast.News{},
+		ownKeys:      map[gossipKey]bool{},
+		lastSequence: start << 16,
+		subscribers:  map[zinniamast.Topic][]func(zinniamast.News){},
 	}
 }
 
-func (t *newsTable) sequence(key newsKey) uint64 { return t.items[key].Sequence }
+func (t *gossipTable) sequence(key gossipKey) uint64 { return t.items[key].Sequence }
 
 // put stores an item if it is newer than what is known and there is room.
-func (t *newsTable) put(key newsKey, news zinniamast.News) bool {
+func (t *gossipTable) put(key gossipKey, news zinniamast.News) bool {
 	known, ok := t.items[key]
 	if ok && news.Sequence <= known.Sequence {
 		return false
 	}
-	if !ok && len(t.items) >= maxNewsItems {
+	if !ok && len(t.items) >= maxGossipItems {
 		t.dropped++
 		return false
 	}
@@ -59,17 +59,17 @@
 	return true
 }
 
-func (t *newsTable) expire(now time.Time) {
+func (t *gossipTable) expire(now time.Time) {
 	for key, news := range t.items {
 		if now.After(news.Expires) {
 			delete(t.items, key)
-			delete(t.own, key)
+			delete(t.ownKeys, key)
 		}
 	}
 }
 
-// item returns the sendable form of what is still news.
-func (t *newsTable) item(key newsKey, now time.Time) (Item, bool) {
+// wireItem returns the sendable form of what is still news.
+func (t *gossipTable) wireItem(key gossipKey, now time.Time) (Item, bool) {
 	news, ok := t.items[key]
 	if !ok || now.After(news.Expires) {
 		return Item{}, false
@@ -93,17 +93,17 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.news.next++
+	m.gossip.lastSequence++
 	news.Origin = m.config.ID
-	news.Sequence = m.news.next
-	key := newsKey{
+	news.Sequence = m.gossip.lastSequence
+	key := gossipKey{
 		topic:  news.Topic,
 		key:    news.Key,
 		origin: news.Origin,
 	}
-	if m.news.put(key, news) {
-		m.news.own[key] = true
-		m.spreadNews(key, news, "")
+	if m.gossip.put(key, news) {
+		m.gossip.ownKeys[key] = true
+		m.broadcastGossip(key, news, "")
 	}
 }
 
@@ -111,37 +111,37 @@
 func (m *Membership) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.news.subscribers[topic] = append(m.news.subscribers[topic], f)
+	m.gossip.subscribers[topic] = append(m.gossip.subscribers[topic], f)
 }
 
-// spreadNews owes an item to the domain, but for the node it came from, and to
+// broadcastGossip owes an item to the domain, but for the node it came from, and to
 // the other domains if this node represents; the caller holds the lock.
-func (m *Membership) spreadNews(key newsKey, news zinniamast.News, from string) {
+func (m *Membership) broadcastGossip(key gossipKey, news zinniamast.News, from string) {
 	urgent := urgentTopics[news.Topic]
-	for _, p := range m.targets() {
+	for _, p := range m.broadcastTargets() {
 		if p.record.ID != from && p.record.ID != news.Origin {
-			p.outbox.addNews(key, urgent)
+			p.outbox.addGossip(key, urgent)
 		}
 	}
-	m.widen(key, news)
+	m.queueForDomains(key, news)
 	if urgent {
-		m.nudge()
+		m.wakeLoop()
 	}
 }
 
-// widen owes wide news of this domain to the others; the caller holds the lock.
-func (m *Membership) widen(key newsKey, news zinniamast.News) {
+// queueForDomains owes wide news of this domain to the others; the caller holds the lock.
+func (m *Membership) queueForDomains(key gossipKey, news zinniamast.News) {
 	_, ours := m.recordOf(news.Origin)
-	if !news.Wide || !ours || !m.representing() {
+	if !news.Wide || !ours || !m.isRepresentative() {
 		return
 	}
 	for _, d := range m.domains {
-		d.outbox.addNews(key, urgentTopics[news.Topic])
+		d.outbox.addGossip(key, urgentTopics[news.Topic])
 	}
 }
 
-// hearNews takes items in and returns the calls to make once the lock is free.
-func (m *Membership) hearNews(items []Item, from string, otherDomain bool) []func() {
+// receiveGossip takes items in and returns the calls to make once the lock is free.
+func (m *Membership) receiveGossip(items []Item, from string, otherDomain bool) []func() {
 	now := time.Now()
 	var calls []func()
 	for _, item := range items {
@@ -154,41 +154,41 @@
 			Expires:  now.Add(time.Duration(item.Millis) * time.Millisecond),
 			Wide:     item.Wide,
 		}
-		key := newsKey{
+		key := gossipKey{
 			topic:  news.Topic,
 			key:    news.Key,
 			origin: news.Origin,
 		}
-		if news.Origin == m.config.ID || len(news.Value) > zinniamast.MaxNews || !m.news.put(key, news) {
+		if news.Origin == m.config.ID || len(news.Value) > zinniamast.MaxNews || !m.gossip.put(key, news) {
 			continue
 		}
 		// In the mesh each origin tells everyone itself. It may die half way, so
 		// what is urgent is also passed on, at the cost of what is heard twice.
 		switch {
-		case otherDomain || m.relays():
-			m.spreadNews(key, news, from)
+		case otherDomain || m.needsRelay():
+			m.broadcastGossip(key, news, from)
 		case urgentTopics[news.Topic]:
-			m.passOn(key, news, from)
+			m.relayUrgent(key, news, from)
 		default:
-			m.widen(key, news)
+			m.queueForDomains(key, news)
 		}
-		for _, f := range m.news.subscribers[news.Topic] {
+		for _, f := range m.gossip.subscribers[news.Topic] {
 			calls = append(calls, func() { f(news) })
 		}
 		if news.Topic == topicSummary {
-			m.learnSummary(news.Value)
+			m.mergeEncodedSummary(news.Value)
 		}
 	}
 	return calls
 }
 
-// passOn owes urgent news to the two next members of the ring.
-func (m *Membership) passOn(key newsKey, news zinniamast.News, from string) {
+// relayUrgent owes urgent news to the two next members of the ring.
+func (m *Membership) relayUrgent(key gossipKey, news zinniamast.News, from string) {
 	ring := m.ring()
-	for _, p := range ring[:min(len(ring), watched)] {
+	for _, p := range ring[:min(len(ring), watchedSuccessors)] {
 		if p.record.ID != from && p.record.ID != news.Origin {
-			p.outbox.addNews(key, false)
+			p.outbox.addGossip(key, false)
 		}
 	}
-	m.widen(key, news)
+	m.queueForDomains(key, news)
 }
--- a/membership/join.go
+++ b/membership/join.go
@@ -12,13 +12,13 @@
 // join asks nodes that are not known yet. While nothing is known that is how
 // a node joins; later it finds what a long partition has hidden.
 func (m *Membership) join(ctx context.Context) {
-	addresses := m.unknown(m.listed(ctx))
+	addresses := m.selectAddresses(m.listEntries(ctx))
 	var asked sync.WaitGroup
 	for _, address := range addresses {
 		asked.Add(1)
 		go func() {
 			defer asked.Done()
-			m.introduce(ctx, address)
+			m.joinThrough(ctx, address)
 		}()
 	}
 	asked.Wait()
@@ -27,8 +27,8 @@
 	m.joined = true
 }
 
-// listed returns the entry instances that the platform's list gives.
-func (m *Membership) listed(ctx context.Context) []zinniamast.Instance {
+// listEntries returns the entry instances that the platform's list gives.
+func (m *Membership) listEntries(ctx context.Context) []zinniamast.Instance {
 	if m.config.List == nil {
 		return nil
 	}
@@ -48,13 +48,13 @@
 	return entries
 }
 
-// unknown picks a few addresses at which no known member is: those listed in
+// selectAddresses picks a few addresses at which no known member is: those listed in
 // this failure domain first, then those in others and the seeds.
 //
 // Failure: all nodes start at once, and who meets a node of another failure
 // domain first counts as joined. With every listed address drawn alike, a node
 // found its own domain after minutes, and until then was alone in it.
-func (m *Membership) unknown(listed []zinniamast.Instance) []string {
+func (m *Membership) selectAddresses(listed []zinniamast.Instance) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := m.knownAddresses()
@@ -108,10 +108,10 @@
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 }
 
-// introduce tells an address who we are and takes in all that it knows.
-func (m *Membership) introduce(ctx context.Context, address string) {
+// joinThrough tells an address who we are and takes in all that it knows.
+func (m *Membership) joinThrough(ctx context.Context, address string) {
 	m.mu.Lock()
-	message := m.message()
+	message := m.newExchange()
 	message.Domain = m.config.FailureDomain
 	message.Want = len(m.members) == 0
 	message.Records = []Record{m.own}
@@ -127,18 +127,18 @@
 	m.mu.Lock()
 	var calls []func()
 	if answer.Domain != "" && answer.Domain != m.config.FailureDomain {
-		calls = m.takeOther(answer)
+		calls = m.mergeRemoteMessage(answer)
 	} else {
-		calls = m.take(answer, nil)
-		calls = append(calls, m.newerConfig(answer, address)...)
-		m.spreadRecord(m.own.ID)
+		calls = m.mergeMessage(answer, nil)
+		calls = append(calls, m.newerConfigCallbacks(answer, address)...)
+		m.broadcastRecord(m.own.ID)
 	}
 	m.seedAt = time.Now()
 	m.mu.Unlock()
-	run(calls)
+	runCallbacks(calls)
 }
 
-func (m *Membership) newerConfig(answer *Exchange, address string) []func() {
+func (m *Membership) newerConfigCallbacks(answer *Exchange, address string) []func() {
 	if answer.Config <= m.config.ConfigVersion() {
 		return nil
 	}
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,55 +6,55 @@
 	"zinniamast/blackboard"
 )
 
-// heardGrain is how exactly the shared table tells when a member was heard.
-const heardGrain = 2 * time.Second
+// contactResolution is how exactly the shared table tells when a member was heard.
+const contactResolution = 2 * time.Second
 
 // member is another node of this failure domain.
 type member struct {
 	record Record
-	// place is where it stands on the ring.
-	place  uint64
-	outbox outbox
-	// busy means that an exchange is in flight since sentAt.
-	busy   bool
-	sentAt time.Time
+	// ringHash is where it stands on the ring.
+	ringHash uint64
+	outbox   outbox
+	// inFlight means that an exchange is in flight since sentAt.
+	inFlight bool
+	sentAt   time.Time
 	// suspectedAt is when the unanswered exchange began; zero without doubt.
 	suspectedAt time.Time
-	// asking means that others are being asked; unreachable that they failed too.
-	asking      bool
-	askedAt     time.Time
+	// probing means that others are being asked; unreachable that they failed too.
+	probing     bool
+	probedAt    time.Time
 	unreachable bool
-	// denials counts false deaths of late; each doubles the window.
-	denials  int
-	deniedAt time.Time
-	diedAt   time.Time
-	shownAt  time.Time
+	// refutations counts false deaths of late; each doubles the window.
+	refutations      int
+	refutedAt        time.Time
+	diedAt           time.Time
+	contactWrittenAt time.Time
 }
 
 func (p *member) alive() bool { return p.record.State != Dead }
 
-// window is how long a member may be silent. One that was wrongly declared
+// suspicionTimeout is how long a member may be silent. One that was wrongly declared
 // dead before is on a slow link or pauses: it is given more time each time,
 // or the table would flap at every such member.
-func (p *member) window(now time.Time) time.Duration {
-	if now.Sub(p.deniedAt) > denialMemory {
-		p.denials = 0
+func (p *member) suspicionTimeout(now time.Time) time.Duration {
+	if now.Sub(p.refutedAt) > refutationMemory {
+		p.refutations = 0
 	}
-	return suspicionWindow << min(p.denials, 3)
+	return baseSuspicionTimeout << min(p.refutations, 3)
 }
 
-func (p *member) trust() {
+func (p *member) clearSuspicion() {
 	p.suspectedAt = time.Time{}
 	p.unreachable = false
 }
 
-// learn takes a record in and reports whether it was news; the caller holds the lock.
-func (m *Membership) learn(record Record) bool {
+// mergeRecord takes a record in and reports whether it was news; the caller holds the lock.
+func (m *Membership) mergeRecord(record Record) bool {
 	if !record.valid() {
 		return false
 	}
 	if record.ID == m.own.ID {
-		m.defend(record)
+		m.refute(record)
 		return false
 	}
 	known, ok := m.members[record.ID]
@@ -64,7 +64,7 @@
 		if record.State == Dead {
 			return false
 		}
-		m.enter(record)
+		m.addMember(record)
 		return true
 	}
 	if !record.newer(known.record) {
@@ -72,43 +72,43 @@
 	}
 	now := time.Now()
 	if known.record.State == Dead && record.State != Dead {
-		known.denials++
-		known.deniedAt = now
-		m.owe(known)
+		known.refutations++
+		known.refutedAt = now
+		m.queueOwnGossip(known)
 	}
 	if record.State == Dead && known.alive() {
 		known.diedAt = now
 		known.outbox = newOutbox()
 	}
 	known.record = record
-	known.trust()
-	m.show(known)
+	known.clearSuspicion()
+	m.writeMember(known)
 	m.config.Logger.Info("member_changed", "member", record.ID, "state", record.State.String(), "incarnation", record.Incarnation)
 	return true
 }
 
-// enter adds a new member and owes it all that this node has to tell.
-func (m *Membership) enter(record Record) {
+// addMember adds a new member and owes it all that this node has to tell.
+func (m *Membership) addMember(record Record) {
 	p := &member{
-		record: record,
-		place:  hash(record.ID),
-		outbox: newOutbox(),
+		record:   record,
+		ringHash: hash(record.ID),
+		outbox:   newOutbox(),
 	}
 	m.members[record.ID] = p
-	m.show(p)
-	m.owe(p)
+	m.writeMember(p)
+	m.queueOwnGossip(p)
 	m.config.Logger.Info("member_joined", "member", record.ID, "incarnation", record.Incarnation)
 }
 
-// owe enters all of this node's own news for a member that has heard none of it.
-func (m *Membership) owe(p *member) {
-	for key := range m.news.own {
-		p.outbox.addNews(key, false)
+// queueOwnGossip enters all of this node's own news for a member that has heard none of it.
+func (m *Membership) queueOwnGossip(p *member) {
+	for key := range m.gossip.ownKeys {
+		p.outbox.addGossip(key, false)
 	}
 }
 
-// defend denies a false death, or outbids an earlier life of the same name.
-func (m *Membership) defend(record Record) {
+// refute denies a false death, or outbids an earlier life of the same name.
+func (m *Membership) refute(record Record) {
 	if m.departed || record.Incarnation < m.own.Incarnation {
 		return
 	}
@@ -117,18 +117,18 @@
 	}
 	m.own.Incarnation = record.Incarnation + 1
 	m.config.Logger.Warn("member_denies_death", "incarnation", m.own.Incarnation)
-	m.showSelf(m.config.ConfigVersion())
-	m.spreadRecord(m.own.ID)
+	m.writeSelf(m.config.ConfigVersion())
+	m.broadcastRecord(m.own.ID)
 }
 
-// spreadRecord owes a record to all this node tells things; the caller holds the lock.
-func (m *Membership) spreadRecord(id string) {
-	for _, p := range m.targets() {
+// broadcastRecord owes a record to all this node tells things; the caller holds the lock.
+func (m *Membership) broadcastRecord(id string) {
+	for _, p := range m.broadcastTargets() {
 		if p.record.ID != id {
 			p.outbox.addRecord(id)
 		}
 	}
-	m.nudge()
+	m.wakeLoop()
 }
 
 // recordOf returns the current record of a member or of this node.
@@ -143,20 +143,20 @@
 	return p.record, true
 }
 
-// show copies a member into the shared table; the caller holds the lock.
-func (m *Membership) show(p *member) {
+// writeMember copies a member into the shared table; the caller holds the lock.
+func (m *Membership) writeMember(p *member) {
 	m.config.Members.Update(p.record.ID, func(shown *blackboard.Member) bool {
 		fillMember(shown, p.record, m.config.FailureDomain)
 		return true
 	})
 }
 
-// heard notes contact with a member; the caller holds the lock.
-func (m *Membership) heard(p *member, version uint64, now time.Time) {
-	if now.Sub(p.shownAt) < heardGrain {
+// recordContact notes contact with a member; the caller holds the lock.
+func (m *Membership) recordContact(p *member, version uint64, now time.Time) {
+	if now.Sub(p.contactWrittenAt) < contactResolution {
 		return
 	}
-	p.shownAt = now
+	p.contactWrittenAt = now
 	m.config.Members.Update(p.record.ID, func(shown *blackboard.Member) bool {
 		shown.Heard = now
 		shown.ConfigVersion = version
@@ -164,11 +164,11 @@
 	})
 }
 
-// forget drops members long dead; the caller holds the lock.
-func (m *Membership) forget(now time.Time) {
-	m.forgetDomains(now)
+// removeExpired drops members long dead; the caller holds the lock.
+func (m *Membership) removeExpired(now time.Time) {
+	m.removeExpiredDomains(now)
 	for id, p := range m.members {
-		if !p.alive() && now.Sub(p.diedAt) > forgetAfter {
+		if !p.alive() && now.Sub(p.diedAt) > deadRetention {
 			delete(m.members, id)
 			m.config.Members.Remove(id)
 		}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -13,36 +13,36 @@
 // Timing of the protocol. Worst case from a silent death to the push of the
 // news: one heartbeat, then the suspicion window, 1.7 s in all.
 const (
-	stepInterval      = 100 * time.Millisecond
-	heartbeatInterval = 500 * time.Millisecond
-	probeTimeout      = 700 * time.Millisecond
-	indirectTimeout   = 400 * time.Millisecond
-	suspicionWindow   = 1100 * time.Millisecond
-	exchangeTimeout   = 3 * time.Second
-	coalesceDelay     = 10 * time.Millisecond
-	summaryInterval   = 2 * time.Second
-	deadProbeInterval = 5 * time.Second
-	seedInterval      = 30 * time.Second
-	// lonelyInterval is how often a node asks that knows nobody in its own
+	stepInterval         = 100 * time.Millisecond
+	heartbeatInterval    = 500 * time.Millisecond
+	probeTimeout         = 700 * time.Millisecond
+	indirectTimeout      = 400 * time.Millisecond
+	baseSuspicionTimeout = 1100 * time.Millisecond
+	exchangeTimeout      = 3 * time.Second
+	coalesceDelay        = 10 * time.Millisecond
+	summaryInterval      = 2 * time.Second
+	deadProbeInterval    = 5 * time.Second
+	seedInterval         = 30 * time.Second
+	// emptyDomainSeedInterval is how often a node asks that knows nobody in its own
 	// failure domain, where there may be nobody.
-	lonelyInterval    = 2 * time.Second
-	tableInterval     = time.Second
-	forgetAfter       = 10 * time.Minute
-	forgetDomainAfter = time.Hour
-	denialMemory      = time.Minute
+	emptyDomainSeedInterval = 2 * time.Second
+	tableSyncInterval       = time.Second
+	deadRetention           = 10 * time.Minute
+	domainRetention         = time.Hour
+	refutationMemory        = time.Minute
 )
 
 // Sizes of the protocol; they bound what a node sends whatever the fleet's size.
 const (
-	watched         = 2
-	maxMesh         = 40
-	helpers         = 3
-	representatives = 2
-	contacts        = 3
-	domainsPerTick  = 1
-	maxNewsItems    = 20000
-	maxMessageNews  = 64
-	maxSeedsPerTick = 8
+	watchedSuccessors   = 2
+	maxMeshSize         = 40
+	maxProbeHelpers     = 3
+	representativeCount = 2
+	maxContacts         = 3
+	domainsPerTick      = 1
+	maxGossipItems      = 20000
+	maxGossipPerMessage = 64
+	maxSeedsPerTick     = 8
 )
 
 // Config configures a node's membership.
@@ -75,8 +75,8 @@
 // Membership is one node's part in the protocol. Its lock stands before the
 // blackboard's in the lock order and is not held during calls to other nodes.
 type Membership struct {
-	config Config
-	self   uint64
+	config   Config
+	selfHash uint64
 
 	mu sync.Mutex
 	// own is this node's record.
@@ -85,7 +85,7 @@
 	joined   bool
 	members  map[string]*member
 	domains  map[string]*domain
-	news     newsTable
+	gossip   gossipTable
 	// isolated means that the last doubt about a member could be shared with nobody.
 	isolated bool
 
@@ -95,8 +95,8 @@
 	seedAt      time.Time
 	tableAt     time.Time
 	stepAt      time.Time
-	// bulkBytes is what bulk news may still cost now.
-	bulkBytes int
+	// bulkBudgetBytes is what bulk news may still cost now.
+	bulkBudgetBytes int
 
 	wake chan struct{}
 	// wait counts the exchanges in flight.
@@ -119,8 +119,8 @@
 	}
 	now := time.Now()
 	m := &Membership{
-		config: config,
-		self:   hash(config.ID),
+		config:   config,
+		selfHash: hash(config.ID),
 		own: Record{
 			ID:          config.ID,
 			Address:     config.Address,
@@ -129,10 +129,10 @@
 		},
 		members: map[string]*member{},
 		domains: map[string]*domain{},
-		news:    newNewsTable(uint64(now.UnixMilli())),
+		gossip:  newGossipTable(uint64(now.UnixMilli())),
 		wake:    make(chan struct{}, 1),
 	}
-	m.showSelf(0)
+	m.writeSelf(0)
 	return m
 }
 
@@ -148,12 +148,12 @@
 	defer m.wait.Wait()
 	for ctx.Err() == nil {
 		m.step(ctx)
-		m.rest(ctx)
+		m.waitForStep(ctx)
 	}
 }
 
-// rest waits until the next step is due or something urgent waits to be sent.
-func (m *Membership) rest(ctx context.Context) {
+// waitForStep waits until the next step is due or something urgent waits to be sent.
+func (m *Membership) waitForStep(ctx context.Context) {
 	next, cancel := context.WithTimeout(ctx, stepInterval)
 	defer cancel()
 	select {
@@ -179,19 +179,19 @@
 }
 
 // Leave tells the failure domain that this node takes no new requests.
-func (m *Membership) Leave() { m.changeSelf(Leaving) }
+func (m *Membership) Leave() { m.setOwnState(Leaving) }
 
 // Depart tells the failure domain that this node is gone and waits until the
 // members have heard or the context ends.
 func (m *Membership) Depart(ctx context.Context) {
-	m.changeSelf(Dead)
-	for m.unsent() && ctx.Err() == nil {
+	m.setOwnState(Dead)
+	for m.hasUnsent() && ctx.Err() == nil {
 		m.flush(ctx)
 		time.Sleep(coalesceDelay)
 	}
 }
 
-func (m *Membership) changeSelf(state State) {
+func (m *Membership) setOwnState(state State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.own.State >= state {
@@ -199,12 +199,12 @@
 	}
 	m.own.State = state
 	m.departed = state == Dead
-	m.showSelf(m.config.ConfigVersion())
-	m.spreadRecord(m.own.ID)
+	m.writeSelf(m.config.ConfigVersion())
+	m.broadcastRecord(m.own.ID)
 }
 
-// showSelf puts this node into the shared table; the caller holds the lock.
-func (m *Membership) showSelf(version uint64) {
+// writeSelf puts this node into the shared table; the caller holds the lock.
+func (m *Membership) writeSelf(version uint64) {
 	own := m.own
 	m.config.Members.Update(own.ID, func(shown *blackboard.Member) bool {
 		fillMember(shown, own, m.config.FailureDomain)
@@ -223,7 +223,7 @@
 	shown.Dead = record.State == Dead
 }
 
-func (m *Membership) nudge() {
+func (m *Membership) wakeLoop() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -15,8 +15,8 @@
 	"zinniamast/membership"
 )
 
-// knows returns how many living members of its own domain a node sees, itself included.
-func (n *node) knows() int {
+// livingMembers returns how many living members of its own domain a node sees, itself included.
+func (n *node) livingMembers() int {
 	living := 0
 	for _, member := range n.table.All() {
 		if member.FailureDomain == n.domain && !member.Dead {
@@ -26,13 +26,13 @@
 	return living
 }
 
-func (n *node) sees(id string) blackboard.Member {
+func (n *node) entryOf(id string) blackboard.Member {
 	member, _ := n.table.Get(id)
 	return member
 }
 
-// until waits for a condition in virtual time and returns how long it took, or -1.
-func until(limit time.Duration, condition func() bool) time.Duration {
+// waitUntil waits for a condition in virtual time and returns how long it took, or -1.
+func waitUntil(limit time.Duration, condition func() bool) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
 		if condition() {
@@ -43,7 +43,7 @@
 	return -1
 }
 
-func all(nodes []*node, condition func(*node) bool) func() bool {
+func allOf(nodes []*node, condition func(*node) bool) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			if !condition(n) {
@@ -91,56 +91,56 @@
 		{
 			name: "link between two nodes cut both ways",
 			strike: func(n *network) func() {
-				n.set(func() {
+				n.update(func() {
 					n.cut[[2]string{victim, "node-002"}] = true
 					n.cut[[2]string{"node-002", victim}] = true
 				})
 				time.Sleep(20 * time.Second)
-				return func() { n.set(func() { clear(n.cut) }) }
+				return func() { n.update(func() { clear(n.cut) }) }
 			},
 		},
 		{
 			name: "one way cut between two nodes",
 			strike: func(n *network) func() {
-				n.set(func() { n.cut[[2]string{"node-002", victim}] = true })
+				n.update(func() { n.cut[[2]string{"node-002", victim}] = true })
 				time.Sleep(20 * time.Second)
-				return func() { n.set(func() { clear(n.cut) }) }
+				return func() { n.update(func() { clear(n.cut) }) }
 			},
 		},
 		{
 			name: "nothing reaches the node but it still sends",
 			strike: func(n *network) func() {
-				n.set(func() {
+				n.update(func() {
 					for id := range n.nodes {
 						n.cut[[2]string{id, victim}] = true
 					}
 				})
 				time.Sleep(20 * time.Second)
-				return func() { n.set(func() { clear(n.cut) }) }
+				return func() { n.update(func() { clear(n.cut) }) }
 			},
 			mayFall: true,
 		},
 		{
 			name: "round trips of a second",
 			strike: func(n *network) func() {
-				n.set(func() { n.slow[victim] = 500 * time.Millisecond })
+				n.update(func() { n.extraDelay[victim] = 500 * time.Millisecond })
 				time.Sleep(20 * time.Second)
-				return func() { n.set(func() { clear(n.slow) }) }
+				return func() { n.update(func() { clear(n.extraDelay) }) }
 			},
 		},
 		{
 			name: "one message in ten lost",
 			strike: func(n *network) func() {
-				n.set(func() { n.loss = 0.1 })
+				n.update(func() { n.lossRate = 0.1 })
 				time.Sleep(20 * time.Second)
-				return func() { n.set(func() { n.loss = 0 }) }
+				return func() { n.update(func() { n.lossRate = 0 }) }
 			},
 			mayFall: true,
 		},
 		{
 			name: "domain cut in halves",
 			strike: func(n *network) func() {
-				n.set(func() {
+				n.update(func() {
 					for a := range n.nodes {
 						for b := range n.nodes {
 							if (a < "node-004") != (b < "node-004") {
@@ -150,7 +150,7 @@
 					}
 				})
 				time.Sleep(time.Minute)
-				return func() { n.set(func() { clear(n.cut) }) }
+				return func() { n.update(func() { clear(n.cut) }) }
 			},
 			mayFall: true,
 		},
@@ -162,32 +162,32 @@
 				n := newNetwork()
 				nodes := n.fleet(t, 8, 1)
 				for _, each := range nodes {
-					check.Equal(each.knows(), 8)
+					check.Equal(each.livingMembers(), 8)
 				}
 				others := append(append([]*node{}, nodes[:3]...), nodes[4:]...)
 				if c.dies {
 					c.strike(n)
-					took := until(5*time.Second, all(others, func(n *node) bool { return n.sees(victim).Dead }))
+					took := waitUntil(5*time.Second, allOf(others, func(n *node) bool { return n.entryOf(victim).Dead }))
 					t.Logf("known dead everywhere after %v", took)
 					check.True(took > 0 && took < 2*time.Second)
 					time.Sleep(time.Minute)
 					for _, each := range others {
-						check.Equal(each.knows(), 7)
+						check.Equal(each.livingMembers(), 7)
 					}
 					return
 				}
 				end := c.strike(n)
 				for _, each := range others {
-					check.True(c.mayFall || !each.sees(victim).Dead)
+					check.True(c.mayFall || !each.entryOf(victim).Dead)
 					check.Equal(len(each.table.All()), 8)
 				}
 				// A node that hears nobody keeps its table.
 				if c.name == "nothing reaches the node but it still sends" {
-					check.Equal(nodes[3].knows(), 8)
+					check.Equal(nodes[3].livingMembers(), 8)
 					check.True(nodes[3].Isolated())
 				}
 				end()
-				took := until(40*time.Second, all(nodes, func(n *node) bool { return n.knows() == 8 }))
+				took := waitUntil(40*time.Second, allOf(nodes, func(n *node) bool { return n.livingMembers() == 8 }))
 				t.Logf("whole again after %v", took)
 				check.True(took >= 0)
 			})
@@ -198,7 +198,7 @@
 // A rack goes: seven of 26 nodes vanish at once, among them neighbours on the
 // ring that watched each other. The others must know of all of them soon, and
 // must not take each other for dead.
-func TestRackVanishes(t *testing.T) {
+func TestRackFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		n := newNetwork()
@@ -207,11 +207,11 @@
 			n.crash(victim.id, true)
 		}
 		others := append(append([]*node{}, nodes[:8]...), nodes[15:]...)
-		took := until(10*time.Second, all(others, func(n *node) bool { return n.knows() == 19 }))
+		took := waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.livingMembers() == 19 }))
 		t.Logf("seven deaths known to all after %v", took)
 		check.True(took > 0 && took < 2*time.Second)
 		for range 100 {
-			check.True(all(others, func(n *node) bool { return n.knows() == 19 })())
+			check.True(allOf(others, func(n *node) bool { return n.livingMembers() == 19 })())
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
@@ -220,7 +220,7 @@
 // A failure domain is lost with all its nodes. The others keep it in mind, as
 // it may be cut off only, but not for ever: changes of configuration would wait
 // for it.
-func TestLostDomainIsForgotten(t *testing.T) {
+func TestLostDomainIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		n := newNetwork()
@@ -233,20 +233,20 @@
 		check.Equal(len(nodes[0].Domains()), 0)
 		check.Equal(len(nodes[0].table.All()), 2)
 		n.start(t, "again", "domain-01", nodes[0].id)
-		check.True(until(time.Minute, func() bool { return len(nodes[2].Domains()) == 1 }) >= 0)
+		check.True(waitUntil(time.Minute, func() bool { return len(nodes[2].Domains()) == 1 }) >= 0)
 	})
 }
 
 // A node leaves by plan: first it takes no new requests, then it is gone.
 // Both are known in its domain within 2 s, and neither an old seed list nor
 // another node's old table brings it back.
-func TestLeavingIsKnownAndStays(t *testing.T) {
+func TestPlannedDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		n := newNetwork()
 		nodes := n.fleet(t, 9, 1)
 		cutOff := nodes[8]
-		n.set(func() {
+		n.update(func() {
 			for id := range n.nodes {
 				n.cut[[2]string{id, cutOff.id}] = true
 				n.cut[[2]string{cutOff.id, id}] = true
@@ -254,26 +254,26 @@
 		})
 		leaver, others := nodes[3], append(append([]*node{}, nodes[:3]...), nodes[4:8]...)
 		leaver.Leave()
-		took := until(2*time.Second, all(others, func(n *node) bool { return n.sees(leaver.id).Leaving }))
+		took := waitUntil(2*time.Second, allOf(others, func(n *node) bool { return n.entryOf(leaver.id).Leaving }))
 		t.Logf("leaving known after %v", took)
 		check.True(took >= 0)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		leaver.Depart(ctx)
 		cancel()
-		check.True(all(others, func(n *node) bool { return n.sees(leaver.id).Dead })())
+		check.True(allOf(others, func(n *node) bool { return n.entryOf(leaver.id).Dead })())
 		n.crash(leaver.id, false)
 		// The node that was cut off comes back with its old table.
-		n.set(func() { clear(n.cut) })
+		n.update(func() { clear(n.cut) })
 		time.Sleep(30 * time.Second)
 		for _, each := range append(others, cutOff) {
-			check.True(each.sees(leaver.id).Dead)
-			check.Equal(each.knows(), 8)
+			check.True(each.entryOf(leaver.id).Dead)
+			check.Equal(each.livingMembers(), 8)
 		}
 		// The same name starts again on a clock that runs behind.
 		again := n.start(t, leaver.id, leaver.domain, "node-001")
-		took = until(10*time.Second, all(others, func(n *node) bool { return n.knows() == 9 }))
+		took = waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.livingMembers() == 9 }))
 		check.True(took >= 0)
-		check.Equal(again.knows(), 9)
+		check.Equal(again.livingMembers(), 9)
 	})
 }
 
@@ -285,14 +285,14 @@
 		n := newNetwork()
 		nodes := n.fleet(t, 9, 3)
 		joiner := n.start(t, "late", "domain-01", "nobody", "node-002")
-		took := until(10*time.Second, func() bool { return joiner.knows() == 4 })
+		took := waitUntil(10*time.Second, func() bool { return joiner.livingMembers() == 4 })
 		t.Logf("joined after %v", took)
 		check.True(took >= 0)
 		check.Equal(len(joiner.Domains()), 2)
 		check.True(joiner.Joined())
-		took = until(10*time.Second, func() bool { return nodes[1].knows() == 4 && nodes[4].knows() == 4 })
+		took = waitUntil(10*time.Second, func() bool { return nodes[1].livingMembers() == 4 && nodes[4].livingMembers() == 4 })
 		check.True(took >= 0)
-		check.True(joiner.sees("node-000").FailureDomain == "domain-00")
+		check.True(joiner.entryOf("node-000").FailureDomain == "domain-00")
 	})
 }
 
@@ -300,11 +300,11 @@
 // meets a node of another failure domain on the platform's list knows none of
 // its own; taken for joined, such nodes stayed apart for half a minute: each
 // followed the store for itself, and the news of one reached none of them.
-func TestSimultaneousStartWithSeedsThatComeLate(t *testing.T) {
+func TestSimultaneousStartWithLateSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := newNetwork()
-		network.listed = time.Now().Add(time.Second)
+		network.listedFrom = time.Now().Add(time.Second)
 		var all []*node
 		for i := range 24 {
 			name := fmt.Sprintf("node-%03d", 23-i)
@@ -327,7 +327,7 @@
 // News of a leaving upstream must reach every node of the domain far below
 // 2 s, also when its origin dies at once, and the other domains if it is wide;
 // it is heard once, and a node that joins later hears it while it is news.
-func TestNews(t *testing.T) {
+func TestGossip(t *testing.T) {
 	for _, size := range []struct{ nodes, domains int }{{nodes: 12, domains: 3}, {nodes: 60, domains: 1}} {
 		t.Run(fmt.Sprint(size.nodes, "nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -337,7 +337,7 @@
 				heard := map[string]int{}
 				for _, each := range nodes {
 					each.Subscribe(zinniamast.TopicUpstreamLeaving, func(zinniamast.News) {
-						n.set(func() { heard[each.id]++ })
+						n.update(func() { heard[each.id]++ })
 					})
 				}
 				nodes[5].Publish(zinniamast.News{
@@ -347,15 +347,15 @@
 					Wide:    true,
 				})
 				count := func() int { n.mu.Lock(); defer n.mu.Unlock(); return len(heard) }
-				took := until(2*time.Second, func() bool { return count() == size.nodes-1 })
+				took := waitUntil(2*time.Second, func() bool { return count() == size.nodes-1 })
 				t.Logf("heard by all of %d nodes in %d domains after %v", size.nodes, size.domains, took)
 				check.True(took >= 0)
 				late := n.start(t, "late", nodes[5].domain, nodes[5].id)
 				late.Subscribe(zinniamast.TopicUpstreamLeaving, func(zinniamast.News) {
-					n.set(func() { heard["late"]++ })
+					n.update(func() { heard["late"]++ })
 				})
 				time.Sleep(20 * time.Second)
-				n.set(func() {
+				n.update(func() {
 					check.Equal(heard["late"], 1)
 					for id, times := range heard {
 						check.True(times == 1 || id == "late")
@@ -374,7 +374,7 @@
 		n := newNetwork()
 		nodes := n.fleet(t, 6, 2)
 		nodes[0].version.Store(7)
-		took := until(20*time.Second, all(nodes, func(n *node) bool { return n.version.Load() == 7 }))
+		took := waitUntil(20*time.Second, allOf(nodes, func(n *node) bool { return n.version.Load() == 7 }))
 		t.Logf("repaired after %v", took)
 		check.True(took >= 0)
 	})
@@ -397,9 +397,9 @@
 				fleet := n.fleet(t, size.nodes, size.domains)
 				time.Sleep(20 * time.Second)
 				logHeap(t, size.nodes)
-				n.measure(t, fleet, false)
-				n.measure(t, fleet, true)
-				n.detect(t, fleet)
+				n.measureTraffic(t, fleet, false)
+				n.measureTraffic(t, fleet, true)
+				n.measureDetection(t, fleet)
 			})
 		})
 	}
@@ -413,13 +413,13 @@
 	t.Logf("heap %d KiB per node", stats.HeapAlloc/uint64(nodes)/1024)
 }
 
-// measure logs the traffic of some seconds and checks it against the budget.
-func (n *network) measure(t *testing.T, fleet []*node, bulk bool) {
+// measureTraffic logs the traffic of some seconds and checks it against the budget.
+func (n *network) measureTraffic(t *testing.T, fleet []*node, bulk bool) {
 	const budget = 7000
 	const seconds = 10
-	n.set(func() {
+	n.update(func() {
 		clear(n.bytes)
-		clear(n.count)
+		clear(n.messages)
 	})
 	for range seconds {
 		for i, each := range fleet {
@@ -434,12 +434,12 @@
 		}
 		time.Sleep(time.Second)
 	}
-	n.set(func() {
+	n.update(func() {
 		worst, sum, messages := 0, 0, 0
 		for id, size := range n.bytes {
 			worst = max(worst, size)
 			sum += size
-			messages += n.count[id]
+			messages += n.messages[id]
 		}
 		perNode := float64(len(fleet) * seconds)
 		t.Logf("bulk %v: mean %.0f B/s, worst %.0f B/s, %.1f messages/s sent per node",
@@ -448,8 +448,8 @@
 	})
 }
 
-// detect lets one machine vanish and measures until its domain knows.
-func (n *network) detect(t *testing.T, fleet []*node) {
+// measureDetection lets one machine vanish and measures until its domain knows.
+func (n *network) measureDetection(t *testing.T, fleet []*node) {
 	victim := fleet[len(fleet)-1]
 	var neighbours []*node
 	for _, each := range fleet {
@@ -458,9 +458,9 @@
 		}
 	}
 	n.crash(victim.id, true)
-	took := until(5*time.Second, all(neighbours, func(n *node) bool { return n.sees(victim.id).Dead }))
+	took := waitUntil(5*time.Second, allOf(neighbours, func(n *node) bool { return n.entryOf(victim.id).Dead }))
 	t.Logf("silent death known to %d neighbours after %v", len(neighbours), took)
 	is.New(t).True(took > 0 && took < 2*time.Second)
 }
 
-var _ membership.Transport = port{}
+var _ membership.Transport = nodeTransport{}
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -21,28 +21,28 @@
 
 var errNetwork = errors.New("network")
 
-// framing is what TCP, IP, TLS and the rpc header add to a message, in bytes.
-const framing = 52 + 22 + 24
+// framingBytes is what TCP, IP, TLS and the rpc header add to a message, in bytes.
+const framingBytes = 52 + 22 + 24
 
 // network connects nodes in one process, with faults.
 type network struct {
 	mu      sync.Mutex
 	nodes   map[string]*node
 	latency time.Duration
-	// slow adds one-way delay towards or from a node.
-	slow map[string]time.Duration
+	// extraDelay adds one-way delay towards or from a node.
+	extraDelay map[string]time.Duration
 	// cut drops what goes from the first to the second.
 	cut map[[2]string]bool
 	// paused holds everything to and from a node until the channel closes.
-	paused map[string]chan struct{}
-	loss   float64
-	random *rand.Rand
-	sizes  *sizer
-	bytes  map[string]int
-	count  map[string]int
-	// listed is from when the platform's list, which every node has, shows others
+	paused   map[string]chan struct{}
+	lossRate float64
+	random   *rand.Rand
+	sizes    *messageSizer
+	bytes    map[string]int
+	messages map[string]int
+	// listedFrom is from when the platform's list, which every node has, shows others
 	// than the first domain's; zero means that there is no list.
-	listed time.Time
+	listedFrom time.Time
 }
 
 // firstDomain is the failure domain whose nodes the list shows at once.
@@ -54,7 +54,7 @@
 	defer n.mu.Unlock()
 	var instances []zinniamast.Instance
 	for _, started := range n.nodes {
-		if started.domain != firstDomain && time.Now().Before(n.listed) {
+		if started.domain != firstDomain && time.Now().Before(n.listedFrom) {
 			continue
 		}
 		instances = append(instances, zinniamast.Instance{
@@ -78,15 +78,15 @@
 
 func newNetwork() *network {
 	return &network{
-		nodes:   map[string]*node{},
-		latency: time.Millisecond,
-		slow:    map[string]time.Duration{},
-		cut:     map[[2]string]bool{},
-		paused:  map[string]chan struct{}{},
-		random:  rand.New(rand.NewPCG(1, 2)),
-		sizes:   newSizer(),
-		bytes:   map[string]int{},
-		count:   map[string]int{},
+		nodes:      map[string]*node{},
+		latency:    time.Millisecond,
+		extraDelay: map[string]time.Duration{},
+		cut:        map[[2]string]bool{},
+		paused:     map[string]chan struct{}{},
+		random:     rand.New(rand.NewPCG(1, 2)),
+		sizes:      newMessageSizer(),
+		bytes:      map[string]int{},
+		messages:   map[string]int{},
 	}
 }
 
@@ -99,7 +99,7 @@
 		table:  blackboard.NewMembers(),
 	}
 	var list zinniamast.InstanceList
-	if !n.listed.IsZero() {
+	if !n.listedFrom.IsZero() {
 		list = n
 	}
 	started.Membership = membership.New(membership.Config{
@@ -110,7 +110,7 @@
 		Weight:        1,
 		Seeds:         seeds,
 		Members:       started.table,
-		Transport:     port{network: n, id: id},
+		Transport:     nodeTransport{network: n, id: id},
 		Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 		ConfigVersion: started.version.Load,
 		OnNewerConfig: func(_ string, version uint64) { started.version.Store(version) },
@@ -170,22 +170,22 @@
 	}
 }
 
-// set changes faults under the lock.
-func (n *network) set(change func()) {
+// update changes faults under the lock.
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// pass lets one message through, with all faults; it returns the receiver.
-func (n *network) pass(ctx context.Context, from, to string, size int) (*node, error) {
+// deliver lets one message through, with all faults; it returns the receiver.
+func (n *network) deliver(ctx context.Context, from, to string, size int) (*node, error) {
 	n.mu.Lock()
-	delay := n.latency + n.slow[from] + n.slow[to]
-	lost := n.cut[[2]string{from, to}] || n.random.Float64() < n.loss
+	delay := n.latency + n.extraDelay[from] + n.extraDelay[to]
+	lost := n.cut[[2]string{from, to}] || n.random.Float64() < n.lossRate
 	holds := []chan struct{}{n.paused[from], n.paused[to]}
 	n.bytes[from] += size
 	n.bytes[to] += size
-	n.count[from]++
+	n.messages[from]++
 	n.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -214,52 +214,52 @@
 	return receiver, nil
 }
 
-// port is one node's access to the network.
-type port struct {
+// nodeTransport is one node's access to the network.
+type nodeTransport struct {
 	network *network
 	id      string
 }
 
 // Exchange implements membership.Transport.
-func (p port) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
-	receiver, err := p.network.pass(ctx, p.id, address, p.network.sizes.of(message))
+func (p nodeTransport) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
+	receiver, err := p.network.deliver(ctx, p.id, address, p.network.sizes.of(message))
 	if err != nil {
 		return nil, err
 	}
 	answer := receiver.Receive(message)
-	_, err = p.network.pass(ctx, address, p.id, p.network.sizes.of(answer))
+	_, err = p.network.deliver(ctx, address, p.id, p.network.sizes.of(answer))
 	return answer, err
 }
 
 // Probe implements membership.Transport.
-func (p port) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
-	receiver, err := p.network.pass(ctx, p.id, address, framing+32)
+func (p nodeTransport) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
+	receiver, err := p.network.deliver(ctx, p.id, address, framingBytes+32)
 	if err != nil {
 		return membership.ProbeResult{}, err
 	}
 	result := receiver.ProbeFor(probe)
-	_, err = p.network.pass(ctx, address, p.id, framing+4)
+	_, err = p.network.deliver(ctx, address, p.id, framingBytes+4)
 	return result, err
 }
 
-// sizer measures messages as gob sends them on a standing connection.
-type sizer struct {
+// messageSizer measures messages as gob sends them on a standing connection.
+type messageSizer struct {
 	mu      sync.Mutex
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 }
 
-func newSizer() *sizer {
-	s := &sizer{}
+func newMessageSizer() *messageSizer {
+	s := &messageSizer{}
 	s.encoder = gob.NewEncoder(&s.buffer)
 	_ = s.encoder.Encode(&membership.Exchange{From: "x"})
 	return s
 }
 
-func (s *sizer) of(message *membership.Exchange) int {
+func (s *messageSizer) of(message *membership.Exchange) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffer.Reset()
 	_ = s.encoder.Encode(message)
-	return s.buffer.Len() + framing
+	return s.buffer.Len() + framingBytes
 }
--- a/membership/outbox.go
+++ b/membership/outbox.go
@@ -6,15 +6,15 @@
 // content is sent and a receiver that is cut off costs little.
 type outbox struct {
 	records map[string]bool
-	// news maps to whether it is urgent.
-	news   map[newsKey]bool
+	// gossip maps to whether it is urgent.
+	gossip map[gossipKey]bool
 	urgent bool
 }
 
 func newOutbox() outbox {
 	return outbox{
 		records: map[string]bool{},
-		news:    map[newsKey]bool{},
+		gossip:  map[gossipKey]bool{},
 	}
 }
 
@@ -23,59 +23,59 @@
 	o.urgent = true
 }
 
-func (o *outbox) addNews(key newsKey, urgent bool) {
-	o.news[key] = o.news[key] || urgent
+func (o *outbox) addGossip(key gossipKey, urgent bool) {
+	o.gossip[key] = o.gossip[key] || urgent
 	o.urgent = o.urgent || urgent
 }
 
-func (o *outbox) empty() bool { return len(o.records) == 0 && len(o.news) == 0 }
+func (o *outbox) empty() bool { return len(o.records) == 0 && len(o.gossip) == 0 }
 
-// sending is what was taken from an outbox for one message.
-type sending struct {
+// batch is what was taken from an outbox for one message.
+type batch struct {
 	records []string
-	news    []newsKey
+	gossip  []gossipKey
 	// sequences are of the news as sent, so that later items stay owed.
 	sequences []uint64
 }
 
-// take moves at most a message's worth out: what is urgent, and bulk news as
+// takeBatch moves at most a message's worth out: what is urgent, and bulk news as
 // far as its bytes allow.
-func (o *outbox) take(table *newsTable, bulkBytes *int) sending {
-	var taken sending
+func (o *outbox) takeBatch(table *gossipTable, bulkBytes *int) batch {
+	var taken batch
 	for id := range o.records {
 		taken.records = append(taken.records, id)
 	}
 	clear(o.records)
 	o.urgent = false
-	for key, urgent := range o.news {
+	for key, urgent := range o.gossip {
 		news, known := table.items[key]
 		if !known {
-			delete(o.news, key)
+			delete(o.gossip, key)
 			continue
 		}
-		size := len(news.Key) + len(news.Value) + itemFraming
-		if len(taken.news) >= maxMessageNews || !urgent && size > *bulkBytes {
+		size := len(news.Key) + len(news.Value) + itemOverheadBytes
+		if len(taken.gossip) >= maxGossipPerMessage || !urgent && size > *bulkBytes {
 			o.urgent = o.urgent || urgent
 			continue
 		}
 		if !urgent {
 			*bulkBytes -= size
 		}
-		taken.news = append(taken.news, key)
+		taken.gossip = append(taken.gossip, key)
 		taken.sequences = append(taken.sequences, news.Sequence)
-		delete(o.news, key)
+		delete(o.gossip, key)
 	}
 	slices.Sort(taken.records)
 	return taken
 }
 
-// restore owes again what was not delivered. It is no longer urgent: the
+// requeue owes again what was not delivered. It is no longer urgent: the
 // receiver is slow or gone, and is told with its next heartbeat or bulk message.
-func (o *outbox) restore(taken sending) {
+func (o *outbox) requeue(taken batch) {
 	for _, id := range taken.records {
 		o.records[id] = true
 	}
-	for _, key := range taken.news {
-		o.addNews(key, false)
+	for _, key := range taken.gossip {
+		o.addGossip(key, false)
 	}
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// doubt begins or continues the suspicion of a member whose exchange failed
+// suspect begins or continues the suspicion of a member whose exchange failed
 // or is late; the caller holds the lock.
-func (m *Membership) doubt(ctx context.Context, p *member) {
+func (m *Membership) suspect(ctx context.Context, p *member) {
 	if !p.alive() || ctx.Err() != nil && context.Cause(ctx) == context.Canceled {
 		return
 	}
 	if p.suspectedAt.IsZero() {
 		p.suspectedAt = p.sentAt
 	}
-	if now := time.Now(); !p.asking && now.Sub(p.askedAt) >= heartbeatInterval {
-		p.askedAt = now
-		m.ask(ctx, p)
+	if now := time.Now(); !p.probing && now.Sub(p.probedAt) >= heartbeatInterval {
+		p.probedAt = now
+		m.startIndirectProbe(ctx, p)
 	}
 }
 
-// ask has other nodes try the member. One link that fails, or works one way
+// startIndirectProbe has other nodes try the member. One link that fails, or works one way
 // only, must not make a member dead that the others reach.
-func (m *Membership) ask(ctx context.Context, p *member) {
+func (m *Membership) startIndirectProbe(ctx context.Context, p *member) {
 	addresses := m.helperAddresses(p)
 	probe := Probe{
 		ID:      p.record.ID,
 		Address: p.record.Address,
 	}
-	p.asking = true
+	p.probing = true
 	m.wait.Add(1)
 	go func() {
 		defer m.wait.Done()
-		reached, answered := m.askAll(context.WithoutCancel(ctx), addresses, probe)
+		reached, answered := m.probeThrough(context.WithoutCancel(ctx), addresses, probe)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		p.asking = false
+		p.probing = false
 		if reached {
-			p.trust()
+			p.clearSuspicion()
 			return
 		}
 		// Where nobody answers, this node is the one cut off: it keeps its table.
@@ -68,10 +68,10 @@
 		}
 	}
 	addresses := append(trusted, doubted...)
-	return addresses[:min(len(addresses), helpers)]
+	return addresses[:min(len(addresses), maxProbeHelpers)]
 }
 
-func (m *Membership) askAll(ctx context.Context, addresses []string, probe Probe) (reached, answered bool) {
+func (m *Membership) probeThrough(ctx context.Context, addresses []string, probe Probe) (reached, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, indirectTimeout)
 	defer cancel()
 	type outcome struct {
@@ -103,7 +103,7 @@
 // ProbeFor tries another node on a peer's behalf.
 func (m *Membership) ProbeFor(probe Probe) ProbeResult {
 	m.mu.Lock()
-	message := m.message()
+	message := m.newExchange()
 	message.Domain = m.config.FailureDomain
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), indirectTimeout*3/4)
@@ -114,29 +114,29 @@
 	}
 }
 
-// judge declares the members dead whose window is over; the caller holds the lock.
-func (m *Membership) judge(ctx context.Context, now time.Time) {
+// checkSuspicions declares the members dead whose window is over; the caller holds the lock.
+func (m *Membership) checkSuspicions(ctx context.Context, now time.Time) {
 	for _, p := range m.members {
 		if !p.alive() {
 			continue
 		}
-		if p.busy && now.Sub(p.sentAt) >= probeTimeout {
-			m.doubt(ctx, p)
+		if p.inFlight && now.Sub(p.sentAt) >= probeTimeout {
+			m.suspect(ctx, p)
 		}
-		if p.suspectedAt.IsZero() || !p.unreachable || now.Sub(p.suspectedAt) < p.window(now) {
+		if p.suspectedAt.IsZero() || !p.unreachable || now.Sub(p.suspectedAt) < p.suspicionTimeout(now) {
 			continue
 		}
 		dead := p.record
 		dead.State = Dead
 		m.config.Logger.Warn("member_declared_dead", "member", dead.ID, "silent", now.Sub(p.suspectedAt).String())
-		m.learn(dead)
-		m.spreadRecord(dead.ID)
+		m.mergeRecord(dead)
+		m.broadcastRecord(dead.ID)
 	}
 }
 
-// resume drops all doubts if this node itself stood still: what it missed in
+// resetAfterPause drops all doubts if this node itself stood still: what it missed in
 // its pause says nothing of the others.
-func (m *Membership) resume(now time.Time) {
+func (m *Membership) resetAfterPause(now time.Time) {
 	late := now.Sub(m.stepAt)
 	first := m.stepAt.IsZero()
 	m.stepAt = now
@@ -145,7 +145,7 @@
 	}
 	m.config.Logger.Warn("node_paused", "pause", late.String())
 	for _, p := range m.members {
-		p.trust()
+		p.clearSuspicion()
 		p.sentAt = now
 	}
 }
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -22,20 +22,20 @@
 		}
 	}
 	slices.SortFunc(living, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), strings.Compare(a.record.ID, b.record.ID))
+		return cmp.Or(cmp.Compare(a.ringHash, b.ringHash), strings.Compare(a.record.ID, b.record.ID))
 	})
-	first, _ := slices.BinarySearchFunc(living, m.self, func(p *member, self uint64) int {
-		return cmp.Compare(p.place, self)
+	first, _ := slices.BinarySearchFunc(living, m.selfHash, func(p *member, self uint64) int {
+		return cmp.Compare(p.ringHash, self)
 	})
 	return append(living[first:len(living):len(living)], living[:first]...)
 }
 
-// targets returns the members this node tells news. In a failure domain of
+// broadcastTargets returns the members this node tells news. In a failure domain of
 // ordinary size that is everyone; above, the members at distances 1, 2, 4 and
 // so on along the ring, who pass on what is new to them.
-func (m *Membership) targets() []*member {
+func (m *Membership) broadcastTargets() []*member {
 	ring := m.ring()
-	if len(ring) < maxMesh {
+	if len(ring) < maxMeshSize {
 		return ring
 	}
 	var fingers []*member
@@ -45,20 +45,20 @@
 	return fingers
 }
 
-// relays says whether the domain is so large that news passes from node to node.
-func (m *Membership) relays() bool { return len(m.members) >= maxMesh }
+// needsRelay says whether the domain is so large that news passes from node to node.
+func (m *Membership) needsRelay() bool { return len(m.members) >= maxMeshSize }
 
-// representing says whether this node speaks for its domain: it is among the
+// isRepresentative says whether this node speaks for its domain: it is among the
 // few living members whose IDs hash lowest. Nodes that disagree for a moment
 // make a few messages more, so no agreement is needed.
-func (m *Membership) representing() bool {
+func (m *Membership) isRepresentative() bool {
 	lower := 0
 	for id, p := range m.members {
-		if p.record.State == Alive && hash(id) < m.self {
+		if p.record.State == Alive && hash(id) < m.selfHash {
 			lower++
 		}
 	}
-	return lower < representatives && m.own.State == Alive
+	return lower < representativeCount && m.own.State == Alive
 }
 
 // digest hashes the living members, whatever their order; the caller holds the lock.
@@ -96,5 +96,5 @@
 		}
 	}
 	slices.SortFunc(living, func(a, b Record) int { return cmp.Compare(hash(a.ID), hash(b.ID)) })
-	return living[:min(len(living), contacts)]
+	return living[:min(len(living), maxContacts)]
 }
--- a/membership/step.go
+++ b/membership/step.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// bulkRate is how many bulk messages a second a node sends; with more members
+// bulkMessagesPerSecond is how many bulk messages a second a node sends; with more members
 // each hears less often, so that the node's traffic stays bounded.
-const bulkRate = 4
+const bulkMessagesPerSecond = 4
 
 // Bulk news may cost bulkBytesASecond, saved up to bulkBytesSaved. Above that
 // items wait, and newer ones replace them: news gets older, not dearer.
 const (
-	bulkBytesASecond = 850
-	bulkBytesSaved   = 1500
-	itemFraming      = 60
+	bulkBytesPerSecond = 850
+	bulkBurstBytes     = 1500
+	itemOverheadBytes  = 60
 )
 
 // step does what is due.
 func (m *Membership) step(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
-	m.bulkBytes = min(m.bulkBytes+int(now.Sub(m.stepAt).Milliseconds())*bulkBytesASecond/1000, bulkBytesSaved)
-	m.resume(now)
-	m.judge(ctx, now)
+	m.bulkBudgetBytes = min(m.bulkBudgetBytes+int(now.Sub(m.stepAt).Milliseconds())*bulkBytesPerSecond/1000, bulkBurstBytes)
+	m.resetAfterPause(now)
+	m.checkSuspicions(ctx, now)
 	if due(&m.heartbeatAt, now, heartbeatInterval) {
-		m.beat(ctx, now)
+		m.sendHeartbeats(ctx, now)
 	}
 	if due(&m.deadProbeAt, now, deadProbeInterval) {
 		m.probeDead(ctx)
 	}
-	summarise := due(&m.summaryAt, now, summaryInterval) && m.representing()
+	summarise := due(&m.summaryAt, now, summaryInterval) && m.isRepresentative()
 	m.mu.Unlock()
 	m.flush(ctx)
 	if summarise {
-		m.summarise(ctx)
+		m.sendSummaries(ctx)
 	}
 	m.mu.Lock()
-	seeds := m.seedsDue(now)
+	seeds := m.isSeedingDue(now)
 	m.mu.Unlock()
 	if seeds {
 		m.wait.Add(1)
@@ -48,21 +48,21 @@
 	}
 }
 
-// seedsDue says whether to ask nodes not known yet. Once joined only the
+// isSeedingDue says whether to ask nodes not known yet. Once joined only the
 // representatives do, or the few seeds would hear from the whole fleet.
-func (m *Membership) seedsDue(now time.Time) bool {
+func (m *Membership) isSeedingDue(now time.Time) bool {
 	switch {
-	case m.alone():
+	case m.isAlone():
 		return due(&m.seedAt, now, time.Second)
 	case len(m.members) == 0:
-		return due(&m.seedAt, now, lonelyInterval)
+		return due(&m.seedAt, now, emptyDomainSeedInterval)
 	default:
-		return m.representing() && due(&m.seedAt, now, m.config.SeedInterval)
+		return m.isRepresentative() && due(&m.seedAt, now, m.config.SeedInterval)
 	}
 }
 
-// alone says whether no other node is known; the caller holds the lock.
-func (m *Membership) alone() bool { return len(m.members) == 0 && len(m.domains) == 0 }
+// isAlone says whether no other node is known; the caller holds the lock.
+func (m *Membership) isAlone() bool { return len(m.members) == 0 && len(m.domains) == 0 }
 
 func due(last *time.Time, now time.Time, interval time.Duration) bool {
 	if now.Sub(*last) < interval {
@@ -72,11 +72,11 @@
 	return true
 }
 
-// beat sends heartbeats to the watched members and to those in doubt.
-func (m *Membership) beat(ctx context.Context, now time.Time) {
-	m.news.expire(now)
-	m.forget(now)
-	m.showSelf(m.config.ConfigVersion())
+// sendHeartbeats sends heartbeats to the watched members and to those in doubt.
+func (m *Membership) sendHeartbeats(ctx context.Context, now time.Time) {
+	m.gossip.expire(now)
+	m.removeExpired(now)
+	m.writeSelf(m.config.ConfigVersion())
 	if m.departed {
 		return
 	}
@@ -85,10 +85,10 @@
 	trusted := 0
 	for _, p := range m.ring() {
 		if !p.suspectedAt.IsZero() {
-			m.send(ctx, p)
-		} else if trusted < watched {
+			m.startExchange(ctx, p)
+		} else if trusted < watchedSuccessors {
 			trusted++
-			m.send(ctx, p)
+			m.startExchange(ctx, p)
 		}
 	}
 }
@@ -98,13 +98,13 @@
 func (m *Membership) probeDead(ctx context.Context) {
 	var dead *member
 	for _, p := range m.members {
-		if !p.alive() && !p.busy && (dead == nil || p.sentAt.Before(dead.sentAt)) {
+		if !p.alive() && !p.inFlight && (dead == nil || p.sentAt.Before(dead.sentAt)) {
 			dead = p
 		}
 	}
 	if dead != nil && !m.departed {
 		dead.outbox.addRecord(dead.record.ID)
-		m.send(ctx, dead)
+		m.startExchange(ctx, dead)
 	}
 }
 
@@ -113,25 +113,25 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	interval := time.Duration(len(m.members)) * time.Second / bulkRate
-	for _, p := range m.targets() {
+	interval := time.Duration(len(m.members)) * time.Second / bulkMessagesPerSecond
+	for _, p := range m.broadcastTargets() {
 		if p.outbox.urgent || !p.outbox.empty() && now.Sub(p.sentAt) >= interval {
-			m.send(ctx, p)
+			m.startExchange(ctx, p)
 		}
 	}
 	for _, d := range m.domains {
-		if d.outbox.urgent && !d.busy {
+		if d.outbox.urgent && !d.inFlight {
 			m.sendSummary(ctx, d)
 		}
 	}
 }
 
-// unsent says whether a living member has yet to hear something urgent.
-func (m *Membership) unsent() bool {
+// hasUnsent says whether a living member has yet to hear something urgent.
+func (m *Membership) hasUnsent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, p := range m.targets() {
-		if p.suspectedAt.IsZero() && (p.busy || p.outbox.urgent) {
+	for _, p := range m.broadcastTargets() {
+		if p.suspectedAt.IsZero() && (p.inFlight || p.outbox.urgent) {
 			return true
 		}
 	}
--- a/membership/summary.go
+++ b/membership/summary.go
@@ -11,27 +11,27 @@
 	"zinniamast/blackboard"
 )
 
-// summaryLife is how long a summary spread in a domain stays news; it is
+// summaryTTL is how long a summary spread in a domain stays news; it is
 // spread again well before.
 const (
-	summaryLife   = 11 * time.Minute
-	summaryRepeat = 5 * time.Minute
+	summaryTTL            = 11 * time.Minute
+	summaryRepeatInterval = 5 * time.Minute
 )
 
 // domain is another failure domain as this node knows it.
 type domain struct {
-	summary Summary
-	outbox  outbox
-	busy    bool
-	askedAt time.Time
-	// heardAt is when a contact last answered this node or its representatives.
-	heardAt time.Time
-	// spreadAt is when this node last spread the summary in its own domain.
-	spreadAt time.Time
-	// spread holds the contacts as spread last.
-	spread []Record
-	// turn goes through the contacts where one fails.
-	turn int
+	summary  Summary
+	outbox   outbox
+	inFlight bool
+	sentAt   time.Time
+	// lastContactAt is when a contact last answered this node or its representatives.
+	lastContactAt time.Time
+	// broadcastAt is when this node last spread the summary in its own domain.
+	broadcastAt time.Time
+	// broadcastContacts holds the contacts as spread last.
+	broadcastContacts []Record
+	// contactIndex goes through the contacts where one fails.
+	contactIndex int
 }
 
 // DomainStatus is another failure domain as status shows it.
@@ -54,7 +54,7 @@
 			Members: d.summary.Members,
 			Alive:   d.summary.Alive,
 			Config:  d.summary.Config,
-			Heard:   d.heardAt,
+			Heard:   d.lastContactAt,
 		})
 	}
 	slices.SortFunc(all, func(a, b DomainStatus) int { return cmp.Compare(a.Name, b.Name) })
@@ -79,17 +79,17 @@
 	}
 }
 
-// summarise sends this domain's summary to the next few others.
-func (m *Membership) summarise(ctx context.Context) {
+// sendSummaries sends this domain's summary to the next few others.
+func (m *Membership) sendSummaries(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := make([]*domain, 0, len(m.domains))
 	for _, d := range m.domains {
 		all = append(all, d)
 	}
-	slices.SortFunc(all, func(a, b *domain) int { return a.askedAt.Compare(b.askedAt) })
+	slices.SortFunc(all, func(a, b *domain) int { return a.sentAt.Compare(b.sentAt) })
 	for _, d := range all[:min(len(all), domainsPerTick)] {
-		if !d.busy {
+		if !d.inFlight {
 			m.sendSummary(ctx, d)
 		}
 	}
@@ -97,17 +97,17 @@
 
 // sendSummary starts an exchange with a contact of a domain; the caller holds the lock.
 func (m *Membership) sendSummary(ctx context.Context, d *domain) {
-	d.askedAt = time.Now()
+	d.sentAt = time.Now()
 	if len(d.summary.Contacts) == 0 {
 		return
 	}
-	d.busy = true
-	address := d.summary.Contacts[d.turn%len(d.summary.Contacts)].Address
-	taken := d.outbox.take(&m.news, &m.bulkBytes)
-	message := m.message()
+	d.inFlight = true
+	address := d.summary.Contacts[d.contactIndex%len(d.summary.Contacts)].Address
+	taken := d.outbox.takeBatch(&m.gossip, &m.bulkBudgetBytes)
+	message := m.newExchange()
 	message.Domain = m.config.FailureDomain
 	message.Summaries = []Summary{m.summary()}
-	m.load(message, taken)
+	m.fillMessage(message, taken)
 	m.wait.Add(1)
 	go func() {
 		defer m.wait.Done()
@@ -115,24 +115,24 @@
 		defer cancel()
 		answer, err := m.config.Transport.Exchange(ctx, address, message)
 		m.mu.Lock()
-		d.busy = false
+		d.inFlight = false
 		if err != nil {
-			d.turn++
-			d.outbox.restore(taken)
+			d.contactIndex++
+			d.outbox.requeue(taken)
 			m.mu.Unlock()
 			return
 		}
 		m.isolated = false
-		calls := m.takeOther(answer)
+		calls := m.mergeRemoteMessage(answer)
 		m.mu.Unlock()
-		run(calls)
+		runCallbacks(calls)
 	}()
 }
 
-// receiveOther answers a message from another domain; the caller holds the lock.
-func (m *Membership) receiveOther(message *Exchange) (*Exchange, []func()) {
-	calls := m.takeOther(message)
-	answer := m.message()
+// receiveRemoteMessage answers a message from another domain; the caller holds the lock.
+func (m *Membership) receiveRemoteMessage(message *Exchange) (*Exchange, []func()) {
+	calls := m.mergeRemoteMessage(message)
+	answer := m.newExchange()
 	answer.Domain = m.config.FailureDomain
 	answer.Summaries = []Summary{m.summary()}
 	if message.Want {
@@ -143,8 +143,8 @@
 	return answer, calls
 }
 
-// takeOther takes another domain's message in; the caller holds the lock.
-func (m *Membership) takeOther(message *Exchange) []func() {
+// mergeRemoteMessage takes another domain's message in; the caller holds the lock.
+func (m *Membership) mergeRemoteMessage(message *Exchange) []func() {
 	m.joined = true
 	var calls []func()
 	for _, summary := range message.Summaries {
@@ -153,70 +153,70 @@
 		if _, known := m.domains[summary.Domain]; known && message.Want {
 			continue
 		}
-		if !m.learnDomain(summary) || summary.Domain != message.Domain {
+		if !m.mergeSummary(summary) || summary.Domain != message.Domain {
 			continue
 		}
 		d := m.domains[summary.Domain]
-		d.heardAt = time.Now()
-		if m.representing() {
-			m.spreadSummary(d)
+		d.lastContactAt = time.Now()
+		if m.isRepresentative() {
+			m.broadcastSummary(d)
 		}
 		if summary.Config > m.config.ConfigVersion() && len(summary.Contacts) > 0 {
 			calls = append(calls, func() { m.config.OnNewerConfig(summary.Contacts[0].Address, summary.Config) })
 		}
 	}
-	return append(calls, m.hearNews(message.News, message.From, true)...)
+	return append(calls, m.receiveGossip(message.News, message.From, true)...)
 }
 
-// learnDomain takes a summary in if it is newer; the caller holds the lock. A
+// mergeSummary takes a summary in if it is newer; the caller holds the lock. A
 // summary of this node's own domain, met while joining, gives places to ask.
-func (m *Membership) learnDomain(summary Summary) bool {
+func (m *Membership) mergeSummary(summary Summary) bool {
 	if summary.Domain == m.config.FailureDomain {
 		for _, contact := range summary.Contacts {
-			m.learnContact(contact)
+			m.mergeContact(contact)
 		}
 		return false
 	}
 	d, ok := m.domains[summary.Domain]
 	if !ok {
 		d = &domain{
-			outbox:  newOutbox(),
-			heardAt: time.Now(),
+			outbox:        newOutbox(),
+			lastContactAt: time.Now(),
 		}
 		m.domains[summary.Domain] = d
 	}
-	if summary.Version <= d.summary.Version || len(summary.Contacts) > contacts {
+	if summary.Version <= d.summary.Version || len(summary.Contacts) > maxContacts {
 		return false
 	}
-	m.showContacts(d.summary.Contacts, summary)
+	m.writeContacts(d.summary.Contacts, summary)
 	d.summary = summary
 	return true
 }
 
-// learnContact enters a member of this domain that another domain named. The
+// mergeContact enters a member of this domain that another domain named. The
 // other domain's news may be old: what this node has seen die stays dead, and
 // a stranger is watched like any member.
-func (m *Membership) learnContact(contact Record) {
+func (m *Membership) mergeContact(contact Record) {
 	if _, known := m.members[contact.ID]; !known && contact.ID != m.own.ID && len(m.members) == 0 {
-		m.learn(contact)
+		m.mergeRecord(contact)
 	}
 }
 
-// forgetDomains drops domains that are gone for good, or every later change of
+// removeExpiredDomains drops domains that are gone for good, or every later change of
 // configuration would wait for them; the caller holds the lock. One that was
 // only cut off is found again through the seeds or the instance list.
-func (m *Membership) forgetDomains(now time.Time) {
+func (m *Membership) removeExpiredDomains(now time.Time) {
 	for name, d := range m.domains {
-		if now.Sub(d.heardAt) > forgetDomainAfter {
-			m.showContacts(d.summary.Contacts, Summary{})
+		if now.Sub(d.lastContactAt) > domainRetention {
+			m.writeContacts(d.summary.Contacts, Summary{})
 			delete(m.domains, name)
 			m.config.Logger.Warn("failure_domain_forgotten", "failure_domain", name)
 		}
 	}
 }
 
-// showContacts keeps the shared table's entries of another domain.
-func (m *Membership) showContacts(before []Record, summary Summary) {
+// writeContacts keeps the shared table's entries of another domain.
+func (m *Membership) writeContacts(before []Record, summary Summary) {
 	for _, old := range before {
 		if _, ours := m.recordOf(old.ID); ours {
 			continue
@@ -240,48 +240,48 @@
 	}
 }
 
-// spreadSummary tells this domain about another one; the caller holds the lock.
-func (m *Membership) spreadSummary(d *domain) {
+// broadcastSummary tells this domain about another one; the caller holds the lock.
+func (m *Membership) broadcastSummary(d *domain) {
 	now := time.Now()
-	same := slices.Equal(d.spread, d.summary.Contacts)
-	if same && now.Sub(d.spreadAt) < summaryRepeat {
+	same := slices.Equal(d.broadcastContacts, d.summary.Contacts)
+	if same && now.Sub(d.broadcastAt) < summaryRepeatInterval {
 		return
 	}
-	d.spreadAt = now
-	d.spread = d.summary.Contacts
+	d.broadcastAt = now
+	d.broadcastContacts = d.summary.Contacts
 	value, err := json.Marshal(d.summary)
 	if err != nil || len(value) > zinniamast.MaxNews {
 		m.config.Logger.Error("summary_not_spread", "failure_domain", d.summary.Domain, "bytes", len(value), "error", err)
 		return
 	}
-	m.news.next++
+	m.gossip.lastSequence++
 	news := zinniamast.News{
 		Topic:    topicSummary,
 		Key:      d.summary.Domain,
 		Value:    value,
 		Origin:   m.config.ID,
-		Sequence: m.news.next,
-		Expires:  now.Add(summaryLife),
+		Sequence: m.gossip.lastSequence,
+		Expires:  now.Add(summaryTTL),
 	}
-	key := newsKey{
+	key := gossipKey{
 		topic:  topicSummary,
 		key:    news.Key,
 		origin: news.Origin,
 	}
-	if m.news.put(key, news) {
-		m.news.own[key] = true
-		m.spreadNews(key, news, "")
+	if m.gossip.put(key, news) {
+		m.gossip.ownKeys[key] = true
+		m.broadcastGossip(key, news, "")
 	}
 }
 
-// learnSummary takes in what a representative of this domain spread; the
+// mergeEncodedSummary takes in what a representative of this domain spread; the
 // caller holds the lock.
-func (m *Membership) learnSummary(value []byte) {
+func (m *Membership) mergeEncodedSummary(value []byte) {
 	var summary Summary
 	if json.Unmarshal(value, &summary) != nil {
 		return
 	}
-	if m.learnDomain(summary) {
-		m.domains[summary.Domain].heardAt = time.Now()
+	if m.mergeSummary(summary) {
+		m.domains[summary.Domain].lastContactAt = time.Now()
 	}
 }
