--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,9 +1,10 @@
-// Package membership keeps a node's view of the other nodes and carries small
-// news between them, over the peer transport.
+// Package membership maintains a node's view of the other nodes and distributes small
+// gossip items between them over the peer transport.
 //
-// Within a failure domain every node watches its two successors on a ring of
-// IDs and sends changes straight to all. Between failure domains a few
-// representatives, found by hashing and not by agreement, exchange summaries.
-// Incarnation numbers, which only their owner raises, decide between old news
-// and new. Lists of addresses are places to ask and never prove a member.
+// Within a failure domain every node monitors its two successors on a hash ring of node
+// IDs and sends changes directly to all members. Between failure domains a few
+// representatives, chosen by hashing and without agreement, exchange summaries.
+// Incarnation numbers, which only the node they belong to raises, decide which of two
+// records is newer. Address lists only say which nodes to contact; an entry on one never
+// proves membership.
 package membership
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// newExchange returns an exchange with this node's heartbeat; the caller holds the lock.
+// newExchange returns a message with this node's heartbeat; the caller holds the lock.
 func (m *Membership) newExchange() *Exchange {
 	return &Exchange{
 		From:        m.own.ID,
@@ -14,7 +14,8 @@
 	}
 }
 
-// fillMessage fills a message with what an outbox owes; the caller holds the lock.
+// fillMessage adds the records and gossip of a batch to a message; the caller holds the
+// lock.
 func (m *Membership) fillMessage(message *Exchange, taken batch) {
 	now := time.Now()
 	for _, id := range taken.records {
@@ -29,7 +30,8 @@
 	}
 }
 
-// startExchange starts an exchange with a member unless one is in flight; the caller holds the lock.
+// startExchange starts an exchange with a member unless one is in flight; the caller
+// holds the lock.
 func (m *Membership) startExchange(ctx context.Context, p *member) {
 	if p.inFlight {
 		return
@@ -51,11 +53,12 @@
 	}()
 }
 
-// finishExchange takes the end of an exchange in.
+// finishExchange handles the result of an exchange with a member.
 func (m *Membership) finishExchange(ctx context.Context, p *member, taken batch, answer *Exchange, err error) {
 	m.mu.Lock()
 	p.inFlight = false
-	// An address may have passed to another process since; that one is not the member.
+	// The address may have been reused by another process, whose answer does not come
+	// from the member.
 	if err != nil || answer.From != p.record.ID {
 		if p.alive() {
 			p.outbox.requeue(taken)
@@ -72,7 +75,7 @@
 	p.clearSuspicion()
 	m.isolated = false
 	m.recordContact(p, answer.Config, time.Now())
-	calls := m.mergeMessage(answer, p)
+	callbacks := m.mergeMessage(answer, p)
 	if answer.Want {
 		p.outbox.addRecord(m.own.ID)
 	}
@@ -83,17 +86,17 @@
 		m.wakeLoop()
 	}
 	m.mu.Unlock()
-	runCallbacks(calls)
+	runCallbacks(callbacks)
 }
 
-func runCallbacks(calls []func()) {
-	for _, call := range calls {
-		call()
+func runCallbacks(callbacks []func()) {
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// mergeMessage takes a message of this domain in and returns the calls to make once
-// the lock is free; the caller holds the lock.
+// mergeMessage applies a message of this failure domain and returns the callbacks to run
+// after the lock is released; the caller holds the lock.
 func (m *Membership) mergeMessage(message *Exchange, from *member) []func() {
 	m.joined = true
 	for _, record := range message.Records {
@@ -105,15 +108,16 @@
 	for _, summary := range message.Summaries {
 		m.mergeSummary(summary)
 	}
-	calls := m.receiveGossip(message.News, message.From, false)
+	callbacks := m.receiveGossip(message.News, message.From, false)
 	if version := message.Config; from != nil && version > m.config.ConfigVersion() {
 		address := from.record.Address
-		calls = append(calls, func() { m.config.OnNewerConfig(address, version) })
+		callbacks = append(callbacks, func() { m.config.OnNewerConfig(address, version) })
 	}
-	return calls
+	return callbacks
 }
 
-// queueCorrection tells the sender of an old record what is newer; the caller holds the lock.
+// queueCorrection queues the newer record for a member that sent an outdated one; the
+// caller holds the lock.
 func (m *Membership) queueCorrection(record Record, from *member) {
 	known, ok := m.recordOf(record.ID)
 	if ok && from != nil && known.newer(record) {
@@ -122,38 +126,38 @@
 	}
 }
 
-// queueMissing owes a member the records that its table lacks; the caller holds the lock.
+// queueMissing queues the live records that are missing from the table a member sent.
 func (m *Membership) queueMissing(p *member, table []Record) {
-	has := map[string]bool{}
+	present := map[string]bool{}
 	for _, record := range table {
-		has[record.ID] = true
+		present[record.ID] = true
 	}
 	for id, other := range m.members {
-		if other.alive() && !has[id] {
+		if other.alive() && !present[id] {
 			p.outbox.addRecord(id)
 		}
 	}
 }
 
-// Receive answers another node's message.
+// Receive handles a message of another node and returns the answer.
 func (m *Membership) Receive(message *Exchange) *Exchange {
 	m.mu.Lock()
 	if message.Domain != "" && message.Domain != m.config.FailureDomain {
-		answer, calls := m.receiveRemoteMessage(message)
+		answer, callbacks := m.receiveRemoteMessage(message)
 		m.mu.Unlock()
-		runCallbacks(calls)
+		runCallbacks(callbacks)
 		return answer
 	}
 	from := m.members[message.From]
 	incarnation := m.own.Incarnation
-	calls := m.mergeMessage(message, from)
+	callbacks := m.mergeMessage(message, from)
 	if from == nil {
 		from = m.members[message.From]
 	}
 	answer := m.newExchange()
 	answer.Digest = m.digest()
-	// A sender that the table calls dead must hear so in order to deny it, and
-	// one that is unknown in this incarnation must send its record.
+	// A sender that this node has recorded as dead needs that record in order to refute
+	// it, and a sender that is unknown in this incarnation must send its own record.
 	if from == nil || message.Incarnation != from.record.Incarnation || !from.alive() {
 		answer.Want = true
 		if from != nil {
@@ -171,13 +175,13 @@
 		m.syncTable(message, answer)
 	}
 	m.mu.Unlock()
-	runCallbacks(calls)
+	runCallbacks(callbacks)
 	return answer
 }
 
-// syncTable adds the whole table to an answer where the two ends differ. Lost
-// pushes are repaired so; the rate is bounded, as during a change of many
-// members the ends differ at every heartbeat.
+// syncTable adds the whole table to an answer if the digests of the two nodes differ,
+// which repairs lost pushes. The rate is limited because while many members change the
+// digests differ at every heartbeat.
 func (m *Membership) syncTable(message, answer *Exchange) {
 	now := time.Now()
 	if message.Digest == 0 || message.Digest == answer.Digest || now.Sub(m.tableAt) < tableSyncInterval {
@@ -186,7 +190,8 @@
 	m.tableAt = now
 	answer.Table = true
 	m.addLiveRecords(answer)
-	// The dead are told too, or the end that missed a death would never hear.
+	// Dead members are included; otherwise a node that missed a death would never learn
+	// of it.
 	for _, p := range m.members {
 		if !p.alive() {
 			answer.Records = append(answer.Records, p.record)
@@ -203,7 +208,8 @@
 	}
 }
 
-// addFullState tells a node that joins all this one knows; the caller holds the lock.
+// addFullState adds the live records, the summaries and the gossip that this node knows
+// to the answer to a joining node; the caller holds the lock.
 func (m *Membership) addFullState(answer *Exchange) {
 	m.addLiveRecords(answer)
 	for _, d := range m.domains {
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -6,10 +6,10 @@
 	"zinniamast"
 )
 
-// topicSummary carries other domains' summaries within a domain.
+// topicSummary is the topic of the summaries of other failure domains within a domain.
 const topicSummary zinniamast.Topic = "summary"
 
-// urgentTopics are sent at once; the others wait to be sent in bulk.
+// urgentTopics are sent at once; items of the others wait for a bulk message.
 var urgentTopics = map[zinniamast.Topic]bool{
 	zinniamast.TopicUpstreamLeaving: true,
 	zinniamast.TopicUpstreamGone:    true,
@@ -23,7 +23,7 @@
 	origin string
 }
 
-// gossipTable holds what is news now.
+// gossipTable holds the gossip items that have not expired.
 type gossipTable struct {
 	items map[gossipKey]zinniamast.News
 	// ownKeys holds the keys of this node's own items.
@@ -33,7 +33,7 @@
 	dropped      int
 }
 
-// newGossipTable starts sequences above those of the node's earlier lives.
+// newGossipTable starts sequence numbers above those of earlier runs of the node.
 func newGossipTable(start uint64) gossipTable {
 	return gossipTable{
 		items:        map[gossipKey]zinniamast.News{},
@@ -45,7 +45,7 @@
 
 func (t *gossipTable) sequence(key gossipKey) uint64 { return t.items[key].Sequence }
 
-// put stores an item if it is newer than what is known and there is room.
+// put stores an item if it is newer than the known one and there is room.
 func (t *gossipTable) put(key gossipKey, news zinniamast.News) bool {
 	known, ok := t.items[key]
 	if ok && news.Sequence <= known.Sequence {
@@ -68,7 +68,7 @@
 	}
 }
 
-// wireItem returns the sendable form of what is still news.
+// wireItem returns the wire form of an item that has not expired.
 func (t *gossipTable) wireItem(key gossipKey, now time.Time) (Item, bool) {
 	news, ok := t.items[key]
 	if !ok || now.After(news.Expires) {
@@ -85,7 +85,8 @@
 	}, true
 }
 
-// Publish implements zinniamast.Gossip; news above MaxNews is dropped with a log line.
+// Publish implements zinniamast.Gossip. It drops and logs an item whose value is larger
+// than MaxNews.
 func (m *Membership) Publish(news zinniamast.News) {
 	if len(news.Value) > zinniamast.MaxNews {
 		m.config.Logger.Error("news_too_large", "topic", news.Topic, "key", news.Key, "bytes", len(news.Value))
@@ -107,15 +108,16 @@
 	}
 }
 
-// Subscribe implements zinniamast.Gossip; f hears only other nodes' news.
+// Subscribe implements zinniamast.Gossip; f receives only items of other nodes.
 func (m *Membership) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gossip.subscribers[topic] = append(m.gossip.subscribers[topic], f)
 }
 
-// broadcastGossip owes an item to the domain, but for the node it came from, and to
-// the other domains if this node represents; the caller holds the lock.
+// broadcastGossip queues an item for the broadcast targets, except the node it came from
+// and its origin, and for the other failure domains if this node is a representative;
+// the caller holds the lock.
 func (m *Membership) broadcastGossip(key gossipKey, news zinniamast.News, from string) {
 	urgent := urgentTopics[news.Topic]
 	for _, p := range m.broadcastTargets() {
@@ -129,10 +131,11 @@
 	}
 }
 
-// queueForDomains owes wide news of this domain to the others; the caller holds the lock.
+// queueForDomains queues a wide item of this failure domain for the other domains if
+// this node is a representative; the caller holds the lock.
 func (m *Membership) queueForDomains(key gossipKey, news zinniamast.News) {
-	_, ours := m.recordOf(news.Origin)
-	if !news.Wide || !ours || !m.isRepresentative() {
+	_, isOwn := m.recordOf(news.Origin)
+	if !news.Wide || !isOwn || !m.isRepresentative() {
 		return
 	}
 	for _, d := range m.domains {
@@ -140,10 +143,11 @@
 	}
 }
 
-// receiveGossip takes items in and returns the calls to make once the lock is free.
+// receiveGossip stores new items, forwards them, and returns the callbacks to run after
+// the lock is released; the caller holds the lock.
 func (m *Membership) receiveGossip(items []Item, from string, otherDomain bool) []func() {
 	now := time.Now()
-	var calls []func()
+	var callbacks []func()
 	for _, item := range items {
 		news := zinniamast.News{
 			Topic:    zinniamast.Topic(item.Topic),
@@ -162,8 +166,8 @@
 		if news.Origin == m.config.ID || len(news.Value) > zinniamast.MaxNews || !m.gossip.put(key, news) {
 			continue
 		}
-		// In the mesh each origin tells everyone itself. It may die half way, so
-		// what is urgent is also passed on, at the cost of what is heard twice.
+		// In the full mesh the origin sends each item to all members. It may die
+		// halfway, so urgent items are also relayed, and some arrive twice.
 		switch {
 		case otherDomain || m.needsRelay():
 			m.broadcastGossip(key, news, from)
@@ -173,16 +177,16 @@
 			m.queueForDomains(key, news)
 		}
 		for _, f := range m.gossip.subscribers[news.Topic] {
-			calls = append(calls, func() { f(news) })
+			callbacks = append(callbacks, func() { f(news) })
 		}
 		if news.Topic == topicSummary {
 			m.mergeEncodedSummary(news.Value)
 		}
 	}
-	return calls
+	return callbacks
 }
 
-// relayUrgent owes urgent news to the two next members of the ring.
+// relayUrgent queues an urgent item for the next two members on the ring.
 func (m *Membership) relayUrgent(key gossipKey, news zinniamast.News, from string) {
 	ring := m.ring()
 	for _, p := range ring[:min(len(ring), watchedSuccessors)] {
--- a/membership/join.go
+++ b/membership/join.go
@@ -9,25 +9,25 @@
 	"zinniamast"
 )
 
-// join asks nodes that are not known yet. While nothing is known that is how
-// a node joins; later it finds what a long partition has hidden.
+// join contacts nodes that are not known yet. A new node joins this way; later it finds
+// nodes that a long partition has hidden.
 func (m *Membership) join(ctx context.Context) {
 	addresses := m.selectAddresses(m.listEntries(ctx))
-	var asked sync.WaitGroup
+	var joins sync.WaitGroup
 	for _, address := range addresses {
-		asked.Add(1)
+		joins.Add(1)
 		go func() {
-			defer asked.Done()
+			defer joins.Done()
 			m.joinThrough(ctx, address)
 		}()
 	}
-	asked.Wait()
+	joins.Wait()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.joined = true
 }
 
-// listEntries returns the entry instances that the platform's list gives.
+// listEntries returns the entry instances on the platform's instance list.
 func (m *Membership) listEntries(ctx context.Context) []zinniamast.Instance {
 	if m.config.List == nil {
 		return nil
@@ -48,12 +48,13 @@
 	return entries
 }
 
-// selectAddresses picks a few addresses at which no known member is: those listed in
-// this failure domain first, then those in others and the seeds.
+// selectAddresses picks a few addresses that belong to no known live member: listed
+// instances of this failure domain first, then listed instances of other domains and the
+// seeds.
 //
-// Failure: all nodes start at once, and who meets a node of another failure
-// domain first counts as joined. With every listed address drawn alike, a node
-// found its own domain after minutes, and until then was alone in it.
+// If all nodes start at once, a node that first reaches another failure domain counts as
+// joined. With all listed addresses drawn with equal probability, such a node found its
+// own domain only after minutes and was alone in it until then.
 func (m *Membership) selectAddresses(listed []zinniamast.Instance) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +87,8 @@
 	return unknown[:min(len(unknown), limit)]
 }
 
-// knownAddresses are those that need not be asked; the caller holds the lock.
+// knownAddresses returns the addresses that need no contact, as true; the caller holds
+// the lock.
 func (m *Membership) knownAddresses() map[string]bool {
 	known := map[string]bool{
 		m.own.Address: true,
@@ -95,7 +97,7 @@
 	for _, p := range m.members {
 		known[p.record.Address] = p.alive()
 	}
-	// One known contact is enough to hear of its whole domain.
+	// One known contact is enough to learn about its whole failure domain.
 	for _, d := range m.domains {
 		for _, contact := range d.summary.Contacts {
 			known[contact.Address] = true
@@ -108,7 +110,8 @@
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 }
 
-// joinThrough tells an address who we are and takes in all that it knows.
+// joinThrough sends this node's record to an address and applies the full state that it
+// returns.
 func (m *Membership) joinThrough(ctx context.Context, address string) {
 	m.mu.Lock()
 	message := m.newExchange()
@@ -125,17 +128,17 @@
 		return
 	}
 	m.mu.Lock()
-	var calls []func()
+	var callbacks []func()
 	if answer.Domain != "" && answer.Domain != m.config.FailureDomain {
-		calls = m.mergeRemoteMessage(answer)
+		callbacks = m.mergeRemoteMessage(answer)
 	} else {
-		calls = m.mergeMessage(answer, nil)
-		calls = append(calls, m.newerConfigCallbacks(answer, address)...)
+		callbacks = m.mergeMessage(answer, nil)
+		callbacks = append(callbacks, m.newerConfigCallbacks(answer, address)...)
 		m.broadcastRecord(m.own.ID)
 	}
 	m.seedAt = time.Now()
 	m.mu.Unlock()
-	runCallbacks(calls)
+	runCallbacks(callbacks)
 }
 
 func (m *Membership) newerConfigCallbacks(answer *Exchange, address string) []func() {
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,25 +6,26 @@
 	"zinniamast/blackboard"
 )
 
-// contactResolution is how exactly the shared table tells when a member was heard.
+// contactResolution is the precision of the last-contact times in the shared table.
 const contactResolution = 2 * time.Second
 
 // member is another node of this failure domain.
 type member struct {
 	record Record
-	// ringHash is where it stands on the ring.
+	// ringHash is the position on the hash ring.
 	ringHash uint64
 	outbox   outbox
-	// inFlight means that an exchange is in flight since sentAt.
+	// inFlight means that an exchange started at sentAt has not finished.
 	inFlight bool
 	sentAt   time.Time
-	// suspectedAt is when the unanswered exchange began; zero without doubt.
+	// suspectedAt is when the unanswered exchange began; zero if not suspected.
 	suspectedAt time.Time
-	// probing means that others are being asked; unreachable that they failed too.
+	// probing means that an indirect probe is running; unreachable that the last one
+	// failed as well.
 	probing     bool
 	probedAt    time.Time
 	unreachable bool
-	// refutations counts false deaths of late; each doubles the window.
+	// refutations counts recent false deaths; each doubles the suspicion timeout.
 	refutations      int
 	refutedAt        time.Time
 	diedAt           time.Time
@@ -33,9 +34,9 @@
 
 func (p *member) alive() bool { return p.record.State != Dead }
 
-// suspicionTimeout is how long a member may be silent. One that was wrongly declared
-// dead before is on a slow link or pauses: it is given more time each time,
-// or the table would flap at every such member.
+// suspicionTimeout returns how long a suspected member may stay unreachable before it is
+// declared dead. A member that was wrongly declared dead is on a slow link or pauses:
+// each refutation doubles its timeout up to eightfold, or it would flap in the table.
 func (p *member) suspicionTimeout(now time.Time) time.Duration {
 	if now.Sub(p.refutedAt) > refutationMemory {
 		p.refutations = 0
@@ -48,7 +49,8 @@
 	p.unreachable = false
 }
 
-// mergeRecord takes a record in and reports whether it was news; the caller holds the lock.
+// mergeRecord applies a record and reports whether it changed the table; the caller
+// holds the lock.
 func (m *Membership) mergeRecord(record Record) bool {
 	if !record.valid() {
 		return false
@@ -59,8 +61,8 @@
 	}
 	known, ok := m.members[record.ID]
 	if !ok {
-		// A death of somebody unknown stays unknown: passing tombstones on would
-		// keep them going round for ever.
+		// Ignore the death of an unknown member: forwarding such tombstones would keep
+		// them circulating forever.
 		if record.State == Dead {
 			return false
 		}
@@ -87,7 +89,7 @@
 	return true
 }
 
-// addMember adds a new member and owes it all that this node has to tell.
+// addMember adds a new member and queues all of this node's own gossip for it.
 func (m *Membership) addMember(record Record) {
 	p := &member{
 		record:   record,
@@ -100,14 +102,16 @@
 	m.config.Logger.Info("member_joined", "member", record.ID, "incarnation", record.Incarnation)
 }
 
-// queueOwnGossip enters all of this node's own news for a member that has heard none of it.
+// queueOwnGossip queues all of this node's own gossip for a member that has received
+// none of it.
 func (m *Membership) queueOwnGossip(p *member) {
 	for key := range m.gossip.ownKeys {
 		p.outbox.addGossip(key, false)
 	}
 }
 
-// refute denies a false death, or outbids an earlier life of the same name.
+// refute raises this node's incarnation to refute its own false death or to supersede
+// the record of an earlier run under the same ID.
 func (m *Membership) refute(record Record) {
 	if m.departed || record.Incarnation < m.own.Incarnation {
 		return
@@ -121,7 +125,7 @@
 	m.broadcastRecord(m.own.ID)
 }
 
-// broadcastRecord owes a record to all this node tells things; the caller holds the lock.
+// broadcastRecord queues a record for all broadcast targets; the caller holds the lock.
 func (m *Membership) broadcastRecord(id string) {
 	for _, p := range m.broadcastTargets() {
 		if p.record.ID != id {
@@ -145,26 +149,28 @@
 
 // writeMember copies a member into the shared table; the caller holds the lock.
 func (m *Membership) writeMember(p *member) {
-	m.config.Members.Update(p.record.ID, func(shown *blackboard.Member) bool {
-		fillMember(shown, p.record, m.config.FailureDomain)
+	m.config.Members.Update(p.record.ID, func(entry *blackboard.Member) bool {
+		fillMember(entry, p.record, m.config.FailureDomain)
 		return true
 	})
 }
 
-// recordContact notes contact with a member; the caller holds the lock.
+// recordContact writes the time of contact with a member and its configuration version
+// to the shared table; the caller holds the lock.
 func (m *Membership) recordContact(p *member, version uint64, now time.Time) {
 	if now.Sub(p.contactWrittenAt) < contactResolution {
 		return
 	}
 	p.contactWrittenAt = now
-	m.config.Members.Update(p.record.ID, func(shown *blackboard.Member) bool {
-		shown.Heard = now
-		shown.ConfigVersion = version
+	m.config.Members.Update(p.record.ID, func(entry *blackboard.Member) bool {
+		entry.Heard = now
+		entry.ConfigVersion = version
 		return true
 	})
 }
 
-// removeExpired drops members long dead; the caller holds the lock.
+// removeExpired removes members that have been dead for longer than deadRetention, and
+// failure domains out of contact; the caller holds the lock.
 func (m *Membership) removeExpired(now time.Time) {
 	m.removeExpiredDomains(now)
 	for id, p := range m.members {
@@ -175,7 +181,7 @@
 	}
 }
 
-// String returns the state's name in logs.
+// String returns the name of the state as used in logs.
 func (s State) String() string {
 	switch s {
 	case Alive:
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -10,8 +10,8 @@
 	"zinniamast/blackboard"
 )
 
-// Timing of the protocol. Worst case from a silent death to the push of the
-// news: one heartbeat, then the suspicion window, 1.7 s in all.
+// Protocol timing. In the worst case a silent death is broadcast after one heartbeat and
+// the suspicion timeout, 1.7 s in all.
 const (
 	stepInterval         = 100 * time.Millisecond
 	heartbeatInterval    = 500 * time.Millisecond
@@ -23,8 +23,8 @@
 	summaryInterval      = 2 * time.Second
 	deadProbeInterval    = 5 * time.Second
 	seedInterval         = 30 * time.Second
-	// emptyDomainSeedInterval is how often a node asks that knows nobody in its own
-	// failure domain, where there may be nobody.
+	// emptyDomainSeedInterval is how often a node contacts seeds while it knows no other
+	// member of its own failure domain, which may have none.
 	emptyDomainSeedInterval = 2 * time.Second
 	tableSyncInterval       = time.Second
 	deadRetention           = 10 * time.Minute
@@ -32,7 +32,7 @@
 	refutationMemory        = time.Minute
 )
 
-// Sizes of the protocol; they bound what a node sends whatever the fleet's size.
+// Protocol limits. They bound what a node sends regardless of the size of the fleet.
 const (
 	watchedSuccessors   = 2
 	maxMeshSize         = 40
@@ -45,48 +45,51 @@
 	maxSeedsPerTick     = 8
 )
 
-// Config configures a node's membership.
+// Config configures the membership of a node.
 type Config struct {
 	// ID, FailureDomain, Address and Weight describe this node.
 	ID            string
 	FailureDomain string
 	Address       string
 	Weight        float64
-	// Seeds are addresses of some other nodes, from the settings.
+	// Seeds are the addresses of some other nodes, from the settings.
 	Seeds []string
-	// List is the platform's instance list; nil where there is none.
+	// List is the instance list of the platform; nil if there is none.
 	List zinniamast.InstanceList
-	// SeedInterval is how often those who represent their failure domain ask
-	// nodes not known yet; 30 s if zero. Less serves where the list costs nothing.
+	// SeedInterval is how often the representatives of a failure domain contact nodes
+	// that are not known yet; 30 s if zero. A shorter interval is useful where reading
+	// the list is free.
 	SeedInterval time.Duration
-	// Members is the table to keep.
+	// Members is the shared table to update.
 	Members *blackboard.Members
-	// Transport carries the messages.
+	// Transport sends the messages.
 	Transport Transport
-	// Logger hears of members that come and go; nil means slog's default.
+	// Logger logs membership changes; nil means slog's default.
 	Logger *slog.Logger
-	// ConfigVersion returns the configuration version in force here; may be
-	// nil. It is not called before Run or Receive.
+	// ConfigVersion returns the configuration version in force on this node; may be nil.
+	// It is not called before Run or Receive.
 	ConfigVersion func() uint64
-	// OnNewerConfig hears of a peer with a newer configuration; it must not block. May be nil.
+	// OnNewerConfig is called when a peer has a newer configuration; it must not block.
+	// May be nil.
 	OnNewerConfig func(address string, version uint64)
 }
 
-// Membership is one node's part in the protocol. Its lock stands before the
-// blackboard's in the lock order and is not held during calls to other nodes.
+// Membership runs the protocol on one node. In the lock order its lock comes before that
+// of the blackboard; it is not held during calls to other nodes.
 type Membership struct {
 	config   Config
 	selfHash uint64
 
 	mu sync.Mutex
-	// own is this node's record.
+	// own is the record of this node.
 	own      Record
 	departed bool
 	joined   bool
 	members  map[string]*member
 	domains  map[string]*domain
 	gossip   gossipTable
-	// isolated means that the last doubt about a member could be shared with nobody.
+	// isolated means that the last indirect probe of a suspected member got no answer
+	// from any helper.
 	isolated bool
 
 	heartbeatAt time.Time
@@ -95,15 +98,15 @@
 	seedAt      time.Time
 	tableAt     time.Time
 	stepAt      time.Time
-	// bulkBudgetBytes is what bulk news may still cost now.
+	// bulkBudgetBytes is the number of bytes of bulk gossip that may be sent now.
 	bulkBudgetBytes int
 
 	wake chan struct{}
-	// wait counts the exchanges in flight.
+	// wait counts the goroutines of exchanges, probes and joins in progress.
 	wait sync.WaitGroup
 }
 
-// New returns a node's membership; Run starts it.
+// New returns the membership of a node; Run starts it.
 func New(config Config) *Membership {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
@@ -136,14 +139,14 @@
 	return m
 }
 
-// Receiver returns what answers peers.
+// Receiver returns the RPC receiver that answers peers.
 func (m *Membership) Receiver() *Receiver {
 	return &Receiver{
 		m: m,
 	}
 }
 
-// Run takes part until the context ends.
+// Run runs the protocol until the context ends.
 func (m *Membership) Run(ctx context.Context) {
 	defer m.wait.Wait()
 	for ctx.Err() == nil {
@@ -152,37 +155,39 @@
 	}
 }
 
-// waitForStep waits until the next step is due or something urgent waits to be sent.
+// waitForStep waits until the next step is due or something urgent is queued.
 func (m *Membership) waitForStep(ctx context.Context) {
 	next, cancel := context.WithTimeout(ctx, stepInterval)
 	defer cancel()
 	select {
 	case <-next.Done():
 	case <-m.wake:
-		// News often comes in bunches; a short wait sends them as one.
+		// Gossip often arrives in bursts; a short delay batches it into one message.
 		time.Sleep(coalesceDelay)
 	}
 }
 
-// Joined says whether a peer has answered, or all that could be asked have failed to.
+// Joined reports whether a message of another node has arrived or a first round of seeds
+// has been tried.
 func (m *Membership) Joined() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.joined
 }
 
-// Isolated says whether this node doubts a member and could ask nobody about it.
+// Isolated reports whether this node suspects a member and could reach no other node to
+// verify it.
 func (m *Membership) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isolated
 }
 
-// Leave tells the failure domain that this node takes no new requests.
+// Leave announces to the failure domain that this node takes no new requests.
 func (m *Membership) Leave() { m.setOwnState(Leaving) }
 
-// Depart tells the failure domain that this node is gone and waits until the
-// members have heard or the context ends.
+// Depart announces to the failure domain that this node has shut down. It waits until
+// the members have received the announcement or the context ends.
 func (m *Membership) Depart(ctx context.Context) {
 	m.setOwnState(Dead)
 	for m.hasUnsent() && ctx.Err() == nil {
@@ -203,24 +208,24 @@
 	m.broadcastRecord(m.own.ID)
 }
 
-// writeSelf puts this node into the shared table; the caller holds the lock.
+// writeSelf writes this node's entry to the shared table; the caller holds the lock.
 func (m *Membership) writeSelf(version uint64) {
 	own := m.own
-	m.config.Members.Update(own.ID, func(shown *blackboard.Member) bool {
-		fillMember(shown, own, m.config.FailureDomain)
-		shown.Heard = time.Now()
-		shown.ConfigVersion = version
+	m.config.Members.Update(own.ID, func(entry *blackboard.Member) bool {
+		fillMember(entry, own, m.config.FailureDomain)
+		entry.Heard = time.Now()
+		entry.ConfigVersion = version
 		return true
 	})
 }
 
-func fillMember(shown *blackboard.Member, record Record, failureDomain string) {
-	shown.FailureDomain = failureDomain
-	shown.Address = record.Address
-	shown.Incarnation = record.Incarnation
-	shown.Weight = record.Weight
-	shown.Leaving = record.State == Leaving
-	shown.Dead = record.State == Dead
+func fillMember(entry *blackboard.Member, record Record, failureDomain string) {
+	entry.FailureDomain = failureDomain
+	entry.Address = record.Address
+	entry.Incarnation = record.Incarnation
+	entry.Weight = record.Weight
+	entry.Leaving = record.State == Leaving
+	entry.Dead = record.State == Dead
 }
 
 func (m *Membership) wakeLoop() {
--- a/membership/outbox.go
+++ b/membership/outbox.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// outbox is what one receiver has yet to hear: names only, so that the newest
-// content is sent and a receiver that is cut off costs little.
+// outbox is the queue for one receiver. It holds keys only, so that the newest content
+// is sent and the queue of an unreachable receiver stays small.
 type outbox struct {
 	records map[string]bool
-	// gossip maps to whether it is urgent.
+	// gossip maps the key of an item to whether it is urgent.
 	gossip map[gossipKey]bool
 	urgent bool
 }
@@ -30,16 +30,17 @@
 
 func (o *outbox) empty() bool { return len(o.records) == 0 && len(o.gossip) == 0 }
 
-// batch is what was taken from an outbox for one message.
+// batch is what is taken from an outbox for one message.
 type batch struct {
 	records []string
 	gossip  []gossipKey
-	// sequences are of the news as sent, so that later items stay owed.
+	// sequences are the sequence numbers of the items sent; an item that is newer by the
+	// time of the answer is queued again.
 	sequences []uint64
 }
 
-// takeBatch moves at most a message's worth out: what is urgent, and bulk news as
-// far as its bytes allow.
+// takeBatch removes and returns up to one message of data: all records, urgent items,
+// and bulk items as far as the byte budget allows.
 func (o *outbox) takeBatch(table *gossipTable, bulkBytes *int) batch {
 	var taken batch
 	for id := range o.records {
@@ -69,8 +70,8 @@
 	return taken
 }
 
-// requeue owes again what was not delivered. It is no longer urgent: the
-// receiver is slow or gone, and is told with its next heartbeat or bulk message.
+// requeue queues undelivered data again. The data is no longer urgent: the receiver is
+// slow or dead and gets it with the next heartbeat or bulk message.
 func (o *outbox) requeue(taken batch) {
 	for _, id := range taken.records {
 		o.records[id] = true
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// suspect begins or continues the suspicion of a member whose exchange failed
-// or is late; the caller holds the lock.
+// suspect starts or continues the suspicion of a member whose exchange failed or is
+// sinceLastStep; the caller holds the lock.
 func (m *Membership) suspect(ctx context.Context, p *member) {
 	if !p.alive() || ctx.Err() != nil && context.Cause(ctx) == context.Canceled {
 		return
@@ -20,8 +20,8 @@
 	}
 }
 
-// startIndirectProbe has other nodes try the member. One link that fails, or works one way
-// only, must not make a member dead that the others reach.
+// startIndirectProbe lets other nodes probe a member. A link that fails, or works in one
+// direction only, must not cause a member to be declared dead that others can reach.
 func (m *Membership) startIndirectProbe(ctx context.Context, p *member) {
 	addresses := m.helperAddresses(p)
 	probe := Probe{
@@ -40,26 +40,26 @@
 			p.clearSuspicion()
 			return
 		}
-		// Where nobody answers, this node is the one cut off: it keeps its table.
-		// Only where there is nobody to ask does its own doubt decide.
+		// If no helper answers, this node itself is cut off and keeps its table. Its own
+		// suspicion decides only if there is no helper to ask.
 		p.unreachable = answered || len(addresses) == 0
 		m.isolated = !p.unreachable
 	}()
 }
 
-// helperAddresses picks living members of this domain, then contacts in others,
-// and then members in doubt themselves: a node that doubts all the others is cut
-// off, and must find that nobody answers, not that there is nobody to ask. The
-// caller holds the lock.
+// helperAddresses picks helpers for an indirect probe: members of this failure domain
+// that are not suspected, then contacts in other domains, then suspected members. The
+// latter let a node that suspects all others find that no helper answers, which means
+// that it is cut off, and not that there is no helper. The caller holds the lock.
 func (m *Membership) helperAddresses(p *member) []string {
-	var trusted, doubted []string
+	var trusted, suspected []string
 	for _, other := range m.ring() {
 		switch {
 		case other == p:
 		case other.suspectedAt.IsZero():
 			trusted = append(trusted, other.record.Address)
 		default:
-			doubted = append(doubted, other.record.Address)
+			suspected = append(suspected, other.record.Address)
 		}
 	}
 	for _, d := range m.domains {
@@ -67,7 +67,7 @@
 			trusted = append(trusted, d.summary.Contacts[0].Address)
 		}
 	}
-	addresses := append(trusted, doubted...)
+	addresses := append(trusted, suspected...)
 	return addresses[:min(len(addresses), maxProbeHelpers)]
 }
 
@@ -100,7 +100,7 @@
 	return false, answered
 }
 
-// ProbeFor tries another node on a peer's behalf.
+// ProbeFor probes another node on behalf of a peer.
 func (m *Membership) ProbeFor(probe Probe) ProbeResult {
 	m.mu.Lock()
 	message := m.newExchange()
@@ -114,7 +114,8 @@
 	}
 }
 
-// checkSuspicions declares the members dead whose window is over; the caller holds the lock.
+// checkSuspicions suspects members whose exchange is sinceLastStep, and declares those dead whose
+// suspicion timeout has passed; the caller holds the lock.
 func (m *Membership) checkSuspicions(ctx context.Context, now time.Time) {
 	for _, p := range m.members {
 		if !p.alive() {
@@ -134,16 +135,16 @@
 	}
 }
 
-// resetAfterPause drops all doubts if this node itself stood still: what it missed in
-// its pause says nothing of the others.
+// resetAfterPause clears all suspicions if this process was paused, since missing
+// answers during the pause do not indicate a fault of the other nodes.
 func (m *Membership) resetAfterPause(now time.Time) {
-	late := now.Sub(m.stepAt)
-	first := m.stepAt.IsZero()
+	sinceLastStep := now.Sub(m.stepAt)
+	isFirst := m.stepAt.IsZero()
 	m.stepAt = now
-	if first || late < probeTimeout {
+	if isFirst || sinceLastStep < probeTimeout {
 		return
 	}
-	m.config.Logger.Warn("node_paused", "pause", late.String())
+	m.config.Logger.Warn("node_paused", "pause", sinceLastStep.String())
 	for _, p := range m.members {
 		p.clearSuspicion()
 		p.sentAt = now
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -11,28 +11,28 @@
 
 func hash(text string) uint64 { return xxh3.HashString(text) }
 
-// ring returns the living members in the order that starts after this node;
-// the caller holds the lock. The order is by hash: neighbours by name often
-// stand in one rack, and whoever dies together should not watch each other.
+// ring returns the live members in ring order, starting after this node; the caller
+// holds the lock. The order is by hash because nodes with adjacent names often share a
+// rack, and nodes that fail together should not monitor each other.
 func (m *Membership) ring() []*member {
-	living := make([]*member, 0, len(m.members))
+	live := make([]*member, 0, len(m.members))
 	for _, p := range m.members {
 		if p.alive() {
-			living = append(living, p)
+			live = append(live, p)
 		}
 	}
-	slices.SortFunc(living, func(a, b *member) int {
+	slices.SortFunc(live, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(a.ringHash, b.ringHash), strings.Compare(a.record.ID, b.record.ID))
 	})
-	first, _ := slices.BinarySearchFunc(living, m.selfHash, func(p *member, self uint64) int {
+	first, _ := slices.BinarySearchFunc(live, m.selfHash, func(p *member, self uint64) int {
 		return cmp.Compare(p.ringHash, self)
 	})
-	return append(living[first:len(living):len(living)], living[:first]...)
+	return append(live[first:len(live):len(live)], live[:first]...)
 }
 
-// broadcastTargets returns the members this node tells news. In a failure domain of
-// ordinary size that is everyone; above, the members at distances 1, 2, 4 and
-// so on along the ring, who pass on what is new to them.
+// broadcastTargets returns the members to which this node sends changes. In a small
+// failure domain these are all members. From maxMeshSize members on they are those at
+// distances 1, 2, 4 and so on along the ring, which relay what is new to them.
 func (m *Membership) broadcastTargets() []*member {
 	ring := m.ring()
 	if len(ring) < maxMeshSize {
@@ -45,12 +45,13 @@
 	return fingers
 }
 
-// needsRelay says whether the domain is so large that news passes from node to node.
+// needsRelay reports whether the failure domain is so large that changes are relayed
+// from node to node.
 func (m *Membership) needsRelay() bool { return len(m.members) >= maxMeshSize }
 
-// isRepresentative says whether this node speaks for its domain: it is among the
-// few living members whose IDs hash lowest. Nodes that disagree for a moment
-// make a few messages more, so no agreement is needed.
+// isRepresentative reports whether this node represents its failure domain: it is among
+// the few live members whose IDs have the lowest hashes. It needs no agreement, because
+// nodes that disagree for a moment only cause a few additional messages.
 func (m *Membership) isRepresentative() bool {
 	lower := 0
 	for id, p := range m.members {
@@ -61,7 +62,8 @@
 	return lower < representativeCount && m.own.State == Alive
 }
 
-// digest hashes the living members, whatever their order; the caller holds the lock.
+// digest hashes the live members independently of their order; the caller holds the
+// lock.
 func (m *Membership) digest() uint64 {
 	sum := recordHash(m.own)
 	for _, p := range m.members {
@@ -83,18 +85,18 @@
 	return xxh3.Hash(raw)
 }
 
-// contactRecords returns the members that other domains may turn to, the same
-// at each node; the caller holds the lock.
+// contactRecords returns the members that other failure domains contact, the same on
+// each node; the caller holds the lock.
 func (m *Membership) contactRecords() []Record {
-	var living []Record
+	var live []Record
 	if m.own.State == Alive {
-		living = append(living, m.own)
+		live = append(live, m.own)
 	}
 	for _, p := range m.members {
 		if p.record.State == Alive {
-			living = append(living, p.record)
+			live = append(live, p.record)
 		}
 	}
-	slices.SortFunc(living, func(a, b Record) int { return cmp.Compare(hash(a.ID), hash(b.ID)) })
-	return living[:min(len(living), maxContacts)]
+	slices.SortFunc(live, func(a, b Record) int { return cmp.Compare(hash(a.ID), hash(b.ID)) })
+	return live[:min(len(live), maxContacts)]
 }
--- a/membership/rpc.go
+++ b/membership/rpc.go
@@ -6,7 +6,7 @@
 	"zinniamast/peer"
 )
 
-// ServiceName is the name under which a node's Receiver is registered.
+// ServiceName is the RPC name under which a node's Receiver is registered.
 const ServiceName = "Membership"
 
 // RPC is the Transport over the peer package.
@@ -28,7 +28,7 @@
 	return result, err
 }
 
-// Receiver answers peers; it is registered with peer.Server.RegisterPeer.
+// Receiver answers the RPCs of peers; it is registered with peer.Server.RegisterPeer.
 type Receiver struct {
 	m *Membership
 }
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Probe tries another node for a peer that cannot reach it.
+// Probe probes another node for a peer that cannot reach it.
 func (r *Receiver) Probe(probe Probe, result *ProbeResult) error {
 	*result = r.m.ProbeFor(probe)
 	return nil
--- a/membership/step.go
+++ b/membership/step.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// bulkMessagesPerSecond is how many bulk messages a second a node sends; with more members
-// each hears less often, so that the node's traffic stays bounded.
+// bulkMessagesPerSecond is the rate of bulk messages that a node sends. With more
+// members each receives them less often, so that the traffic of the node stays bounded.
 const bulkMessagesPerSecond = 4
 
-// Bulk news may cost bulkBytesASecond, saved up to bulkBytesSaved. Above that
-// items wait, and newer ones replace them: news gets older, not dearer.
+// Token bucket for bulk gossip, in bytes. Items above the budget wait and are replaced
+// by newer ones: under load gossip arrives later but traffic does not grow.
 const (
 	bulkBytesPerSecond = 850
 	bulkBurstBytes     = 1500
 	itemOverheadBytes  = 60
 )
 
-// step does what is due.
+// step runs the tasks that are due.
 func (m *Membership) step(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
@@ -30,16 +30,16 @@
 	if due(&m.deadProbeAt, now, deadProbeInterval) {
 		m.probeDead(ctx)
 	}
-	summarise := due(&m.summaryAt, now, summaryInterval) && m.isRepresentative()
+	isSummaryDue := due(&m.summaryAt, now, summaryInterval) && m.isRepresentative()
 	m.mu.Unlock()
 	m.flush(ctx)
-	if summarise {
+	if isSummaryDue {
 		m.sendSummaries(ctx)
 	}
 	m.mu.Lock()
-	seeds := m.isSeedingDue(now)
+	isSeeding := m.isSeedingDue(now)
 	m.mu.Unlock()
-	if seeds {
+	if isSeeding {
 		m.wait.Add(1)
 		go func() {
 			defer m.wait.Done()
@@ -48,8 +48,9 @@
 	}
 }
 
-// isSeedingDue says whether to ask nodes not known yet. Once joined only the
-// representatives do, or the few seeds would hear from the whole fleet.
+// isSeedingDue reports whether to contact nodes that are not known yet. Once joined only
+// the representatives do so, or the few seeds would receive requests from the whole
+// fleet.
 func (m *Membership) isSeedingDue(now time.Time) bool {
 	switch {
 	case m.isAlone():
@@ -61,7 +62,7 @@
 	}
 }
 
-// isAlone says whether no other node is known; the caller holds the lock.
+// isAlone reports whether no other node is known; the caller holds the lock.
 func (m *Membership) isAlone() bool { return len(m.members) == 0 && len(m.domains) == 0 }
 
 func due(last *time.Time, now time.Time, interval time.Duration) bool {
@@ -72,7 +73,7 @@
 	return true
 }
 
-// sendHeartbeats sends heartbeats to the watched members and to those in doubt.
+// sendHeartbeats sends heartbeats to the monitored successors and to suspected members.
 func (m *Membership) sendHeartbeats(ctx context.Context, now time.Time) {
 	m.gossip.expire(now)
 	m.removeExpired(now)
@@ -80,8 +81,8 @@
 	if m.departed {
 		return
 	}
-	// Those in doubt do not count: with two neighbours dead at once, the third
-	// would otherwise be watched only after their deaths are certain.
+	// Suspected members do not count as successors. Otherwise, if two neighbours die at
+	// once, the third would be monitored only after both are declared dead.
 	trusted := 0
 	for _, p := range m.ring() {
 		if !p.suspectedAt.IsZero() {
@@ -93,8 +94,8 @@
 	}
 }
 
-// probeDead tries one dead member after another, so that two halves of a
-// domain find each other again after a partition.
+// probeDead sends a heartbeat to the dead member that was contacted least recently, so
+// that two halves of a failure domain rejoin after a partition.
 func (m *Membership) probeDead(ctx context.Context) {
 	var dead *member
 	for _, p := range m.members {
@@ -108,7 +109,7 @@
 	}
 }
 
-// flush sends what is urgent, and bulk news to those whose turn it is.
+// flush sends urgent data at once, and bulk gossip to members whose interval has passed.
 func (m *Membership) flush(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// hasUnsent says whether a living member has yet to hear something urgent.
+// hasUnsent reports whether urgent data has not reached an unsuspected broadcast target.
 func (m *Membership) hasUnsent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/summary.go
+++ b/membership/summary.go
@@ -11,14 +11,14 @@
 	"zinniamast/blackboard"
 )
 
-// summaryTTL is how long a summary spread in a domain stays news; it is
-// spread again well before.
+// summaryTTL is the lifetime of a summary within a failure domain. It is broadcast again
+// every summaryRepeatInterval, well before it expires.
 const (
 	summaryTTL            = 11 * time.Minute
 	summaryRepeatInterval = 5 * time.Minute
 )
 
-// domain is another failure domain as this node knows it.
+// domain is this node's view of another failure domain.
 type domain struct {
 	summary  Summary
 	outbox   outbox
@@ -26,15 +26,15 @@
 	sentAt   time.Time
 	// lastContactAt is when a contact last answered this node or its representatives.
 	lastContactAt time.Time
-	// broadcastAt is when this node last spread the summary in its own domain.
+	// broadcastAt is when this node last broadcast the summary in its own domain.
 	broadcastAt time.Time
-	// broadcastContacts holds the contacts as spread last.
+	// broadcastContacts holds the contacts in that broadcast.
 	broadcastContacts []Record
-	// contactIndex goes through the contacts where one fails.
+	// contactIndex selects the contact to use; it advances when an exchange fails.
 	contactIndex int
 }
 
-// DomainStatus is another failure domain as status shows it.
+// DomainStatus is the state of another failure domain in the status output.
 type DomainStatus struct {
 	Name    string    `json:"name"`
 	Members int       `json:"members"`
@@ -43,7 +43,7 @@
 	Heard   time.Time `json:"heard"`
 }
 
-// Domains returns what is known of the other failure domains, by name.
+// Domains returns the known state of the other failure domains, sorted by name.
 func (m *Membership) Domains() []DomainStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,7 @@
 	return all
 }
 
-// summary describes this domain; the caller holds the lock.
+// summary returns the summary of this failure domain; the caller holds the lock.
 func (m *Membership) summary() Summary {
 	alive := 1
 	for _, p := range m.members {
@@ -79,7 +79,8 @@
 	}
 }
 
-// sendSummaries sends this domain's summary to the next few others.
+// sendSummaries sends this failure domain's summary to the domains that were contacted
+// least recently.
 func (m *Membership) sendSummaries(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +96,8 @@
 	}
 }
 
-// sendSummary starts an exchange with a contact of a domain; the caller holds the lock.
+// sendSummary starts an exchange with a contact of another domain; the caller holds the
+// lock.
 func (m *Membership) sendSummary(ctx context.Context, d *domain) {
 	d.sentAt = time.Now()
 	if len(d.summary.Contacts) == 0 {
@@ -123,15 +125,16 @@
 			return
 		}
 		m.isolated = false
-		calls := m.mergeRemoteMessage(answer)
+		callbacks := m.mergeRemoteMessage(answer)
 		m.mu.Unlock()
-		runCallbacks(calls)
+		runCallbacks(callbacks)
 	}()
 }
 
-// receiveRemoteMessage answers a message from another domain; the caller holds the lock.
+// receiveRemoteMessage answers a message of another failure domain; the caller holds the
+// lock.
 func (m *Membership) receiveRemoteMessage(message *Exchange) (*Exchange, []func()) {
-	calls := m.mergeRemoteMessage(message)
+	callbacks := m.mergeRemoteMessage(message)
 	answer := m.newExchange()
 	answer.Domain = m.config.FailureDomain
 	answer.Summaries = []Summary{m.summary()}
@@ -140,16 +143,17 @@
 			answer.Summaries = append(answer.Summaries, d.summary)
 		}
 	}
-	return answer, calls
+	return answer, callbacks
 }
 
-// mergeRemoteMessage takes another domain's message in; the caller holds the lock.
+// mergeRemoteMessage applies a message of another failure domain and returns the
+// callbacks to run after the lock is released; the caller holds the lock.
 func (m *Membership) mergeRemoteMessage(message *Exchange) []func() {
 	m.joined = true
-	var calls []func()
+	var callbacks []func()
 	for _, summary := range message.Summaries {
-		// A node that joins knows little of its domain: its word counts only
-		// where nothing better is known.
+		// A joining node knows little of its domain: its summary is used only if no
+		// other summary of that domain is known.
 		if _, known := m.domains[summary.Domain]; known && message.Want {
 			continue
 		}
@@ -162,14 +166,15 @@
 			m.broadcastSummary(d)
 		}
 		if summary.Config > m.config.ConfigVersion() && len(summary.Contacts) > 0 {
-			calls = append(calls, func() { m.config.OnNewerConfig(summary.Contacts[0].Address, summary.Config) })
+			callbacks = append(callbacks, func() { m.config.OnNewerConfig(summary.Contacts[0].Address, summary.Config) })
 		}
 	}
-	return append(calls, m.receiveGossip(message.News, message.From, true)...)
+	return append(callbacks, m.receiveGossip(message.News, message.From, true)...)
 }
 
-// mergeSummary takes a summary in if it is newer; the caller holds the lock. A
-// summary of this node's own domain, met while joining, gives places to ask.
+// mergeSummary applies a summary if it is newer and reports whether it did; the caller
+// holds the lock. From a summary of this node's own domain, received while joining, it
+// uses only the contacts.
 func (m *Membership) mergeSummary(summary Summary) bool {
 	if summary.Domain == m.config.FailureDomain {
 		for _, contact := range summary.Contacts {
@@ -193,18 +198,19 @@
 	return true
 }
 
-// mergeContact enters a member of this domain that another domain named. The
-// other domain's news may be old: what this node has seen die stays dead, and
-// a stranger is watched like any member.
+// mergeContact adds a member of this failure domain that another domain named, if no
+// member is known yet. The information may be outdated: a member recorded as dead stays
+// dead, and the added one is monitored like any other.
 func (m *Membership) mergeContact(contact Record) {
 	if _, known := m.members[contact.ID]; !known && contact.ID != m.own.ID && len(m.members) == 0 {
 		m.mergeRecord(contact)
 	}
 }
 
-// removeExpiredDomains drops domains that are gone for good, or every later change of
-// configuration would wait for them; the caller holds the lock. One that was
-// only cut off is found again through the seeds or the instance list.
+// removeExpiredDomains removes failure domains that have been out of contact for longer
+// than domainRetention, since every later configuration change would wait for them; the
+// caller holds the lock. A domain that was only partitioned is found again through the
+// seeds or the instance list.
 func (m *Membership) removeExpiredDomains(now time.Time) {
 	for name, d := range m.domains {
 		if now.Sub(d.lastContactAt) > domainRetention {
@@ -215,32 +221,33 @@
 	}
 }
 
-// writeContacts keeps the shared table's entries of another domain.
+// writeContacts replaces another failure domain's entries in the shared table.
 func (m *Membership) writeContacts(before []Record, summary Summary) {
 	for _, old := range before {
-		if _, ours := m.recordOf(old.ID); ours {
+		if _, isOwn := m.recordOf(old.ID); isOwn {
 			continue
 		}
-		kept := slices.ContainsFunc(summary.Contacts, func(r Record) bool { return r.ID == old.ID })
-		if !kept {
+		isCurrent := slices.ContainsFunc(summary.Contacts, func(r Record) bool { return r.ID == old.ID })
+		if !isCurrent {
 			m.config.Members.Remove(old.ID)
 		}
 	}
 	for _, contact := range summary.Contacts {
-		// What another domain says of this one's own members does not count.
-		if _, ours := m.recordOf(contact.ID); ours || !contact.valid() {
+		// Ignore records of this domain's own members that come from another domain.
+		if _, isOwn := m.recordOf(contact.ID); isOwn || !contact.valid() {
 			continue
 		}
-		m.config.Members.Update(contact.ID, func(shown *blackboard.Member) bool {
-			fillMember(shown, contact, summary.Domain)
-			shown.Heard = time.Now()
-			shown.ConfigVersion = summary.Config
+		m.config.Members.Update(contact.ID, func(entry *blackboard.Member) bool {
+			fillMember(entry, contact, summary.Domain)
+			entry.Heard = time.Now()
+			entry.ConfigVersion = summary.Config
 			return true
 		})
 	}
 }
 
-// broadcastSummary tells this domain about another one; the caller holds the lock.
+// broadcastSummary broadcasts the summary of another domain in this one; the caller
+// holds the lock.
 func (m *Membership) broadcastSummary(d *domain) {
 	now := time.Now()
 	same := slices.Equal(d.broadcastContacts, d.summary.Contacts)
@@ -274,8 +281,8 @@
 	}
 }
 
-// mergeEncodedSummary takes in what a representative of this domain spread; the
-// caller holds the lock.
+// mergeEncodedSummary applies a summary that a representative of this failure domain
+// broadcast; the caller holds the lock.
 func (m *Membership) mergeEncodedSummary(value []byte) {
 	var summary Summary
 	if json.Unmarshal(value, &summary) != nil {
