--- a/membership/fuzz_test.go
+++ b/membership/fuzz_test.go
@@ -12,7 +12,7 @@
 	"zinniamast/membership"
 )
 
-// unreachableTransport is a network that nobody is on.
+// unreachableTransport is a transport on which every call fails.
 type unreachableTransport struct{}
 
 func (unreachableTransport) Exchange(context.Context, string, *membership.Exchange) (*membership.Exchange, error) {
@@ -23,8 +23,8 @@
 	return membership.ProbeResult{}, errNetwork
 }
 
-// FuzzReceive feeds a node what a peer of another version, or a broken one,
-// may send. It must neither stop the node nor take its own entry away.
+// FuzzReceive feeds a node messages as a peer of another version, or a faulty one, may
+// send them. A message must neither crash the node nor remove or change its own entry.
 func FuzzReceive(f *testing.F) {
 	seed := func(message membership.Exchange) {
 		var raw bytes.Buffer
@@ -54,12 +54,12 @@
 		})
 		for range 2 {
 			if answer := m.Receive(&message); answer.From != "a" {
-				t.Fatal("answers under another name")
+				t.Fatal("answer has another sender ID")
 			}
 		}
 		own, ok := table.Get("a")
 		if !ok || own.Dead || own.FailureDomain != "here" || own.Address != "a:1" {
-			t.Fatalf("a message changed the node's own entry: %+v", own)
+			t.Fatalf("message changed the node's own entry: %+v", own)
 		}
 	})
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -189,7 +189,7 @@
 // relayUrgent queues an urgent item for the next two members on the ring.
 func (m *Membership) relayUrgent(key gossipKey, news zinniamast.News, from string) {
 	ring := m.ring()
-	for _, p := range ring[:min(len(ring), watchedSuccessors)] {
+	for _, p := range ring[:min(len(ring), monitoredSuccessors)] {
 		if p.record.ID != from && p.record.ID != news.Origin {
 			p.outbox.addGossip(key, false)
 		}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -34,7 +34,7 @@
 
 // Protocol limits. They bound what a node sends regardless of the size of the fleet.
 const (
-	watchedSuccessors   = 2
+	monitoredSuccessors = 2
 	maxMeshSize         = 40
 	maxProbeHelpers     = 3
 	representativeCount = 2
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -15,8 +15,9 @@
 	"zinniamast/membership"
 )
 
-// livingMembers returns how many living members of its own domain a node sees, itself included.
-func (n *node) livingMembers() int {
+// liveMembers returns how many live members of its own domain a node knows, itself
+// included.
+func (n *node) liveMembers() int {
 	living := 0
 	for _, member := range n.table.All() {
 		if member.FailureDomain == n.domain && !member.Dead {
@@ -31,7 +32,7 @@
 	return member
 }
 
-// waitUntil waits for a condition in virtual time and returns how long it took, or -1.
+// waitUntil waits for a condition in virtual time and returns how long it elapsed, or -1.
 func waitUntil(limit time.Duration, condition func() bool) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
@@ -54,43 +55,43 @@
 	}
 }
 
-// A fault strikes one node of a domain of eight, or the links around it. The
-// callers' requests follow the table of members, so a true death must be known
-// everywhere within 2 s, and a false one must not spread, empty the table, or
-// outlast its cause.
+// A fault affects one node of a failure domain of eight, or the links around it.
+// Requests of callers are routed by the member table, so a real death must be known to
+// all nodes within 2 s. A false one must not spread, empty the table, or outlast its
+// cause.
 func TestFaultsInADomain(t *testing.T) {
 	const victim = "node-003"
 	cases := []struct {
 		name string
-		// strike begins the fault and returns what ends it.
-		strike func(n *network) func()
-		// dies says that the fault is a true death.
-		dies bool
-		// mayFall says that the victim may be held dead while the fault lasts.
-		mayFall bool
+		// inject starts the fault and returns the function that ends it.
+		inject func(n *network) func()
+		// isDeath means that the fault is a real death.
+		isDeath bool
+		// mayBeDead means that the victim may be recorded as dead while the fault lasts.
+		mayBeDead bool
 	}{
 		{
-			name:   "crash with refused connections",
-			strike: func(n *network) func() { n.crash(victim, false); return func() {} },
-			dies:   true,
+			name:    "crash with refused connections",
+			inject:  func(n *network) func() { n.crash(victim, false); return func() {} },
+			isDeath: true,
 		},
 		{
-			name:   "machine vanishes",
-			strike: func(n *network) func() { n.crash(victim, true); return func() {} },
-			dies:   true,
+			name:    "instance vanishes",
+			inject:  func(n *network) func() { n.crash(victim, true); return func() {} },
+			isDeath: true,
 		},
 		{
 			name:   "pause of a second",
-			strike: func(n *network) func() { resume := n.pause(victim); time.Sleep(time.Second); return resume },
+			inject: func(n *network) func() { resume := n.pause(victim); time.Sleep(time.Second); return resume },
 		},
 		{
-			name:    "pause of five seconds",
-			strike:  func(n *network) func() { resume := n.pause(victim); time.Sleep(5 * time.Second); return resume },
-			mayFall: true,
+			name:      "pause of five seconds",
+			inject:    func(n *network) func() { resume := n.pause(victim); time.Sleep(5 * time.Second); return resume },
+			mayBeDead: true,
 		},
 		{
 			name: "link between two nodes cut both ways",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() {
 					n.cut[[2]string{victim, "node-002"}] = true
 					n.cut[[2]string{"node-002", victim}] = true
@@ -101,7 +102,7 @@
 		},
 		{
 			name: "one way cut between two nodes",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() { n.cut[[2]string{"node-002", victim}] = true })
 				time.Sleep(20 * time.Second)
 				return func() { n.update(func() { clear(n.cut) }) }
@@ -109,7 +110,7 @@
 		},
 		{
 			name: "nothing reaches the node but it still sends",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() {
 					for id := range n.nodes {
 						n.cut[[2]string{id, victim}] = true
@@ -118,11 +119,11 @@
 				time.Sleep(20 * time.Second)
 				return func() { n.update(func() { clear(n.cut) }) }
 			},
-			mayFall: true,
+			mayBeDead: true,
 		},
 		{
 			name: "round trips of a second",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() { n.extraDelay[victim] = 500 * time.Millisecond })
 				time.Sleep(20 * time.Second)
 				return func() { n.update(func() { clear(n.extraDelay) }) }
@@ -130,16 +131,16 @@
 		},
 		{
 			name: "one message in ten lost",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() { n.lossRate = 0.1 })
 				time.Sleep(20 * time.Second)
 				return func() { n.update(func() { n.lossRate = 0 }) }
 			},
-			mayFall: true,
+			mayBeDead: true,
 		},
 		{
 			name: "domain cut in halves",
-			strike: func(n *network) func() {
+			inject: func(n *network) func() {
 				n.update(func() {
 					for a := range n.nodes {
 						for b := range n.nodes {
@@ -152,7 +153,7 @@
 				time.Sleep(time.Minute)
 				return func() { n.update(func() { clear(n.cut) }) }
 			},
-			mayFall: true,
+			mayBeDead: true,
 		},
 	}
 	for _, c := range cases {
@@ -162,42 +163,42 @@
 				n := newNetwork()
 				nodes := n.fleet(t, 8, 1)
 				for _, each := range nodes {
-					check.Equal(each.livingMembers(), 8)
+					check.Equal(each.liveMembers(), 8)
 				}
 				others := append(append([]*node{}, nodes[:3]...), nodes[4:]...)
-				if c.dies {
-					c.strike(n)
-					took := waitUntil(5*time.Second, allOf(others, func(n *node) bool { return n.entryOf(victim).Dead }))
-					t.Logf("known dead everywhere after %v", took)
-					check.True(took > 0 && took < 2*time.Second)
+				if c.isDeath {
+					c.inject(n)
+					elapsed := waitUntil(5*time.Second, allOf(others, func(n *node) bool { return n.entryOf(victim).Dead }))
+					t.Logf("known dead everywhere after %v", elapsed)
+					check.True(elapsed > 0 && elapsed < 2*time.Second)
 					time.Sleep(time.Minute)
 					for _, each := range others {
-						check.Equal(each.livingMembers(), 7)
+						check.Equal(each.liveMembers(), 7)
 					}
 					return
 				}
-				end := c.strike(n)
+				end := c.inject(n)
 				for _, each := range others {
-					check.True(c.mayFall || !each.entryOf(victim).Dead)
+					check.True(c.mayBeDead || !each.entryOf(victim).Dead)
 					check.Equal(len(each.table.All()), 8)
 				}
-				// A node that hears nobody keeps its table.
+				// A node that receives no messages keeps its table.
 				if c.name == "nothing reaches the node but it still sends" {
-					check.Equal(nodes[3].livingMembers(), 8)
+					check.Equal(nodes[3].liveMembers(), 8)
 					check.True(nodes[3].Isolated())
 				}
 				end()
-				took := waitUntil(40*time.Second, allOf(nodes, func(n *node) bool { return n.livingMembers() == 8 }))
-				t.Logf("whole again after %v", took)
-				check.True(took >= 0)
+				elapsed := waitUntil(40*time.Second, allOf(nodes, func(n *node) bool { return n.liveMembers() == 8 }))
+				t.Logf("all members known again after %v", elapsed)
+				check.True(elapsed >= 0)
 			})
 		})
 	}
 }
 
-// A rack goes: seven of 26 nodes vanish at once, among them neighbours on the
-// ring that watched each other. The others must know of all of them soon, and
-// must not take each other for dead.
+// Seven of 26 nodes vanish at once, as if a rack failed, among them neighbours on the
+// ring that monitored each other. The others must detect all seven deaths soon and must
+// not declare each other dead.
 func TestRackFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
@@ -207,19 +208,19 @@
 			n.crash(victim.id, true)
 		}
 		others := append(append([]*node{}, nodes[:8]...), nodes[15:]...)
-		took := waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.livingMembers() == 19 }))
-		t.Logf("seven deaths known to all after %v", took)
-		check.True(took > 0 && took < 2*time.Second)
+		elapsed := waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.liveMembers() == 19 }))
+		t.Logf("seven deaths known to all after %v", elapsed)
+		check.True(elapsed > 0 && elapsed < 2*time.Second)
 		for range 100 {
-			check.True(allOf(others, func(n *node) bool { return n.livingMembers() == 19 })())
+			check.True(allOf(others, func(n *node) bool { return n.liveMembers() == 19 })())
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
 }
 
-// A failure domain is lost with all its nodes. The others keep it in mind, as
-// it may be cut off only, but not for ever: changes of configuration would wait
-// for it.
+// A failure domain is lost with all its nodes. The other domain retains it for a while,
+// because it may only be partitioned, and then removes it, because configuration changes
+// would wait for it.
 func TestLostDomainIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
@@ -237,9 +238,9 @@
 	})
 }
 
-// A node leaves by plan: first it takes no new requests, then it is gone.
-// Both are known in its domain within 2 s, and neither an old seed list nor
-// another node's old table brings it back.
+// A node shuts down as planned: it first takes no new requests, then stops. Both must be
+// known in its failure domain within 2 s, and neither an old seed list nor the outdated
+// table of another node may bring it back.
 func TestPlannedDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
@@ -254,52 +255,52 @@
 		})
 		leaver, others := nodes[3], append(append([]*node{}, nodes[:3]...), nodes[4:8]...)
 		leaver.Leave()
-		took := waitUntil(2*time.Second, allOf(others, func(n *node) bool { return n.entryOf(leaver.id).Leaving }))
-		t.Logf("leaving known after %v", took)
-		check.True(took >= 0)
+		elapsed := waitUntil(2*time.Second, allOf(others, func(n *node) bool { return n.entryOf(leaver.id).Leaving }))
+		t.Logf("leaving known after %v", elapsed)
+		check.True(elapsed >= 0)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		leaver.Depart(ctx)
 		cancel()
 		check.True(allOf(others, func(n *node) bool { return n.entryOf(leaver.id).Dead })())
 		n.crash(leaver.id, false)
-		// The node that was cut off comes back with its old table.
+		// The partitioned node returns with its outdated table.
 		n.update(func() { clear(n.cut) })
 		time.Sleep(30 * time.Second)
 		for _, each := range append(others, cutOff) {
 			check.True(each.entryOf(leaver.id).Dead)
-			check.Equal(each.livingMembers(), 8)
+			check.Equal(each.liveMembers(), 8)
 		}
-		// The same name starts again on a clock that runs behind.
-		again := n.start(t, leaver.id, leaver.domain, "node-001")
-		took = waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.livingMembers() == 9 }))
-		check.True(took >= 0)
-		check.Equal(again.livingMembers(), 9)
+		// A node with the same ID starts on a clock that is behind.
+		restarted := n.start(t, leaver.id, leaver.domain, "node-001")
+		elapsed = waitUntil(10*time.Second, allOf(others, func(n *node) bool { return n.liveMembers() == 9 }))
+		check.True(elapsed >= 0)
+		check.Equal(restarted.liveMembers(), 9)
 	})
 }
 
-// Most seeds of a joining node are dead and the first answer comes from
-// another failure domain; it still finds all of its own.
+// A seed of a joining node is dead, and the first answer comes from another failure
+// domain. The node must still find all members of its own.
 func TestJoinThroughAnotherDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		n := newNetwork()
 		nodes := n.fleet(t, 9, 3)
 		joiner := n.start(t, "late", "domain-01", "nobody", "node-002")
-		took := waitUntil(10*time.Second, func() bool { return joiner.livingMembers() == 4 })
-		t.Logf("joined after %v", took)
-		check.True(took >= 0)
+		elapsed := waitUntil(10*time.Second, func() bool { return joiner.liveMembers() == 4 })
+		t.Logf("joined after %v", elapsed)
+		check.True(elapsed >= 0)
 		check.Equal(len(joiner.Domains()), 2)
 		check.True(joiner.Joined())
-		took = waitUntil(10*time.Second, func() bool { return nodes[1].livingMembers() == 4 && nodes[4].livingMembers() == 4 })
-		check.True(took >= 0)
+		elapsed = waitUntil(10*time.Second, func() bool { return nodes[1].liveMembers() == 4 && nodes[4].liveMembers() == 4 })
+		check.True(elapsed >= 0)
 		check.True(joiner.entryOf("node-000").FailureDomain == "domain-00")
 	})
 }
 
-// All nodes start at once, the seeds last, so that their answer is missing. Who
-// meets a node of another failure domain on the platform's list knows none of
-// its own; taken for joined, such nodes stayed apart for half a minute: each
-// followed the store for itself, and the news of one reached none of them.
+// All nodes start at once and the seeds last, so the seeds do not answer at first. A
+// node that meets a node of another failure domain on the instance list knows no member
+// of its own. When such nodes counted as joined, they stayed separate for half a minute:
+// each followed the store on its own, and gossip of one reached none of the others.
 func TestSimultaneousStartWithLateSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -324,9 +325,9 @@
 	})
 }
 
-// News of a leaving upstream must reach every node of the domain far below
-// 2 s, also when its origin dies at once, and the other domains if it is wide;
-// it is heard once, and a node that joins later hears it while it is news.
+// Gossip about a leaving upstream must reach every node of the failure domain well
+// within 2 s, also if its origin dies at once, and the other domains if it is wide. Each
+// node receives it once, and a node that joins later receives it until it expires.
 func TestGossip(t *testing.T) {
 	for _, size := range []struct{ nodes, domains int }{{nodes: 12, domains: 3}, {nodes: 60, domains: 1}} {
 		t.Run(fmt.Sprint(size.nodes, "nodes"), func(t *testing.T) {
@@ -334,10 +335,10 @@
 				check := is.New(t)
 				n := newNetwork()
 				nodes := n.fleet(t, size.nodes, size.domains)
-				heard := map[string]int{}
+				received := map[string]int{}
 				for _, each := range nodes {
 					each.Subscribe(zinniamast.TopicUpstreamLeaving, func(zinniamast.News) {
-						n.update(func() { heard[each.id]++ })
+						n.update(func() { received[each.id]++ })
 					})
 				}
 				nodes[5].Publish(zinniamast.News{
@@ -346,18 +347,18 @@
 					Expires: time.Now().Add(time.Minute),
 					Wide:    true,
 				})
-				count := func() int { n.mu.Lock(); defer n.mu.Unlock(); return len(heard) }
-				took := waitUntil(2*time.Second, func() bool { return count() == size.nodes-1 })
-				t.Logf("heard by all of %d nodes in %d domains after %v", size.nodes, size.domains, took)
-				check.True(took >= 0)
-				late := n.start(t, "late", nodes[5].domain, nodes[5].id)
-				late.Subscribe(zinniamast.TopicUpstreamLeaving, func(zinniamast.News) {
-					n.update(func() { heard["late"]++ })
+				count := func() int { n.mu.Lock(); defer n.mu.Unlock(); return len(received) }
+				elapsed := waitUntil(2*time.Second, func() bool { return count() == size.nodes-1 })
+				t.Logf("received by all of %d nodes in %d domains after %v", size.nodes, size.domains, elapsed)
+				check.True(elapsed >= 0)
+				lateNode := n.start(t, "late", nodes[5].domain, nodes[5].id)
+				lateNode.Subscribe(zinniamast.TopicUpstreamLeaving, func(zinniamast.News) {
+					n.update(func() { received["late"]++ })
 				})
 				time.Sleep(20 * time.Second)
 				n.update(func() {
-					check.Equal(heard["late"], 1)
-					for id, times := range heard {
+					check.Equal(received["late"], 1)
+					for id, times := range received {
 						check.True(times == 1 || id == "late")
 					}
 				})
@@ -366,23 +367,23 @@
 	}
 }
 
-// The push of a newer configuration reached one node only; the comparison in
-// the heartbeats must make all others fetch it, in every domain.
+// The push of a newer configuration reached one node only. The comparison of versions in
+// the heartbeats must make all others fetch it, in every failure domain.
 func TestNewerConfigurationIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		n := newNetwork()
 		nodes := n.fleet(t, 6, 2)
 		nodes[0].version.Store(7)
-		took := waitUntil(20*time.Second, allOf(nodes, func(n *node) bool { return n.version.Load() == 7 }))
-		t.Logf("repaired after %v", took)
-		check.True(took >= 0)
+		elapsed := waitUntil(20*time.Second, allOf(nodes, func(n *node) bool { return n.version.Load() == 7 }))
+		t.Logf("newer version fetched by all after %v", elapsed)
+		check.True(elapsed >= 0)
 	})
 }
 
-// The cost of control must not grow with the fleet: this measures messages
-// and bytes per node, sent and received, at rest and with bulk news from every
-// node each second, and then how soon a silent death is known.
+// Control traffic per node must not grow with the fleet. The test measures messages and
+// bytes per node, sent and received, when idle and with bulk gossip from every node each
+// second, and then the time until a silent death is known.
 func TestTrafficIsBounded(t *testing.T) {
 	sizes := []struct{ nodes, domains int }{
 		{nodes: 9, domains: 4}, {nodes: 30, domains: 4}, {nodes: 100, domains: 4}, {nodes: 370, domains: 14}, {nodes: 80, domains: 1},
@@ -405,7 +406,7 @@
 	}
 }
 
-// logHeap logs the heap for each node, the fake network included.
+// logHeap logs the heap per node, including the fake network.
 func logHeap(t *testing.T, nodes int) {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -415,7 +416,7 @@
 
 // measureTraffic logs the traffic of some seconds and checks it against the budget.
 func (n *network) measureTraffic(t *testing.T, fleet []*node, bulk bool) {
-	const budget = 7000
+	const budgetBytesPerSecond = 7000
 	const seconds = 10
 	n.update(func() {
 		clear(n.bytes)
@@ -444,11 +445,12 @@
 		perNode := float64(len(fleet) * seconds)
 		t.Logf("bulk %v: mean %.0f B/s, worst %.0f B/s, %.1f messages/s sent per node",
 			bulk, float64(sum)/perNode, float64(worst)/seconds, float64(messages)/perNode)
-		is.New(t).True(float64(worst)/seconds < budget)
+		is.New(t).True(float64(worst)/seconds < budgetBytesPerSecond)
 	})
 }
 
-// measureDetection lets one machine vanish and measures until its domain knows.
+// measureDetection crashes one node silently and measures the time until its domain
+// knows.
 func (n *network) measureDetection(t *testing.T, fleet []*node) {
 	victim := fleet[len(fleet)-1]
 	var neighbours []*node
@@ -458,9 +460,9 @@
 		}
 	}
 	n.crash(victim.id, true)
-	took := waitUntil(5*time.Second, allOf(neighbours, func(n *node) bool { return n.entryOf(victim.id).Dead }))
-	t.Logf("silent death known to %d neighbours after %v", len(neighbours), took)
-	is.New(t).True(took > 0 && took < 2*time.Second)
+	elapsed := waitUntil(5*time.Second, allOf(neighbours, func(n *node) bool { return n.entryOf(victim.id).Dead }))
+	t.Logf("silent death known to %d neighbours after %v", len(neighbours), elapsed)
+	is.New(t).True(elapsed > 0 && elapsed < 2*time.Second)
 }
 
 var _ membership.Transport = nodeTransport{}
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -21,31 +21,31 @@
 
 var errNetwork = errors.New("network")
 
-// framingBytes is what TCP, IP, TLS and the rpc header add to a message, in bytes.
+// framingBytes is what TCP, IP, TLS and the RPC header add to a message.
 const framingBytes = 52 + 22 + 24
 
-// network connects nodes in one process, with faults.
+// network connects nodes in one process and injects faults.
 type network struct {
 	mu      sync.Mutex
 	nodes   map[string]*node
 	latency time.Duration
-	// extraDelay adds one-way delay towards or from a node.
+	// extraDelay is an additional one-way delay from or to a node.
 	extraDelay map[string]time.Duration
-	// cut drops what goes from the first to the second.
+	// cut drops messages from the first node to the second.
 	cut map[[2]string]bool
-	// paused holds everything to and from a node until the channel closes.
+	// paused blocks messages from and to a node until the channel closes.
 	paused   map[string]chan struct{}
 	lossRate float64
 	random   *rand.Rand
 	sizes    *messageSizer
 	bytes    map[string]int
 	messages map[string]int
-	// listedFrom is from when the platform's list, which every node has, shows others
-	// than the first domain's; zero means that there is no list.
+	// listedFrom is when the instance list, which is shared by all nodes, begins to
+	// include nodes outside the first domain; zero means that there is no list.
 	listedFrom time.Time
 }
 
-// firstDomain is the failure domain whose nodes the list shows at once.
+// firstDomain is the failure domain whose nodes are listed from the start.
 const firstDomain = "domain-00"
 
 // List implements zinniamast.InstanceList.
@@ -90,7 +90,7 @@
 	}
 }
 
-// start adds a node; its address is its ID.
+// start starts a node whose address is its ID.
 func (n *network) start(t *testing.T, id, domain string, seeds ...string) *node {
 	t.Helper()
 	started := &node{
@@ -132,7 +132,7 @@
 	return started
 }
 
-// fleet starts count nodes over the domains and lets them find each other.
+// fleet starts count nodes across the domains and waits until they have joined.
 func (n *network) fleet(t *testing.T, count, domains int) []*node {
 	t.Helper()
 	var all []*node
@@ -145,7 +145,7 @@
 	return all
 }
 
-// crash ends a node; what is sent to it is refused, or vanishes.
+// crash stops a node. Messages to it are then refused, or vanish if the crash is silent.
 func (n *network) crash(id string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,29 +160,29 @@
 func (n *network) pause(id string) (resume func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	held := make(chan struct{})
-	n.paused[id] = held
+	gate := make(chan struct{})
+	n.paused[id] = gate
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.paused, id)
-		close(held)
+		close(gate)
 	}
 }
 
-// update changes faults under the lock.
+// update changes the network under its lock.
 func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// deliver lets one message through, with all faults; it returns the receiver.
+// deliver delivers one message, subject to the faults, and returns the receiver.
 func (n *network) deliver(ctx context.Context, from, to string, size int) (*node, error) {
 	n.mu.Lock()
 	delay := n.latency + n.extraDelay[from] + n.extraDelay[to]
 	lost := n.cut[[2]string{from, to}] || n.random.Float64() < n.lossRate
-	holds := []chan struct{}{n.paused[from], n.paused[to]}
+	gates := []chan struct{}{n.paused[from], n.paused[to]}
 	n.bytes[from] += size
 	n.bytes[to] += size
 	n.messages[from]++
@@ -191,12 +191,12 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	for _, held := range holds {
-		if held == nil {
+	for _, gate := range gates {
+		if gate == nil {
 			continue
 		}
 		select {
-		case <-held:
+		case <-gate:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -214,7 +214,7 @@
 	return receiver, nil
 }
 
-// nodeTransport is one node's access to the network.
+// nodeTransport is one node's transport over the network.
 type nodeTransport struct {
 	network *network
 	id      string
@@ -242,7 +242,7 @@
 	return result, err
 }
 
-// messageSizer measures messages as gob sends them on a standing connection.
+// messageSizer measures messages as gob encodes them on an established connection.
 type messageSizer struct {
 	mu      sync.Mutex
 	buffer  bytes.Buffer
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,7 +6,7 @@
 )
 
 // suspect starts or continues the suspicion of a member whose exchange failed or is
-// sinceLastStep; the caller holds the lock.
+// late; the caller holds the lock.
 func (m *Membership) suspect(ctx context.Context, p *member) {
 	if !p.alive() || ctx.Err() != nil && context.Cause(ctx) == context.Canceled {
 		return
@@ -114,8 +114,8 @@
 	}
 }
 
-// checkSuspicions suspects members whose exchange is sinceLastStep, and declares those dead whose
-// suspicion timeout has passed; the caller holds the lock.
+// checkSuspicions suspects members whose exchange is late, and declares those dead
+// whose suspicion timeout has passed; the caller holds the lock.
 func (m *Membership) checkSuspicions(ctx context.Context, now time.Time) {
 	for _, p := range m.members {
 		if !p.alive() {
--- a/membership/step.go
+++ b/membership/step.go
@@ -87,7 +87,7 @@
 	for _, p := range m.ring() {
 		if !p.suspectedAt.IsZero() {
 			m.startExchange(ctx, p)
-		} else if trusted < watchedSuccessors {
+		} else if trusted < monitoredSuccessors {
 			trusted++
 			m.startExchange(ctx, p)
 		}
