--- a/membership/fuzz_test.go
+++ b/membership/fuzz_test.go
@@ -12,19 +12,19 @@
 	"zinniamast/membership"
 )
 
-// silence is a network that nobody is on.
-type silence struct{}
+// unreachableTransport is a transport on which every call fails.
+type unreachableTransport struct{}
 
-func (silence) Exchange(context.Context, string, *membership.Exchange) (*membership.Exchange, error) {
+func (unreachableTransport) Exchange(context.Context, string, *membership.Exchange) (*membership.Exchange, error) {
 	return nil, errNetwork
 }
 
-func (silence) Probe(context.Context, string, membership.Probe) (membership.ProbeResult, error) {
+func (unreachableTransport) Probe(context.Context, string, membership.Probe) (membership.ProbeResult, error) {
 	return membership.ProbeResult{}, errNetwork
 }
 
-// FuzzReceive feeds a node what a peer of another version, or a broken one,
-// may send. It must neither stop the node nor take its own entry away.
+// FuzzReceive feeds a node messages as a peer of another version, or a faulty one, may
+// send them. A message must neither crash the node nor remove or change its own entry.
 func FuzzReceive(f *testing.F) {
 	seed := func(message membership.Exchange) {
 		var raw bytes.Buffer
@@ -49,17 +49,17 @@
 			FailureDomain: "here",
 			Address:       "a:1",
 			Members:       table,
-			Transport:     silence{},
+			Transport:     unreachableTransport{},
 			Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		for range 2 {
 			if answer := m.Receive(&message); answer.From != "a" {
-				t.Fatal("answers under another name")
+				t.Fatal("answer has another sender ID")
 			}
 		}
 		own, ok := table.Get("a")
 		if !ok || own.Dead || own.FailureDomain != "here" || own.Address != "a:1" {
-			t.Fatalf("a message changed the node's own entry: %+v", own)
+			t.Fatalf("message changed the node's own entry: %+v", own)
 		}
 	})
 }
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -21,31 +21,31 @@
 
 var errNetwork = errors.New("network")
 
-// framing is what TCP, IP, TLS and the rpc header add to a message, in bytes.
-const framing = 52 + 22 + 24
+// framingBytes is what TCP, IP, TLS and the RPC header add to a message.
+const framingBytes = 52 + 22 + 24
 
-// network connects nodes in one process, with faults.
+// network connects nodes in one process and injects faults.
 type network struct {
 	mu      sync.Mutex
 	nodes   map[string]*node
 	latency time.Duration
-	// slow adds one-way delay towards or from a node.
-	slow map[string]time.Duration
-	// cut drops what goes from the first to the second.
+	// extraDelay is an additional one-way delay from or to a node.
+	extraDelay map[string]time.Duration
+	// cut drops messages from the first node to the second.
 	cut map[[2]string]bool
-	// paused holds everything to and from a node until the channel closes.
-	paused map[string]chan struct{}
-	loss   float64
-	random *rand.Rand
-	sizes  *sizer
-	bytes  map[string]int
-	count  map[string]int
-	// listed is from when the platform's list, which every node has, shows others
-	// than the first domain's; zero means that there is no list.
-	listed time.Time
+	// paused blocks messages from and to a node until the channel closes.
+	paused   map[string]chan struct{}
+	lossRate float64
+	random   *rand.Rand
+	sizes    *messageSizer
+	bytes    map[string]int
+	messages map[string]int
+	// listedFrom is when the instance list, which is shared by all nodes, begins to
+	// include nodes outside the first domain; zero means that there is no list.
+	listedFrom time.Time
 }
 
-// firstDomain is the failure domain whose nodes the list shows at once.
+// firstDomain is the failure domain whose nodes are listed from the start.
 const firstDomain = "domain-00"
 
 // List implements zinniamast.InstanceList.
@@ -54,7 +54,7 @@
 	defer n.mu.Unlock()
 	var instances []zinniamast.Instance
 	for _, started := range n.nodes {
-		if started.domain != firstDomain && time.Now().Before(n.listed) {
+		if started.domain != firstDomain && time.Now().Before(n.listedFrom) {
 			continue
 		}
 		instances = append(instances, zinniamast.Instance{
@@ -78,19 +78,19 @@
 
 func newNetwork() *network {
 	return &network{
-		nodes:   map[string]*node{},
-		latency: time.Millisecond,
-		slow:    map[string]time.Duration{},
-		cut:     map[[2]string]bool{},
-		paused:  map[string]chan struct{}{},
-		random:  rand.New(rand.NewPCG(1, 2)),
-		sizes:   newSizer(),
-		bytes:   map[string]int{},
-		count:   map[string]int{},
+		nodes:      map[string]*node{},
+		latency:    time.Millisecond,
+		extraDelay: map[string]time.Duration{},
+		cut:        map[[2]string]bool{},
+		paused:     map[string]chan struct{}{},
+		random:     rand.New(rand.NewPCG(1, 2)),
+		sizes:      newMessageSizer(),
+		bytes:      map[string]int{},
+		messages:   map[string]int{},
 	}
 }
 
-// start adds a node; its address is its ID.
+// start starts a node whose address is its ID.
 func (n *network) start(t *testing.T, id, domain string, seeds ...string) *node {
 	t.Helper()
 	started := &node{
@@ -99,7 +99,7 @@
 		table:  blackboard.NewMembers(),
 	}
 	var list zinniamast.InstanceList
-	if !n.listed.IsZero() {
+	if !n.listedFrom.IsZero() {
 		list = n
 	}
 	started.Membership = membership.New(membership.Config{
@@ -110,7 +110,7 @@
 		Weight:        1,
 		Seeds:         seeds,
 		Members:       started.table,
-		Transport:     port{network: n, id: id},
+		Transport:     nodeTransport{network: n, id: id},
 		Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 		ConfigVersion: started.version.Load,
 		OnNewerConfig: func(_ string, version uint64) { started.version.Store(version) },
@@ -132,7 +132,7 @@
 	return started
 }
 
-// fleet starts count nodes over the domains and lets them find each other.
+// fleet starts count nodes across the domains and waits until they have joined.
 func (n *network) fleet(t *testing.T, count, domains int) []*node {
 	t.Helper()
 	var all []*node
@@ -145,7 +145,7 @@
 	return all
 }
 
-// crash ends a node; what is sent to it is refused, or vanishes.
+// crash stops a node. Messages to it are then refused, or vanish if the crash is silent.
 func (n *network) crash(id string, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,43 +160,43 @@
 func (n *network) pause(id string) (resume func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	held := make(chan struct{})
-	n.paused[id] = held
+	gate := make(chan struct{})
+	n.paused[id] = gate
 	return func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.paused, id)
-		close(held)
+		close(gate)
 	}
 }
 
-// set changes faults under the lock.
-func (n *network) set(change func()) {
+// update changes the network under its lock.
+func (n *network) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// pass lets one message through, with all faults; it returns the receiver.
-func (n *network) pass(ctx context.Context, from, to string, size int) (*node, error) {
+// deliver delivers one message, subject to the faults, and returns the receiver.
+func (n *network) deliver(ctx context.Context, from, to string, size int) (*node, error) {
 	n.mu.Lock()
-	delay := n.latency + n.slow[from] + n.slow[to]
-	lost := n.cut[[2]string{from, to}] || n.random.Float64() < n.loss
-	holds := []chan struct{}{n.paused[from], n.paused[to]}
+	delay := n.latency + n.extraDelay[from] + n.extraDelay[to]
+	lost := n.cut[[2]string{from, to}] || n.random.Float64() < n.lossRate
+	gates := []chan struct{}{n.paused[from], n.paused[to]}
 	n.bytes[from] += size
 	n.bytes[to] += size
-	n.count[from]++
+	n.messages[from]++
 	n.mu.Unlock()
 	if lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	for _, held := range holds {
-		if held == nil {
+	for _, gate := range gates {
+		if gate == nil {
 			continue
 		}
 		select {
-		case <-held:
+		case <-gate:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -214,52 +214,52 @@
 	return receiver, nil
 }
 
-// port is one node's access to the network.
-type port struct {
+// nodeTransport is one node's transport over the network.
+type nodeTransport struct {
 	network *network
 	id      string
 }
 
 // Exchange implements membership.Transport.
-func (p port) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
-	receiver, err := p.network.pass(ctx, p.id, address, p.network.sizes.of(message))
+func (p nodeTransport) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
+	receiver, err := p.network.deliver(ctx, p.id, address, p.network.sizes.of(message))
 	if err != nil {
 		return nil, err
 	}
 	answer := receiver.Receive(message)
-	_, err = p.network.pass(ctx, address, p.id, p.network.sizes.of(answer))
+	_, err = p.network.deliver(ctx, address, p.id, p.network.sizes.of(answer))
 	return answer, err
 }
 
 // Probe implements membership.Transport.
-func (p port) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
-	receiver, err := p.network.pass(ctx, p.id, address, framing+32)
+func (p nodeTransport) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
+	receiver, err := p.network.deliver(ctx, p.id, address, framingBytes+32)
 	if err != nil {
 		return membership.ProbeResult{}, err
 	}
 	result := receiver.ProbeFor(probe)
-	_, err = p.network.pass(ctx, address, p.id, framing+4)
+	_, err = p.network.deliver(ctx, address, p.id, framingBytes+4)
 	return result, err
 }
 
-// sizer measures messages as gob sends them on a standing connection.
-type sizer struct {
+// messageSizer measures messages as gob encodes them on an established connection.
+type messageSizer struct {
 	mu      sync.Mutex
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 }
 
-func newSizer() *sizer {
-	s := &sizer{}
+func newMessageSizer() *messageSizer {
+	s := &messageSizer{}
 	s.encoder = gob.NewEncoder(&s.buffer)
 	_ = s.encoder.Encode(&membership.Exchange{From: "x"})
 	return s
 }
 
-func (s *sizer) of(message *membership.Exchange) int {
+func (s *messageSizer) of(message *membership.Exchange) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffer.Reset()
 	_ = s.encoder.Encode(message)
-	return s.buffer.Len() + framing
+	return s.buffer.Len() + framingBytes
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// doubt begins or continues the suspicion of a member whose exchange failed
-// or is late; the caller holds the lock.
-func (m *Membership) doubt(ctx context.Context, p *member) {
+// suspect starts or continues the suspicion of a member whose exchange failed or is
+// late; the caller holds the lock.
+func (m *Membership) suspect(ctx context.Context, p *member) {
 	if !p.alive() || ctx.Err() != nil && context.Cause(ctx) == context.Canceled {
 		return
 	}
 	if p.suspectedAt.IsZero() {
 		p.suspectedAt = p.sentAt
 	}
-	if now := time.Now(); !p.asking && now.Sub(p.askedAt) >= heartbeatInterval {
-		p.askedAt = now
-		m.ask(ctx, p)
+	if now := time.Now(); !p.probing && now.Sub(p.probedAt) >= heartbeatInterval {
+		p.probedAt = now
+		m.startIndirectProbe(ctx, p)
 	}
 }
 
-// ask has other nodes try the member. One link that fails, or works one way
-// only, must not make a member dead that the others reach.
-func (m *Membership) ask(ctx context.Context, p *member) {
+// startIndirectProbe lets other nodes probe a member. A link that fails, or works in one
+// direction only, must not cause a member to be declared dead that others can reach.
+func (m *Membership) startIndirectProbe(ctx context.Context, p *member) {
 	addresses := m.helperAddresses(p)
 	probe := Probe{
 		ID:      p.record.ID,
 		Address: p.record.Address,
 	}
-	p.asking = true
+	p.probing = true
 	m.wait.Add(1)
 	go func() {
 		defer m.wait.Done()
-		reached, answered := m.askAll(context.WithoutCancel(ctx), addresses, probe)
+		reached, answered := m.probeThrough(context.WithoutCancel(ctx), addresses, probe)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		p.asking = false
+		p.probing = false
 		if reached {
-			p.trust()
+			p.clearSuspicion()
 			return
 		}
-		// Where nobody answers, this node is the one cut off: it keeps its table.
-		// Only where there is nobody to ask does its own doubt decide.
+		// If no helper answers, this node itself is cut off and keeps its table. Its own
+		// suspicion decides only if there is no helper to ask.
 		p.unreachable = answered || len(addresses) == 0
 		m.isolated = !p.unreachable
 	}()
 }
 
-// helperAddresses picks living members of this domain, then contacts in others,
-// and then members in doubt themselves: a node that doubts all the others is cut
-// off, and must find that nobody answers, not that there is nobody to ask. The
-// caller holds the lock.
+// helperAddresses picks helpers for an indirect probe: members of this failure domain
+// that are not suspected, then contacts in other domains, then suspected members. The
+// latter let a node that suspects all others find that no helper answers, which means
+// that it is cut off, and not that there is no helper. The caller holds the lock.
 func (m *Membership) helperAddresses(p *member) []string {
-	var trusted, doubted []string
+	var trusted, suspected []string
 	for _, other := range m.ring() {
 		switch {
 		case other == p:
 		case other.suspectedAt.IsZero():
 			trusted = append(trusted, other.record.Address)
 		default:
-			doubted = append(doubted, other.record.Address)
+			suspected = append(suspected, other.record.Address)
 		}
 	}
 	for _, d := range m.domains {
@@ -67,11 +67,11 @@
 			trusted = append(trusted, d.summary.Contacts[0].Address)
 		}
 	}
-	addresses := append(trusted, doubted...)
-	return addresses[:min(len(addresses), helpers)]
+	addresses := append(trusted, suspected...)
+	return addresses[:min(len(addresses), maxProbeHelpers)]
 }
 
-func (m *Membership) askAll(ctx context.Context, addresses []string, probe Probe) (reached, answered bool) {
+func (m *Membership) probeThrough(ctx context.Context, addresses []string, probe Probe) (reached, answered bool) {
 	ctx, cancel := context.WithTimeout(ctx, indirectTimeout)
 	defer cancel()
 	type outcome struct {
@@ -100,10 +100,10 @@
 	return false, answered
 }
 
-// ProbeFor tries another node on a peer's behalf.
+// ProbeFor probes another node on behalf of a peer.
 func (m *Membership) ProbeFor(probe Probe) ProbeResult {
 	m.mu.Lock()
-	message := m.message()
+	message := m.newExchange()
 	message.Domain = m.config.FailureDomain
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), indirectTimeout*3/4)
@@ -114,38 +114,39 @@
 	}
 }
 
-// judge declares the members dead whose window is over; the caller holds the lock.
-func (m *Membership) judge(ctx context.Context, now time.Time) {
+// checkSuspicions suspects members whose exchange is late, and declares those dead
+// whose suspicion timeout has passed; the caller holds the lock.
+func (m *Membership) checkSuspicions(ctx context.Context, now time.Time) {
 	for _, p := range m.members {
 		if !p.alive() {
 			continue
 		}
-		if p.busy && now.Sub(p.sentAt) >= probeTimeout {
-			m.doubt(ctx, p)
+		if p.inFlight && now.Sub(p.sentAt) >= probeTimeout {
+			m.suspect(ctx, p)
 		}
-		if p.suspectedAt.IsZero() || !p.unreachable || now.Sub(p.suspectedAt) < p.window(now) {
+		if p.suspectedAt.IsZero() || !p.unreachable || now.Sub(p.suspectedAt) < p.suspicionTimeout(now) {
 			continue
 		}
 		dead := p.record
 		dead.State = Dead
 		m.config.Logger.Warn("member_declared_dead", "member", dead.ID, "silent", now.Sub(p.suspectedAt).String())
-		m.learn(dead)
-		m.spreadRecord(dead.ID)
+		m.mergeRecord(dead)
+		m.broadcastRecord(dead.ID)
 	}
 }
 
-// resume drops all doubts if this node itself stood still: what it missed in
-// its pause says nothing of the others.
-func (m *Membership) resume(now time.Time) {
-	late := now.Sub(m.stepAt)
-	first := m.stepAt.IsZero()
+// resetAfterPause clears all suspicions if this process was paused, since missing
+// answers during the pause do not indicate a fault of the other nodes.
+func (m *Membership) resetAfterPause(now time.Time) {
+	sinceLastStep := now.Sub(m.stepAt)
+	isFirst := m.stepAt.IsZero()
 	m.stepAt = now
-	if first || late < probeTimeout {
+	if isFirst || sinceLastStep < probeTimeout {
 		return
 	}
-	m.config.Logger.Warn("node_paused", "pause", late.String())
+	m.config.Logger.Warn("node_paused", "pause", sinceLastStep.String())
 	for _, p := range m.members {
-		p.trust()
+		p.clearSuspicion()
 		p.sentAt = now
 	}
 }
--- a/membership/step.go
+++ b/membership/step.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// bulkRate is how many bulk messages a second a node sends; with more members
-// each hears less often, so that the node's traffic stays bounded.
-const bulkRate = 4
+// bulkMessagesPerSecond is the rate of bulk messages that a node sends. With more
+// members each receives them less often, so that the traffic of the node stays bounded.
+const bulkMessagesPerSecond = 4
 
-// Bulk news may cost bulkBytesASecond, saved up to bulkBytesSaved. Above that
-// items wait, and newer ones replace them: news gets older, not dearer.
+// Token bucket for bulk gossip, in bytes. Items above the budget wait and are replaced
+// by newer ones: under load gossip arrives later but traffic does not grow.
 const (
-	bulkBytesASecond = 850
-	bulkBytesSaved   = 1500
-	itemFraming      = 60
+	bulkBytesPerSecond = 850
+	bulkBurstBytes     = 1500
+	itemOverheadBytes  = 60
 )
 
-// step does what is due.
+// step runs the tasks that are due.
 func (m *Membership) step(ctx context.Context) {
 	now := time.Now()
 	m.mu.Lock()
-	m.bulkBytes = min(m.bulkBytes+int(now.Sub(m.stepAt).Milliseconds())*bulkBytesASecond/1000, bulkBytesSaved)
-	m.resume(now)
-	m.judge(ctx, now)
+	m.bulkBudgetBytes = min(m.bulkBudgetBytes+int(now.Sub(m.stepAt).Milliseconds())*bulkBytesPerSecond/1000, bulkBurstBytes)
+	m.resetAfterPause(now)
+	m.checkSuspicions(ctx, now)
 	if due(&m.heartbeatAt, now, heartbeatInterval) {
-		m.beat(ctx, now)
+		m.sendHeartbeats(ctx, now)
 	}
 	if due(&m.deadProbeAt, now, deadProbeInterval) {
 		m.probeDead(ctx)
 	}
-	summarise := due(&m.summaryAt, now, summaryInterval) && m.representing()
+	isSummaryDue := due(&m.summaryAt, now, summaryInterval) && m.isRepresentative()
 	m.mu.Unlock()
 	m.flush(ctx)
-	if summarise {
-		m.summarise(ctx)
+	if isSummaryDue {
+		m.sendSummaries(ctx)
 	}
 	m.mu.Lock()
-	seeds := m.seedsDue(now)
+	isSeeding := m.isSeedingDue(now)
 	m.mu.Unlock()
-	if seeds {
+	if isSeeding {
 		m.wait.Add(1)
 		go func() {
 			defer m.wait.Done()
@@ -48,21 +48,22 @@
 	}
 }
 
-// seedsDue says whether to ask nodes not known yet. Once joined only the
-// representatives do, or the few seeds would hear from the whole fleet.
-func (m *Membership) seedsDue(now time.Time) bool {
+// isSeedingDue reports whether to contact nodes that are not known yet. Once joined only
+// the representatives do so, or the few seeds would receive requests from the whole
+// fleet.
+func (m *Membership) isSeedingDue(now time.Time) bool {
 	switch {
-	case m.alone():
+	case m.isAlone():
 		return due(&m.seedAt, now, time.Second)
 	case len(m.members) == 0:
-		return due(&m.seedAt, now, lonelyInterval)
+		return due(&m.seedAt, now, emptyDomainSeedInterval)
 	default:
-		return m.representing() && due(&m.seedAt, now, m.config.SeedInterval)
+		return m.isRepresentative() && due(&m.seedAt, now, m.config.SeedInterval)
 	}
 }
 
-// alone says whether no other node is known; the caller holds the lock.
-func (m *Membership) alone() bool { return len(m.members) == 0 && len(m.domains) == 0 }
+// isAlone reports whether no other node is known; the caller holds the lock.
+func (m *Membership) isAlone() bool { return len(m.members) == 0 && len(m.domains) == 0 }
 
 func due(last *time.Time, now time.Time, interval time.Duration) bool {
 	if now.Sub(*last) < interval {
@@ -72,66 +73,66 @@
 	return true
 }
 
-// beat sends heartbeats to the watched members and to those in doubt.
-func (m *Membership) beat(ctx context.Context, now time.Time) {
-	m.news.expire(now)
-	m.forget(now)
-	m.showSelf(m.config.ConfigVersion())
+// sendHeartbeats sends heartbeats to the monitored successors and to suspected members.
+func (m *Membership) sendHeartbeats(ctx context.Context, now time.Time) {
+	m.gossip.expire(now)
+	m.removeExpired(now)
+	m.writeSelf(m.config.ConfigVersion())
 	if m.departed {
 		return
 	}
-	// Those in doubt do not count: with two neighbours dead at once, the third
-	// would otherwise be watched only after their deaths are certain.
+	// Suspected members do not count as successors. Otherwise, if two neighbours die at
+	// once, the third would be monitored only after both are declared dead.
 	trusted := 0
 	for _, p := range m.ring() {
 		if !p.suspectedAt.IsZero() {
-			m.send(ctx, p)
-		} else if trusted < watched {
+			m.startExchange(ctx, p)
+		} else if trusted < monitoredSuccessors {
 			trusted++
-			m.send(ctx, p)
+			m.startExchange(ctx, p)
 		}
 	}
 }
 
-// probeDead tries one dead member after another, so that two halves of a
-// domain find each other again after a partition.
+// probeDead sends a heartbeat to the dead member that was contacted least recently, so
+// that two halves of a failure domain rejoin after a partition.
 func (m *Membership) probeDead(ctx context.Context) {
 	var dead *member
 	for _, p := range m.members {
-		if !p.alive() && !p.busy && (dead == nil || p.sentAt.Before(dead.sentAt)) {
+		if !p.alive() && !p.inFlight && (dead == nil || p.sentAt.Before(dead.sentAt)) {
 			dead = p
 		}
 	}
 	if dead != nil && !m.departed {
 		dead.outbox.addRecord(dead.record.ID)
-		m.send(ctx, dead)
+		m.startExchange(ctx, dead)
 	}
 }
 
-// flush sends what is urgent, and bulk news to those whose turn it is.
+// flush sends urgent data at once, and bulk gossip to members whose interval has passed.
 func (m *Membership) flush(ctx context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	interval := time.Duration(len(m.members)) * time.Second / bulkRate
-	for _, p := range m.targets() {
+	interval := time.Duration(len(m.members)) * time.Second / bulkMessagesPerSecond
+	for _, p := range m.broadcastTargets() {
 		if p.outbox.urgent || !p.outbox.empty() && now.Sub(p.sentAt) >= interval {
-			m.send(ctx, p)
+			m.startExchange(ctx, p)
 		}
 	}
 	for _, d := range m.domains {
-		if d.outbox.urgent && !d.busy {
+		if d.outbox.urgent && !d.inFlight {
 			m.sendSummary(ctx, d)
 		}
 	}
 }
 
-// unsent says whether a living member has yet to hear something urgent.
-func (m *Membership) unsent() bool {
+// hasUnsent reports whether urgent data has not reached an unsuspected broadcast target.
+func (m *Membership) hasUnsent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, p := range m.targets() {
-		if p.suspectedAt.IsZero() && (p.busy || p.outbox.urgent) {
+	for _, p := range m.broadcastTargets() {
+		if p.suspectedAt.IsZero() && (p.inFlight || p.outbox.urgent) {
 			return true
 		}
 	}
