--- a/demand/demand.go
+++ b/demand/demand.go
@@ -145,8 +145,8 @@
 	return c
 }
 
-// Entered counts a request to a service and its prompt tokens.
-func (d *Demand) Entered(service string, prompt int) {
+// RequestStarted counts a request to a service and its prompt tokens.
+func (d *Demand) RequestStarted(service string, prompt int) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,9 +156,9 @@
 	c.prompt.add(float64(prompt), now)
 }
 
-// Sent counts the machine time that a request takes from a replica; zero means
+// AddWork counts the machine time that a request takes from a replica; zero means
 // that it is unknown.
-func (d *Demand) Sent(service string, work time.Duration) {
+func (d *Demand) AddWork(service string, work time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,8 +170,8 @@
 	c.sized.add(1, now)
 }
 
-// Left counts the end of a request.
-func (d *Demand) Left(service string) {
+// RequestEnded counts the end of a request.
+func (d *Demand) RequestEnded(service string) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/demand/demand_test.go
+++ b/demand/demand_test.go
@@ -17,7 +17,7 @@
 		check := is.New(t)
 		d := demand.New("burnaby-a")
 		for range 12 {
-			d.Entered("svc", 300)
+			d.RequestStarted("svc", 300)
 		}
 		time.Sleep(10 * time.Second)
 		check.True(d.Total("svc").Running > 11)
@@ -89,11 +89,11 @@
 		check := is.New(t)
 		d := demand.New("burnaby-a")
 		for range 10 {
-			d.Entered("svc", 300)
+			d.RequestStarted("svc", 300)
 		}
 		time.Sleep(20 * time.Second)
 		for range 60 {
-			d.Entered("svc", 300)
+			d.RequestStarted("svc", 300)
 		}
 		time.Sleep(time.Second)
 		check.True(d.Total("svc").Running > 45) // 27 with a window of three seconds
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -265,7 +265,7 @@
 	c.timeToFirst = time.Since(c.arrived)
 	h.metrics.timeToFirst.Observe(c.timeToFirst.Seconds())
 	if c.organisation != nil {
-		h.config.Meter.Began(c.organisation.Name)
+		h.config.Meter.CountStarted(c.organisation.Name)
 	}
 }
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -108,10 +108,10 @@
 	return wait, wait == 0
 }
 
-func (f *fixture) Began(string)               { f.started.Add(1) }
-func (f *fixture) Entered(string, int)        {}
-func (f *fixture) Sent(string, time.Duration) {}
-func (f *fixture) Left(string)                {}
+func (f *fixture) CountStarted(string)           { f.started.Add(1) }
+func (f *fixture) RequestStarted(string, int)    {}
+func (f *fixture) AddWork(string, time.Duration) {}
+func (f *fixture) RequestEnded(string)           {}
 
 // The host, paths and key of the fixture's configuration. pathStream is a stream that
 // must not be resumed.
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -38,18 +38,18 @@
 
 // Meter counts requests that began to run, for the usage reports.
 type Meter interface {
-	// Began counts one request of the organisation.
-	Began(organisation string)
+	// CountStarted counts one request of the organisation.
+	CountStarted(organisation string)
 }
 
 // Demand records the load of requests that this node receives.
 type Demand interface {
-	// Entered counts a request for a service that starts, and Left one that ends.
-	Entered(service string, promptTokens int)
-	Left(service string)
-	// Sent adds the predicted compute time of a request on its replica; zero if it
+	// RequestStarted counts a request for a service that starts, and Left one that ends.
+	RequestStarted(service string, promptTokens int)
+	RequestEnded(service string)
+	// AddWork adds the predicted compute time of a request on its replica; zero if it
 	// is unknown.
-	Sent(service string, work time.Duration)
+	AddWork(service string, work time.Duration)
 }
 
 // Config configures a Handler.
--- a/forward/run.go
+++ b/forward/run.go
@@ -39,8 +39,8 @@
 // further send is possible.
 func (h *Handler) run(ctx context.Context, w http.ResponseWriter, c *call) {
 	h.config.Budget.Started(c.service)
-	h.config.Demand.Entered(c.service, c.metadata.PromptTokens)
-	defer h.config.Demand.Left(c.service)
+	h.config.Demand.RequestStarted(c.service, c.metadata.PromptTokens)
+	defer h.config.Demand.RequestEnded(c.service)
 	a := &answer{
 		writer: w,
 	}
@@ -105,7 +105,7 @@
 	if upstream == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "no replica").After(noReplicaRetryAfter)
 	}
-	h.config.Demand.Sent(c.service, choice.Work)
+	h.config.Demand.AddWork(c.service, choice.Work)
 	c.fetchFrom, c.cachedTokens = "", choice.CachedTokens
 	if source := h.config.Upstreams.Get(choice.FetchFrom); source != nil {
 		c.fetchFrom = source.Instance.Address
--- a/reports/reports_test.go
+++ b/reports/reports_test.go
@@ -168,7 +168,7 @@
 // of both failure domains has the report within half a second.
 func TestEveryNodeReceivesReportsReadByOne(t *testing.T) {
 	runDeployment(t, 4, func(check *is.I, d *deployment) {
-		d.nodes[2].demand.Entered("models", 1000)
+		d.nodes[2].demand.RequestStarted("models", 1000)
 		time.Sleep(3 * time.Second)
 		d.replicas.setRunning(7)
 		time.Sleep(500 * time.Millisecond)
@@ -194,11 +194,11 @@
 		for second := range 10 {
 			for _, n := range d.nodes {
 				for range 20 {
-					n.demand.Entered("models", 1000)
+					n.demand.RequestStarted("models", 1000)
 				}
 				if second > 0 {
 					for range 20 {
-						n.demand.Left("models")
+						n.demand.RequestEnded("models")
 					}
 				}
 			}
--- a/scaling/demand_test.go
+++ b/scaling/demand_test.go
@@ -190,9 +190,9 @@
 		addOnDemand(fx.market.board, 9)
 		time.Sleep(9 * time.Second)
 		for request := range int(10 * perSecond) {
-			fx.demand.Entered("svc", 1000)
-			fx.demand.Sent("svc", work(request))
-			fx.demand.Left("svc")
+			fx.demand.RequestStarted("svc", 1000)
+			fx.demand.AddWork("svc", work(request))
+			fx.demand.RequestEnded("svc")
 			time.Sleep(time.Duration(float64(time.Second) / perSecond))
 		}
 		verify(fx.market)
--- a/scaling/start_test.go
+++ b/scaling/start_test.go
@@ -301,14 +301,14 @@
 			work = 0
 		}
 		o.sent++
-		load.Entered("svc", 2000)
-		load.Sent("svc", work)
+		load.RequestStarted("svc", 2000)
+		load.AddWork("svc", work)
 		took, ok := f.serve(requestWork)
 		if !ok {
 			o.refused++
-			load.Left("svc")
+			load.RequestEnded("svc")
 		} else {
-			time.AfterFunc(took, func() { load.Left("svc") })
+			time.AfterFunc(took, func() { load.RequestEnded("svc") })
 		}
 		if ok && took <= latencyTarget {
 			o.withinTarget++
@@ -372,8 +372,8 @@
 		time.Sleep(3 * time.Second)
 		f.reclaim()
 		for range 20 * requestsPerSecond {
-			load.Entered("svc", 2000)
-			load.Left("svc")
+			load.RequestStarted("svc", 2000)
+			load.RequestEnded("svc")
 			time.Sleep(time.Second / requestsPerSecond)
 		}
 		check.True(f.size() <= initialReplicas)
--- a/usage/counter.go
+++ b/usage/counter.go
@@ -142,8 +142,8 @@
 	c.revisions = map[string]uint64{}
 }
 
-// Began counts a request of an organisation that begins to run now.
-func (c *Counter) Began(organisation string) {
+// CountStarted counts a request of an organisation that begins to run now.
+func (c *Counter) CountStarted(organisation string) {
 	now, ok := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -150,10 +150,10 @@
 	killed, kill := f.counter("node-1")
 	other, stopOther := f.counter("node-2")
 	for range 3 {
-		killed.Began("acme")
+		killed.CountStarted("acme")
 	}
-	other.Began("acme")
-	other.Began("zeta")
+	other.CountStarted("acme")
+	other.CountStarted("zeta")
 	time.Sleep(1600 * time.Millisecond) // each node writes about once a second
 	kill()
 	f.clock.set(time.Unix(505, 0))
@@ -202,18 +202,18 @@
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	kill := f.run(c.Run)
-	c.Began("acme")
+	c.CountStarted("acme")
 	time.Sleep(2500 * time.Millisecond)
 	dead.Store(true)
 	killFirst()
-	c.Began("acme")
+	c.CountStarted("acme")
 	f.clock.set(time.Unix(503, 0))
 	time.Sleep(1500 * time.Millisecond)
 	writer.Store(handedTo{
 		counter: next,
 		dead:    &atomic.Bool{},
 	})
-	c.Began("acme")
+	c.CountStarted("acme")
 	f.clock.set(time.Unix(504, 0))
 	time.Sleep(2500 * time.Millisecond)
 	kill()
@@ -249,7 +249,7 @@
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	f.run(c.Run)
-	c.Began("acme")
+	c.CountStarted("acme")
 	time.Sleep(3500 * time.Millisecond)
 	lease, _ := f.reporter()
 	lease.set(1)
@@ -262,7 +262,7 @@
 func TestSuccessorSendsTheSame(t *testing.T) {
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
-	c.Began("acme")
+	c.CountStarted("acme")
 	time.Sleep(1200 * time.Millisecond)
 	f.clock.set(time.Unix(512, 0))
 	lease, _ := f.reporter()
@@ -270,7 +270,7 @@
 	first := f.report(100)
 	lease.set(0)
 	f.clock.set(time.Unix(504, 0))
-	c.Began("acme")
+	c.CountStarted("acme")
 	f.clock.set(time.Unix(512, 0))
 	stop()
 	next, _ := f.reporter()
@@ -293,7 +293,7 @@
 func TestReportsWhenTheCloudReturns(t *testing.T) {
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
-	c.Began("acme")
+	c.CountStarted("acme")
 	time.Sleep(1200 * time.Millisecond)
 	stop()
 	f.duties.Fail(zinniamast.ErrUnavailable)
@@ -314,10 +314,10 @@
 	f.store.SetFault(store.Fault{
 		LoseWrites: true,
 	})
-	c.Began("acme")
+	c.CountStarted("acme")
 	time.Sleep(2500 * time.Millisecond)
 	f.store.SetFault(store.Fault{})
-	c.Began("acme")
+	c.CountStarted("acme")
 	stop()
 	lease, _ := f.reporter()
 	lease.set(1)
