--- a/entry/neighbour.go
+++ b/entry/neighbour.go
@@ -47,9 +47,9 @@
 	return told.Change, errors.Join(err, told.Refused.err())
 }
 
-// TellReports implements reports.Peer.
-func (n neighbour) TellReports(ctx context.Context, ask reports.Ask) (reports.Told, error) {
-	var told reports.Told
+// FetchReports implements reports.Peer.
+func (n neighbour) FetchReports(ctx context.Context, ask reports.Query) (reports.Answer, error) {
+	var told reports.Answer
 	err := n.entry.follow.Call(ctx, n.address, reportsName+".Since", ask, &told)
 	return told, err
 }
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -22,9 +22,9 @@
 		Source:         platform.Reports{},
 		Reader:         e.reportReader,
 		Contact:        e.reportContact,
-		Plain:          e.isPlain,
+		IsPlain:        e.isPlain,
 		Demand:         e.demand,
-		Hear:           e.heardReport,
+		OnReport:       e.heardReport,
 		Logger:         e.config.Logger,
 	})
 	return e.peers.RegisterPeer(reportsName, &ReportTeller{sharer: e.reports})
@@ -56,7 +56,7 @@
 }
 
 // Since answers the reports after a position.
-func (t *ReportTeller) Since(ask reports.Ask, reply *reports.Told) error {
-	*reply = t.sharer.Tell(context.Background(), ask)
+func (t *ReportTeller) Since(ask reports.Query, reply *reports.Answer) error {
+	*reply = t.sharer.Answer(context.Background(), ask)
 	return nil
 }
--- a/reports/board.go
+++ b/reports/board.go
@@ -24,8 +24,8 @@
 	QueuedTokens int
 }
 
-// Told is a node's answer to the query of another.
-type Told struct {
+// Answer is a node's answer to the query of another.
+type Answer struct {
 	Reports []Report
 	// Position is where the next query continues.
 	Position uint64
@@ -105,7 +105,7 @@
 // Since returns the reports stored after a position, of one failure domain or of
 // all if failureDomain is empty. If there are none, it waits up to wait for the
 // first. A position outside the range of this board returns all reports at once.
-func (b *Board) Since(ctx context.Context, failureDomain string, position uint64, wait time.Duration) Told {
+func (b *Board) Since(ctx context.Context, failureDomain string, position uint64, wait time.Duration) Answer {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -123,14 +123,14 @@
 	}
 }
 
-func (b *Board) since(failureDomain string, position uint64) (Told, <-chan struct{}) {
+func (b *Board) since(failureDomain string, position uint64) (Answer, <-chan struct{}) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if position > b.position {
 		position = 0
 	}
-	answer := Told{
+	answer := Answer{
 		Position: b.position,
 	}
 	for _, e := range b.reports {
--- a/reports/reader.go
+++ b/reports/reader.go
@@ -33,7 +33,7 @@
 	var group errgroup.Group
 	group.SetLimit(concurrentReads)
 	for _, u := range s.config.Upstreams.All() {
-		if u.Leaving() || u.Instance.FailureDomain != s.config.FailureDomain || s.config.Plain(u.Instance.Service) {
+		if u.Leaving() || u.Instance.FailureDomain != s.config.FailureDomain || s.config.IsPlain(u.Instance.Service) {
 			continue
 		}
 		group.Go(func() error {
--- a/reports/reports_test.go
+++ b/reports/reports_test.go
@@ -80,13 +80,13 @@
 
 var errDead = errors.New("no answer")
 
-// TellReports implements reports.Peer.
-func (n *node) TellReports(ctx context.Context, ask reports.Ask) (reports.Told, error) {
+// FetchReports implements reports.Peer.
+func (n *node) FetchReports(ctx context.Context, ask reports.Query) (reports.Answer, error) {
 	if n.dead.Load() {
 		<-ctx.Done()
-		return reports.Told{}, errDead
+		return reports.Answer{}, errDead
 	}
-	return n.sharer.Tell(ctx, ask), nil
+	return n.sharer.Answer(ctx, ask), nil
 }
 
 // firstAlive returns the first living node of a failure domain.
@@ -151,9 +151,9 @@
 				}
 				return nil
 			},
-			Plain:  func(string) bool { return false },
-			Demand: n.demand,
-			Hear:   n.receive,
+			IsPlain:  func(string) bool { return false },
+			Demand:   n.demand,
+			OnReport: n.receive,
 		})
 		d.nodes = append(d.nodes, n)
 	}
--- a/reports/share.go
+++ b/reports/share.go
@@ -16,8 +16,8 @@
 	Load(ctx context.Context, upstream *blackboard.Upstream) (zinniamast.LoadReport, error)
 }
 
-// Ask is a query for the reports of another node.
-type Ask struct {
+// Query is a query for the reports of another node.
+type Query struct {
 	// FailureDomain restricts the answer to its replicas; empty means all.
 	FailureDomain string
 	Position      uint64
@@ -30,7 +30,7 @@
 
 // Peer fetches reports from another node.
 type Peer interface {
-	TellReports(ctx context.Context, ask Ask) (Told, error)
+	FetchReports(ctx context.Context, ask Query) (Answer, error)
 }
 
 // Config configures a Sharer.
@@ -47,12 +47,12 @@
 	Reader func() Peer
 	// Contact returns a node of another failure domain, or nil if none is known.
 	Contact func(failureDomain string) Peer
-	// Plain reports whether a service's replicas send no load reports.
-	Plain func(service string) bool
+	// IsPlain reports whether a service's replicas send no load reports.
+	IsPlain func(service string) bool
 	// Demand is the load of the services, sent together with the reports.
 	Demand *demand.Demand
-	// Hear receives each new report.
-	Hear func(replica string, report zinniamast.LoadReport)
+	// OnReport receives each new report.
+	OnReport func(replica string, report zinniamast.LoadReport)
 	// Logger logs replicas and nodes that do not answer; nil means slog.Default.
 	Logger *slog.Logger
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// Tell answers the query of another node.
-func (s *Sharer) Tell(ctx context.Context, ask Ask) Told {
+// Answer answers the query of another node.
+func (s *Sharer) Answer(ctx context.Context, ask Query) Answer {
 	if ask.Node != "" {
 		s.config.Demand.ReceiveNode(ask.Node, ask.Loads)
 	}
@@ -128,7 +128,7 @@
 			pause(ctx, readInterval)
 			continue
 		}
-		position = s.query(ctx, peer, Ask{
+		position = s.query(ctx, peer, Query{
 			Position: position,
 			Node:     s.config.Node,
 			Loads:    s.config.Demand.Own(),
@@ -149,7 +149,7 @@
 			pause(ctx, retryDelay)
 			continue
 		}
-		position = s.query(ctx, peer, Ask{
+		position = s.query(ctx, peer, Query{
 			FailureDomain: domain,
 			Position:      position,
 		})
@@ -159,11 +159,11 @@
 // query stores the answer of a peer and returns the position to continue from. A
 // position that another peer gave is harmless: the answer holds too much or,
 // once, nothing new.
-func (s *Sharer) query(ctx context.Context, peer Peer, ask Ask) uint64 {
+func (s *Sharer) query(ctx context.Context, peer Peer, ask Query) uint64 {
 	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	ask.Wait = queryWait
-	answer, err := peer.TellReports(queryCtx, ask)
+	answer, err := peer.FetchReports(queryCtx, ask)
 	if err != nil {
 		s.config.Logger.Debug("fetching load reports from another node failed", "failure_domain", ask.FailureDomain, "cause", err)
 		pause(ctx, retryDelay)
@@ -180,7 +180,7 @@
 func (s *Sharer) apply(reports []Report) {
 	now := time.Now()
 	for _, r := range s.board.Put(reports) {
-		s.config.Hear(r.Replica, zinniamast.LoadReport{
+		s.config.OnReport(r.Replica, zinniamast.LoadReport{
 			At:           now.Add(-r.Age),
 			Running:      r.Running,
 			Waiting:      r.Waiting,
