--- a/attempt/stream.go
+++ b/attempt/stream.go
@@ -39,10 +39,10 @@
 	r.enter(f)
 	defer r.exit(f)
 	watch := silence.New(silence.Config{
-		First:  firstTokenStall + firstTokenFactor*choice.FirstToken,
-		Pause:  nextTokenStall,
-		Leave:  func() bool { return r.mayLeave(p, upstream) },
-		Cancel: stop,
+		First:    firstTokenStall + firstTokenFactor*choice.FirstToken,
+		Pause:    nextTokenStall,
+		MayLeave: func() bool { return r.mayLeave(p, upstream) },
+		Cancel:   stop,
 	})
 	defer watch.Stop()
 	err := r.stream(ctx, p, f, watch)
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		watch.Heard()
+		watch.Received()
 		if len(chunk.IDs) == 0 {
 			continue
 		}
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -209,7 +209,7 @@
 		FailureDomain: s.FailureDomain,
 		Router:        e.router,
 		Protocol:      platform.Headers{},
-		Budget: retry.NewWindow(retry.WindowConfig{
+		RetryBudget: retry.NewWindow(retry.WindowConfig{
 			Ratio:  s.Bounds.RetryRatio,
 			Slack:  s.Bounds.RetrySlack,
 			Window: s.Bounds.RetryWindow,
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -55,12 +55,12 @@
 // forwardAnswer checks the status and the headers of a replica's answer and
 // forwards the answer to the caller.
 func (h *Handler) forwardAnswer(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, watch *silence.Watch, started time.Time) *zinniamast.UpstreamError {
-	reply := h.config.Protocol.Reply(response)
+	reply := h.config.Protocol.ReadResponse(response)
 	if reply.ID != "" && reply.ID != c.metadata.ID {
 		return upstreamError(upstream, zinniamast.FailureCrossed, fmt.Errorf("forward: answer belongs to request %q", reply.ID))
 	}
 	if reply.NotRun {
-		if reply.Elsewhere && h.config.Upstreams.MarkLeaving(upstream.Instance.ID, time.Time{}) {
+		if reply.WrongInstance && h.config.Upstreams.MarkLeaving(upstream.Instance.ID, time.Time{}) {
 			h.config.Logger.Info("replica marked as leaving", "replica", upstream.Instance.ID, "sign", "another instance answers")
 		}
 		return upstreamError(upstream, zinniamast.FailureRefused, fmt.Errorf("forward: replica refused the request with status %d", response.StatusCode))
@@ -83,7 +83,7 @@
 // server error on a safe route is kept and the request may be retried.
 func (h *Handler) forwardPlain(a *answer, c *call, upstream *blackboard.Upstream, response *http.Response, watch *silence.Watch, started time.Time) *zinniamast.UpstreamError {
 	h.recordStart(c, upstream, started)
-	watch.Heard()
+	watch.Received()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		return upstreamError(upstream, zinniamast.FailureCutShort, err)
@@ -183,7 +183,7 @@
 			if writeErr := a.writeEvents(buffer[:whole], response); writeErr != nil {
 				return upstreamError(upstream, zinniamast.FailureStopped, writeErr)
 			}
-			watch.Heard()
+			watch.Received()
 			filled = copy(buffer, buffer[whole:filled])
 		}
 		if err == io.EOF && filled == 0 && a.begun {
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -98,8 +98,10 @@
 	isSpent func() bool
 }
 
-// Again implements forward.Budget.
-func (e exhaustibleBudget) Again(service string) bool { return !e.isSpent() && e.Window.Again(service) }
+// AllowRetry implements forward.RetryBudget.
+func (e exhaustibleBudget) AllowRetry(service string) bool {
+	return !e.isSpent() && e.Window.AllowRetry(service)
+}
 
 // Take implements forward.Allowance. It grants every request unless refusalWait is
 // set.
@@ -209,7 +211,7 @@
 			fixture: f,
 		},
 		Protocol: platform.Headers{},
-		Budget: exhaustibleBudget{
+		RetryBudget: exhaustibleBudget{
 			Window: retry.NewWindow(retry.WindowConfig{
 				Ratio:  0.2,
 				Slack:  20,
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -20,12 +20,12 @@
 	"zinniamast/routes"
 )
 
-// Budget bounds the retries sent to a service by all nodes together.
-type Budget interface {
+// RetryBudget bounds the retries sent to a service by all nodes together.
+type RetryBudget interface {
 	// Started counts the first send of a request.
 	Started(service string)
-	// Again reports whether one more retry may be sent, and counts it if so.
-	Again(service string) bool
+	// AllowRetry reports whether one more retry may be sent, and counts it if so.
+	AllowRetry(service string) bool
 }
 
 // Allowance limits the requests or tokens of each organisation over all nodes.
@@ -60,7 +60,7 @@
 	FailureDomain string
 	Router        zinniamast.Router
 	Protocol      Protocol
-	Budget        Budget
+	RetryBudget   RetryBudget
 	Allowance     Allowance
 	Quarantine    zinniamast.Quarantine
 	Meter         Meter
@@ -141,7 +141,7 @@
 	}
 	if cause != http.ErrAbortHandler {
 		h.metrics.brokenOff.WithLabelValues(reasonPanic).Inc()
-		h.config.Logger.Error("handler panicked", "request", h.config.Protocol.Ask(r.Header).ID,
+		h.config.Logger.Error("handler panicked", "request", h.config.Protocol.ReadRequest(r.Header).ID,
 			"cause", cause, "stack", string(debug.Stack()))
 	}
 	panic(http.ErrAbortHandler)
@@ -153,7 +153,7 @@
 // call is the state of one caller's request.
 type call struct {
 	request  *http.Request
-	metadata Ask
+	metadata RequestMetadata
 	arrived  time.Time
 	// deadline is the time by which the caller gets an answer or a refusal.
 	deadline     time.Time
@@ -206,7 +206,7 @@
 func (h *Handler) admit(r *http.Request, arrived time.Time) (*call, *zinniamast.Refusal) {
 	c := &call{
 		request:  r,
-		metadata: h.config.Protocol.Ask(r.Header),
+		metadata: h.config.Protocol.ReadRequest(r.Header),
 		arrived:  arrived,
 		ran:      zinniamast.NotRun,
 	}
@@ -286,7 +286,7 @@
 
 // deadline returns the earlier of the caller's and the route's deadline.
 func deadline(c *call, arrived time.Time) time.Time {
-	timeout := c.metadata.Budget
+	timeout := c.metadata.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
@@ -368,7 +368,7 @@
 	amount := 1.0
 	if c.organisation.ByTokens {
 		amount = float64(c.organisation.UncountedTokens)
-		if c.metadata.Counted {
+		if c.metadata.HasTokenCounts {
 			amount = float64(c.metadata.PromptTokens + c.metadata.MaxTokens)
 		}
 	}
--- a/forward/protocol.go
+++ b/forward/protocol.go
@@ -12,34 +12,34 @@
 
 // Protocol reads and writes the headers that a deployment defines.
 type Protocol interface {
-	// Ask reads the request metadata from a caller's headers.
-	Ask(header http.Header) Ask
-	// Deliver rewrites a caller's headers for a replica.
-	Deliver(header http.Header, delivery Delivery)
-	// Reply reads the metadata of a replica's answer.
-	Reply(response *http.Response) Reply
+	// ReadRequest reads the request metadata from a caller's headers.
+	ReadRequest(header http.Header) RequestMetadata
+	// WriteRequest rewrites a caller's headers for a replica.
+	WriteRequest(header http.Header, delivery Delivery)
+	// ReadResponse reads the metadata of a replica's answer.
+	ReadResponse(response *http.Response) Reply
 	// RetryAfter formats the value of the Retry-After header.
 	RetryAfter(wait time.Duration) string
 }
 
-// Ask is the metadata that a caller sends with its request.
-type Ask struct {
+// RequestMetadata is the metadata that a caller sends with its request.
+type RequestMetadata struct {
 	// ID identifies the caller's attempt; empty if the caller sent none.
 	ID string
 	// Key is the organisation's API key; empty if the caller sent none.
 	Key string
-	// Budget is the caller's timeout; zero if the caller sent none.
-	Budget time.Duration
+	// Timeout is the caller's timeout; zero if the caller sent none.
+	Timeout time.Duration
 	// PromptTokens is the length of the prompt and MaxTokens the maximum length of
 	// the answer. Counted reports whether the caller sent them.
-	PromptTokens int
-	MaxTokens    int
-	Counted      bool
+	PromptTokens   int
+	MaxTokens      int
+	HasTokenCounts bool
 	// Parts are the parts of the prompt in order, each identified by its ID.
 	Parts []prefix.Part
-	// After is the ID of the last event of the stream that the caller has received;
+	// LastEventID is the ID of the last event of the stream that the caller has received;
 	// empty for a new stream.
-	After string
+	LastEventID string
 }
 
 // Delivery is the metadata that a replica receives with a request.
@@ -48,16 +48,16 @@
 	Instance string
 	// Organisation is the caller's organisation; empty on anonymous routes.
 	Organisation string
-	// Left is the time until the caller's deadline.
-	Left time.Duration
+	// Remaining is the time until the caller's deadline.
+	Remaining time.Duration
 	// Priority is the rank of the request at the replica; 0 is the most urgent.
 	Priority int
 	// FetchFrom is the host:port of the replica from which this replica fetches the
 	// parts of the prompt missing in its KV cache; empty if it fetches nothing.
 	FetchFrom string
-	// After is the ID of the last event that the caller has received; empty leaves
+	// LastEventID is the ID of the last event that the caller has received; empty leaves
 	// the header unchanged.
-	After string
+	LastEventID string
 }
 
 // Reply is the metadata of a replica's answer.
@@ -70,6 +70,6 @@
 	// NotRun reports the replica's promise that it has not run the request and will
 	// not run it.
 	NotRun bool
-	// Elsewhere reports whether another instance answered at the replica's address.
-	Elsewhere bool
+	// WrongInstance reports whether another instance answered at the replica's address.
+	WrongInstance bool
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -38,7 +38,7 @@
 // run sends a request to one replica after another until one has answered or no
 // further send is possible.
 func (h *Handler) run(ctx context.Context, w http.ResponseWriter, c *call) {
-	h.config.Budget.Started(c.service)
+	h.config.RetryBudget.Started(c.service)
 	h.config.Demand.RequestStarted(c.service, c.metadata.PromptTokens)
 	defer h.config.Demand.RequestEnded(c.service)
 	a := &answer{
@@ -203,10 +203,10 @@
 	defer cancel(nil)
 	timeouts := silenceTimeoutsOf(c)
 	watch := silence.New(silence.Config{
-		First:  timeouts.first,
-		Pause:  timeouts.pause,
-		Leave:  func() bool { return h.mayLeave(c, upstream.Instance.ID) },
-		Cancel: cancel,
+		First:    timeouts.first,
+		Pause:    timeouts.pause,
+		MayLeave: func() bool { return h.mayLeave(c, upstream.Instance.ID) },
+		Cancel:   cancel,
 	})
 	defer watch.Stop()
 	response, err := upstream.Replica.Send(ctx, request)
@@ -279,13 +279,13 @@
 		// An empty value keeps net/http from adding its own User-Agent.
 		header["User-Agent"] = []string{""}
 	}
-	h.config.Protocol.Deliver(header, Delivery{
+	h.config.Protocol.WriteRequest(header, Delivery{
 		Instance:     upstream.Instance.ID,
 		Organisation: c.organisationName(),
-		Left:         time.Until(c.deadline),
+		Remaining:    time.Until(c.deadline),
 		Priority:     c.priority,
 		FetchFrom:    c.fetchFrom,
-		After:        after,
+		LastEventID:  after,
 	})
 	request := &http.Request{
 		Method: c.request.Method,
@@ -341,7 +341,7 @@
 // chargeRetry charges the retry budget for the next send of a request, unless that
 // send was charged already. It returns a refusal if the budget is used up.
 func (h *Handler) chargeRetry(c *call) *zinniamast.Refusal {
-	if !c.retryCharged && !h.config.Budget.Again(c.service) {
+	if !c.retryCharged && !h.config.RetryBudget.AllowRetry(c.service) {
 		return zinniamast.Refuse(zinniamast.ReasonRetryBudget, "the service's retries are used up").With(c.ran).After(fullRetryAfter)
 	}
 	c.retryCharged = true
--- a/retry/window.go
+++ b/retry/window.go
@@ -70,8 +70,8 @@
 	c.started[c.newest%(windowSlots+1)]++
 }
 
-// Again reports whether a request may be sent again, and counts the send if so.
-func (w *Window) Again(service string) bool {
+// AllowRetry reports whether a request may be sent again, and counts the send if so.
+func (w *Window) AllowRetry(service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -36,7 +36,7 @@
 				started = append(started, now)
 			}
 			for range rapid.IntRange(0, 5).Draw(t, "repeats") {
-				if node.Again("svc") {
+				if node.AllowRetry("svc") {
 					repeated = append(repeated, now)
 				}
 			}
@@ -77,7 +77,7 @@
 	})
 	count := func() int {
 		allowed := 0
-		for w.Again("svc") {
+		for w.AllowRetry("svc") {
 			allowed++
 		}
 		return allowed
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -24,9 +24,9 @@
 	// Pause bounds the wait for each further piece of data; zero ends the watch with
 	// the first.
 	Pause time.Duration
-	// Leave reports whether the request may leave its replica, and charges the retry
+	// MayLeave reports whether the request may leave its replica, and charges the retry
 	// budget for its next attempt if so. It is not called after Stop has returned.
-	Leave func() bool
+	MayLeave func() bool
 	// Cancel cancels the attempt.
 	Cancel context.CancelCauseFunc
 }
@@ -71,7 +71,7 @@
 	if w.stopped || w.deadline.IsZero() || time.Now().Before(w.deadline) {
 		return
 	}
-	if !w.config.Leave() {
+	if !w.config.MayLeave() {
 		w.startTimer(recheckInterval)
 		return
 	}
@@ -92,8 +92,8 @@
 	w.timer.Stop()
 }
 
-// Heard records data from the replica and starts the wait for the next.
-func (w *Watch) Heard() {
+// Received records data from the replica and starts the wait for the next.
+func (w *Watch) Received() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer == nil || w.stopped {
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -28,7 +28,7 @@
 	f.watch = silence.New(silence.Config{
 		First: first,
 		Pause: pause,
-		Leave: func() bool {
+		MayLeave: func() bool {
 			f.leaveCalls.Add(1)
 			return f.mayLeave.Load()
 		},
@@ -62,7 +62,7 @@
 		f.mayLeave.Store(true)
 		for range 5 {
 			time.Sleep(400 * time.Millisecond)
-			f.watch.Heard()
+			f.watch.Received()
 		}
 		check.NoErr(f.ctx.Err())
 		time.Sleep(600 * time.Millisecond)
@@ -80,7 +80,7 @@
 		synctest.Wait()
 		check.True(!f.watch.Stop())
 		calls := f.leaveCalls.Load()
-		f.watch.Heard()
+		f.watch.Received()
 		time.Sleep(time.Minute)
 		check.Equal(f.leaveCalls.Load(), calls)
 	})
@@ -92,7 +92,7 @@
 		check := is.New(t)
 		f := newFixture(time.Second, 0)
 		f.mayLeave.Store(true)
-		f.watch.Heard()
+		f.watch.Received()
 		time.Sleep(time.Minute)
 		check.NoErr(f.ctx.Err())
 	})
@@ -104,11 +104,11 @@
 		check := is.New(t)
 		f := newFixture(time.Second, time.Second)
 		f.mayLeave.Store(true)
-		f.watch.Heard()
+		f.watch.Received()
 		f.watch.Suspend()
 		time.Sleep(time.Minute)
 		check.NoErr(f.ctx.Err())
-		f.watch.Heard()
+		f.watch.Received()
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
 		check.Equal(context.Cause(f.ctx), silence.ErrSilent)
