--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -156,21 +156,21 @@
 		return
 	}
 	predicted := routing.New(routing.Config{
-		Board:         e.board,
-		Node:          s.Instance,
-		FailureDomain: s.FailureDomain,
-		Gossip:        e.members,
-		HomeCost:      homeCost,
-		HomeHolds:     homeHolds,
-		FetchTime:     e.fetchTime,
-		SilentAfter:   silentAfter,
-		Plain:         e.isPlain,
-		Logger:        e.config.Logger,
-		Registerer:    e.registry,
+		Board:             e.board,
+		Node:              s.Instance,
+		FailureDomain:     s.FailureDomain,
+		Gossip:            e.members,
+		HomeCostRatio:     homeCost,
+		HomeCachedShare:   homeHolds,
+		FetchTimePerToken: e.fetchTime,
+		SilentAfter:       silentAfter,
+		ServesCalls:       e.isPlain,
+		Logger:            e.config.Logger,
+		Registerer:        e.registry,
 	})
 	e.router = predicted
 	e.runRouter = predicted.Run
-	e.reported = predicted.Reported
+	e.reported = predicted.RecordReport
 }
 
 // fetchTime is how long a service's replicas take to fetch a token from another.
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -101,9 +101,9 @@
 		Seed:          1,
 	}
 	platform := own
-	platform.HomeCost = 1.3
-	platform.HomeHolds = 0.7
-	platform.FetchTime = func(string) time.Duration { return 500 * time.Nanosecond }
+	platform.HomeCostRatio = 1.3
+	platform.HomeCachedShare = 0.7
+	platform.FetchTimePerToken = func(string) time.Duration { return 500 * time.Nanosecond }
 	return map[string]routing.Config{
 		"own":      own,
 		"platform": platform,
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -84,9 +84,9 @@
 // if the prefix is not worth a transfer.
 func (r *Router) fetchTimePerToken(need *zinniamast.Need) (time.Duration, bool) {
 	blocks := len(r.lookup.hashes)
-	if blocks == 0 || r.config.FetchTime == nil || r.config.BlockTokens(blocks-1) < minFetchTokens {
+	if blocks == 0 || r.config.FetchTimePerToken == nil || r.config.BlockTokens(blocks-1) < minFetchTokens {
 		return 0, false
 	}
-	perToken := r.config.FetchTime(need.Service)
+	perToken := r.config.FetchTimePerToken(need.Service)
 	return perToken, perToken > 0 && perToken <= maxFetchTimePerToken
 }
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -32,13 +32,13 @@
 	}
 	node := func(perToken time.Duration) *routing.Router {
 		return routing.New(routing.Config{
-			Board:         board,
-			Node:          "node",
-			FailureDomain: domains[0],
-			HomeHolds:     0.7,
-			Seed:          1,
-			FetchTime:     func(string) time.Duration { return perToken },
-			Now:           clock.Now,
+			Board:             board,
+			Node:              "node",
+			FailureDomain:     domains[0],
+			HomeCachedShare:   0.7,
+			Seed:              1,
+			FetchTimePerToken: func(string) time.Duration { return perToken },
+			Now:               clock.Now,
 		})
 	}
 	route := func(router *routing.Router, of *zinniamast.Need) zinniamast.Choice {
@@ -48,7 +48,7 @@
 	}
 	fill := func(router *routing.Router, replica string) {
 		clock.advance(time.Second)
-		router.Reported(replica, zinniamast.LoadReport{
+		router.RecordReport(replica, zinniamast.LoadReport{
 			At:      clock.Now(),
 			Running: 16,
 		})
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -155,7 +155,7 @@
 	if upstream.Service != nil {
 		return true
 	}
-	return r.config.Plain != nil && r.config.Plain(upstream.Instance.Service)
+	return r.config.ServesCalls != nil && r.config.ServesCalls(upstream.Instance.Service)
 }
 
 // forget removes the state of a replica that is no longer on the blackboard.
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -20,7 +20,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gatherCandidates(r.fleet(need.Service, now), need, now)
-	best, _ := choose(r.candidates, need, r.config.HomeCost)
+	best, _ := choose(r.candidates, need, r.config.HomeCostRatio)
 	if best < 0 {
 		return limits.Forecast{}
 	}
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -56,18 +56,18 @@
 	}
 	node := func(name string, homeHolds float64) *routing.Router {
 		return routing.New(routing.Config{
-			Board:         board,
-			Node:          name,
-			FailureDomain: domains[0],
-			HomeCost:      1.6,
-			HomeHolds:     homeHolds,
-			Seed:          uint64(len(name)),
-			Now:           clock.Now,
+			Board:           board,
+			Node:            name,
+			FailureDomain:   domains[0],
+			HomeCostRatio:   1.6,
+			HomeCachedShare: homeHolds,
+			Seed:            uint64(len(name)),
+			Now:             clock.Now,
 		})
 	}
 	routeWithBusyHome := func(router *routing.Router, replica string) string {
 		clock.advance(time.Second)
-		router.Reported(replica, zinniamast.LoadReport{
+		router.RecordReport(replica, zinniamast.LoadReport{
 			At:           clock.Now(),
 			Running:      5,
 			QueuedTokens: 1500,
@@ -92,7 +92,7 @@
 
 	// A full home is not chosen.
 	clock.advance(time.Second)
-	first.Reported(home.Upstream, zinniamast.LoadReport{
+	first.RecordReport(home.Upstream, zinniamast.LoadReport{
 		At:      clock.Now(),
 		Running: 16,
 	})
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -168,7 +168,7 @@
 				attempt := fmt.Sprint(worker, i)
 				startAttempt(router, need, choice.Upstream, attempt)
 				router.Forecast(need)
-				router.Reported(choice.Upstream, zinniamast.LoadReport{At: time.Now()})
+				router.RecordReport(choice.Upstream, zinniamast.LoadReport{At: time.Now()})
 				router.Observe(zinniamast.Observation{
 					Kind:     zinniamast.ObservedEnd,
 					Attempt:  attempt,
--- a/routing/predict.go
+++ b/routing/predict.go
@@ -128,7 +128,7 @@
 // expectHomeHits adds the tokens that are probably cached at a home because other nodes
 // sent them there.
 func (r *Router) expectHomeHits(c *candidate, need *zinniamast.Need, now time.Time) {
-	if r.config.HomeHolds > 0 {
+	if r.config.HomeCachedShare > 0 {
 		r.expectHomePrefix(c, need, now)
 		return
 	}
@@ -149,7 +149,7 @@
 	if len(r.lookup.hashes) == 0 || c.replica != r.longestAnchorHome {
 		return
 	}
-	homeTokens := int(r.config.HomeHolds * float64(r.config.BlockTokens(len(r.lookup.hashes)-1)))
+	homeTokens := int(r.config.HomeCachedShare * float64(r.config.BlockTokens(len(r.lookup.hashes)-1)))
 	if homeTokens > c.cachedTokens {
 		c.cachedTokens = min(homeTokens, need.PromptTokens)
 		r.predict(c, need, now)
--- a/routing/report.go
+++ b/routing/report.go
@@ -7,8 +7,8 @@
 	"zinniamast"
 )
 
-// Reported records an engine's load report.
-func (r *Router) Reported(upstream string, report zinniamast.LoadReport) {
+// RecordReport records an engine's load report.
+func (r *Router) RecordReport(upstream string, report zinniamast.LoadReport) {
 	if report.Leaving {
 		r.config.Board.Upstreams.MarkLeaving(upstream, time.Time{})
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -40,21 +40,21 @@
 	// ExplainedDecisions is the number of recent decisions that Explain can describe;
 	// 512 if zero.
 	ExplainedDecisions int
-	// HomeCost is the highest cost of a prefix's home, as a multiple of the cheapest
+	// HomeCostRatio is the highest cost of a prefix's home, as a multiple of the cheapest
 	// candidate's cost, at which the home is still preferred; 1.2 if zero. A higher
 	// value avoids recomputing prefixes that other nodes' requests have cached there,
 	// for engines that do not report the contents of their caches.
-	HomeCost float64
-	// HomeHolds is the fraction of a prompt's prefix that its home is assumed to have
+	HomeCostRatio float64
+	// HomeCachedShare is the fraction of a prompt's prefix that its home is assumed to have
 	// cached although this node has not sent it there, for engines that do not report
 	// the contents of their caches; zero for engines that do.
-	HomeHolds float64
-	// FetchTime returns how long a service's replicas take per token to fetch a prefix
+	HomeCachedShare float64
+	// FetchTimePerToken returns how long a service's replicas take per token to fetch a prefix
 	// that another replica has cached; zero if they cannot. Nil means that none can.
-	FetchTime func(service string) time.Duration
-	// Plain reports whether a service whose replicas receive requests unchanged
+	FetchTimePerToken func(service string) time.Duration
+	// ServesCalls reports whether a service whose replicas receive requests unchanged
 	// answers calls instead of prompts; nil means that none does.
-	Plain func(service string) bool
+	ServesCalls func(service string) bool
 	// SilentAfter is the age difference to the newest report of its failure domain
 	// beyond which a replica counts as silent, if all replicas are polled alike. Zero
 	// if only some are polled occasionally: a missing report then indicates no fault.
@@ -92,8 +92,8 @@
 	if c.ExplainedDecisions == 0 {
 		c.ExplainedDecisions = defaultExplainedDecisions
 	}
-	if c.HomeCost == 0 {
-		c.HomeCost = costTolerance
+	if c.HomeCostRatio == 0 {
+		c.HomeCostRatio = costTolerance
 	}
 	if c.PollsPerSecond == 0 {
 		c.PollsPerSecond = defaultPollsPerSecond
@@ -187,7 +187,7 @@
 	defer r.mu.Unlock()
 	f := r.fleet(need.Service, now)
 	r.gatherCandidates(f, need, now)
-	best, reason := choose(r.candidates, need, r.config.HomeCost)
+	best, reason := choose(r.candidates, need, r.config.HomeCostRatio)
 	if best < 0 {
 		r.metrics.choices.WithLabelValues(choiceNone).Inc()
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -283,8 +283,8 @@
 		startAttempt(router, need, "engine-0000", fmt.Sprint(i))
 	}
 	clock.advance(time.Second)
-	router.Reported("engine-0000", zinniamast.LoadReport{At: taken})
-	router.Reported("engine-0001", zinniamast.LoadReport{
+	router.RecordReport("engine-0000", zinniamast.LoadReport{At: taken})
+	router.RecordReport("engine-0001", zinniamast.LoadReport{
 		At:           taken,
 		Running:      2,
 		QueuedTokens: 4000,
@@ -293,12 +293,12 @@
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0001")
 	before := choice.FirstToken
-	router.Reported("engine-0000", zinniamast.LoadReport{
+	router.RecordReport("engine-0000", zinniamast.LoadReport{
 		At:           clock.now,
 		Running:      6,
 		QueuedTokens: 24_000,
 	})
-	router.Reported("engine-0001", zinniamast.LoadReport{
+	router.RecordReport("engine-0001", zinniamast.LoadReport{
 		At:           clock.now,
 		Running:      40,
 		QueuedTokens: 100_000,
--- a/routing/run.go
+++ b/routing/run.go
@@ -160,7 +160,7 @@
 		return
 	}
 	r.metrics.polls.WithLabelValues(pollRead).Inc()
-	r.Reported(a.replica.id, a.report)
+	r.RecordReport(a.replica.id, a.report)
 	r.RecordCacheEvents(a.replica.id, a.events)
 }
 
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -43,7 +43,7 @@
 		PromptTokens: 500,
 	}
 	report := func(id string, running int) {
-		router.Reported(id, zinniamast.LoadReport{
+		router.RecordReport(id, zinniamast.LoadReport{
 			At:      clock.Now(),
 			Running: running,
 		})
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -82,7 +82,7 @@
 		Board:         twoReplicaBoard(6),
 		Node:          "node",
 		FailureDomain: domains[0],
-		Plain:         func(string) bool { return true },
+		ServesCalls:   func(string) bool { return true },
 		Seed:          5,
 		Now:           clock.Now,
 	})
