--- a/entry/allowance.go
+++ b/entry/allowance.go
@@ -24,18 +24,18 @@
 		Tolerance:    tolerance,
 	}
 	e.pools = limits.NewPool(pool)
-	pool.Apart = true
-	e.apart = limits.NewPool(pool)
+	pool.IsDomainPool = true
+	e.domainPool = limits.NewPool(pool)
 	e.allowance = limits.NewAllowance(limits.AllowanceConfig{
 		Node:          s.Instance,
 		FailureDomain: s.FailureDomain,
 		Holders:       e.holders,
-		Ask:           e.askPool,
+		Take:          e.askPool,
 		Renew:         e.renewLoans,
 		NotSent:       peer.DidNotRun,
 		Organisations: e.organisations,
-		Pool:          e.pools,
-		Apart:         e.apart,
+		FleetPool:     e.pools,
+		DomainPool:    e.domainPool,
 		Logger:        e.config.Logger,
 	})
 }
@@ -72,7 +72,7 @@
 }
 
 // askPool asks another node.
-func (e *Entry) askPool(ctx context.Context, address string, ask limits.PoolAsk) (limits.PoolAnswer, error) {
+func (e *Entry) askPool(ctx context.Context, address string, ask limits.PoolRequest) (limits.PoolAnswer, error) {
 	var answer limits.PoolAnswer
 	err := e.pool.Call(ctx, address, allowanceName+".Take", ask, &answer)
 	return answer, err
@@ -85,20 +85,20 @@
 
 // Pools answers other nodes that ask this one's pools.
 type Pools struct {
-	pool  *limits.Pool
-	apart *limits.Pool
+	pool       *limits.Pool
+	domainPool *limits.Pool
 }
 
 func (p *Pools) of(apart bool) *limits.Pool {
 	if apart {
-		return p.apart
+		return p.domainPool
 	}
 	return p.pool
 }
 
 // Take takes from an organisation's pool.
-func (p *Pools) Take(ask limits.PoolAsk, answer *limits.PoolAnswer) error {
-	*answer = p.of(ask.Apart).Answer(ask)
+func (p *Pools) Take(ask limits.PoolRequest, answer *limits.PoolAnswer) error {
+	*answer = p.of(ask.Apart).Take(ask)
 	return nil
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -101,19 +101,19 @@
 	peers    *peer.Server
 	pool     *peer.Pool
 	// follow carries calls that wait, apart from heartbeats and quick calls.
-	follow    *peer.Pool
-	members   *membership.Membership
-	demand    *demand.Demand
-	pools     *limits.Pool
-	apart     *limits.Pool
-	allowance *limits.Allowance
-	reports   *reports.Sharer
-	usage     *usage.Counter
-	lease     *lease.Lease
-	reporter  *usage.Reporter
-	scaling   *scaling.Controller
-	registry  *prometheus.Registry
-	callers   *http.Server
+	follow     *peer.Pool
+	members    *membership.Membership
+	demand     *demand.Demand
+	pools      *limits.Pool
+	domainPool *limits.Pool
+	allowance  *limits.Allowance
+	reports    *reports.Sharer
+	usage      *usage.Counter
+	lease      *lease.Lease
+	reporter   *usage.Reporter
+	scaling    *scaling.Controller
+	registry   *prometheus.Registry
+	callers    *http.Server
 	// giveUp ends what is still running for callers.
 	giveUp    context.CancelCauseFunc
 	ready     *http.Server
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -57,8 +57,8 @@
 	return errors.Join(
 		e.peers.RegisterPeer(membership.ServiceName, e.members.Receiver()),
 		e.peers.RegisterPeer(allowanceName, &Pools{
-			pool:  e.pools,
-			apart: e.apart,
+			pool:       e.pools,
+			domainPool: e.domainPool,
 		}),
 		e.peers.RegisterPeer(relayName, e.newRelay()),
 	)
--- a/limits/allowance.go
+++ b/limits/allowance.go
@@ -42,8 +42,8 @@
 	FailureDomain string
 	// Holders returns all nodes, including this one.
 	Holders func() []Holder
-	// Ask sends a request for tokens to another node's pool.
-	Ask func(ctx context.Context, address string, ask PoolAsk) (PoolAnswer, error)
+	// Take sends a request for tokens to another node's pool.
+	Take func(ctx context.Context, address string, ask PoolRequest) (PoolAnswer, error)
 	// Renew renews this node's loans to another node's pools.
 	Renew func(ctx context.Context, address string, renewal PoolRenewal) error
 	// NotSent reports whether an error of Ask or Renew proves that the call did not
@@ -51,10 +51,10 @@
 	NotSent func(err error) bool
 	// Organisations returns the organisations with an allowance.
 	Organisations func() []routes.Organisation
-	// Pool is this node's fleet pool. Apart is its domain pool, which serves nodes
+	// FleetPool is this node's fleet pool. Apart is its domain pool, which serves nodes
 	// of its failure domain that cannot reach a fleet pool.
-	Pool  *Pool
-	Apart *Pool
+	FleetPool  *Pool
+	DomainPool *Pool
 	// Logger receives messages about unresponsive pools; nil means slog.Default().
 	Logger *slog.Logger
 	// Now returns the current time; nil means time.Now.
@@ -107,9 +107,9 @@
 // pool returns this node's domain pool or its fleet pool.
 func (a *Allowance) pool(domainPool bool) *Pool {
 	if domainPool {
-		return a.config.Apart
+		return a.config.DomainPool
 	}
-	return a.config.Pool
+	return a.config.FleetPool
 }
 
 // Take takes an amount of an organisation's allowance for a request of the given
@@ -117,7 +117,7 @@
 // and the time until it will be.
 func (a *Allowance) Take(ctx context.Context, o *routes.Organisation, amount float64, rank int) (time.Duration, bool) {
 	holders := a.config.Holders()
-	ask := PoolAsk{
+	ask := PoolRequest{
 		Node:         a.config.Node,
 		Part:         partOf(holders),
 		Organisation: o.Name,
@@ -133,7 +133,7 @@
 
 // takeFromFleetPool takes from the organisation's fleet pool; it returns false if
 // no fleet pool answered.
-func (a *Allowance) takeFromFleetPool(ctx context.Context, ask PoolAsk, holders []Holder) (PoolAnswer, bool) {
+func (a *Allowance) takeFromFleetPool(ctx context.Context, ask PoolRequest, holders []Holder) (PoolAnswer, bool) {
 	if a.isIsolated(ask.Organisation) {
 		return PoolAnswer{}, false
 	}
@@ -144,7 +144,7 @@
 		}
 		if holder.ID == a.config.Node {
 			ask.Starts = a.lend(ask.Organisation, holder.ID, false)
-			return a.config.Pool.Answer(ask), true
+			return a.config.FleetPool.Take(ask), true
 		}
 		if answer, err := a.askPool(ctx, holder, ask); err == nil {
 			return answer, true
@@ -160,7 +160,7 @@
 
 // takeFromDomainPool takes from the domain pool or, if that does not answer either,
 // from this node's own part.
-func (a *Allowance) takeFromDomainPool(ctx context.Context, ask PoolAsk, holders []Holder) PoolAnswer {
+func (a *Allowance) takeFromDomainPool(ctx context.Context, ask PoolRequest, holders []Holder) PoolAnswer {
 	ask.Apart = true
 	for attempts := 0; ; attempts++ {
 		holder := a.domainHolder(ask.Organisation, holders)
@@ -181,15 +181,15 @@
 	if len(holders) > 0 {
 		ask.Starts = a.lend(ask.Organisation, a.config.Node, true)
 	}
-	return a.config.Apart.Answer(ask)
+	return a.config.DomainPool.Take(ask)
 }
 
 // askPool lends this node's part to another node's pool and takes from that pool.
-func (a *Allowance) askPool(ctx context.Context, holder Holder, ask PoolAsk) (PoolAnswer, error) {
+func (a *Allowance) askPool(ctx context.Context, holder Holder, ask PoolRequest) (PoolAnswer, error) {
 	ask.Starts = a.lend(ask.Organisation, holder.ID, ask.Apart)
 	ctx, cancel := context.WithTimeout(ctx, poolTimeout)
 	defer cancel()
-	answer, err := a.config.Ask(ctx, holder.Address, ask)
+	answer, err := a.config.Take(ctx, holder.Address, ask)
 	if err != nil {
 		a.suspect(holder, err)
 		a.undoLend(ask.Organisation, holder.ID, ask.Apart, err)
--- a/limits/pool.go
+++ b/limits/pool.go
@@ -16,10 +16,10 @@
 	Organisation func(name string) *routes.Organisation
 	// Tolerance bounds what may be granted beyond the allowances.
 	Tolerance Tolerance
-	// Apart marks a domain pool, which serves nodes that cannot reach a fleet pool.
+	// IsDomainPool marks a domain pool, which serves nodes that cannot reach a fleet pool.
 	// It has its own part of the tolerance, which it may grant before the nodes'
 	// parts count here.
-	Apart bool
+	IsDomainPool bool
 	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
@@ -70,7 +70,7 @@
 // RenewAll renews a node's loans of its part of several allowances.
 func (p *Pool) RenewAll(renewal PoolRenewal) {
 	for _, loan := range renewal.Loans {
-		p.Answer(PoolAsk{
+		p.Take(PoolRequest{
 			Node:         renewal.Node,
 			Part:         renewal.Part,
 			Starts:       loan.Starts,
@@ -79,10 +79,10 @@
 	}
 }
 
-// Answer renews a node's loan of its part and takes an amount; an amount of zero
+// Take renews a node's loan of its part and takes an amount; an amount of zero
 // only renews. If there are not enough tokens, the answer has the time until there
 // will be.
-func (p *Pool) Answer(ask PoolAsk) PoolAnswer {
+func (p *Pool) Take(ask PoolRequest) PoolAnswer {
 	o := p.config.Organisation(ask.Organisation)
 	if o == nil || o.Rate <= 0 {
 		return PoolAnswer{
@@ -123,7 +123,7 @@
 
 // answerWithoutParts answers while no part counts here yet. The wait is the time
 // until the first part counts plus the time to fill the amount.
-func (p *Pool) answerWithoutParts(b *bucket, o *routes.Organisation, ask PoolAsk, now time.Time) PoolAnswer {
+func (p *Pool) answerWithoutParts(b *bucket, o *routes.Organisation, ask PoolRequest, now time.Time) PoolAnswer {
 	firstFrom, pending := time.Time{}, 0.0
 	for _, l := range b.loans {
 		if firstFrom.IsZero() || l.from.Before(firstFrom) {
@@ -146,7 +146,7 @@
 
 // renew records a loan. A renewed loan keeps its start; a loan that expires before
 // its start counts nowhere.
-func (b *bucket) renew(ask PoolAsk, now time.Time) {
+func (b *bucket) renew(ask PoolRequest, now time.Time) {
 	from := now.Add(ask.Starts)
 	if old, ok := b.loans[ask.Node]; ok && ask.Starts == 0 {
 		from = old.from
@@ -163,13 +163,13 @@
 // If a pool's node dies or is partitioned, or all nodes lose power, the next pool
 // would start empty and refuse organisations well within their allowances for a
 // second or two, when most requests are lost anyway.
-func (p *Pool) credit(b *bucket, o *routes.Organisation, ask PoolAsk) {
+func (p *Pool) credit(b *bucket, o *routes.Organisation, ask PoolRequest) {
 	if ask.Part == 0 || b.credited[ask.Node] {
 		return
 	}
 	b.credited[ask.Node] = true
 	credit := newPoolTolerance * p.config.Tolerance.excess(o) * ask.Part
-	if p.config.Apart || ask.Starts > 0 {
+	if p.config.IsDomainPool || ask.Starts > 0 {
 		b.reserve += credit
 		return
 	}
@@ -197,7 +197,7 @@
 			delete(b.loans, node)
 			continue
 		}
-		if p.config.Apart || l.from.After(now) {
+		if p.config.IsDomainPool || l.from.After(now) {
 			reserved += l.part
 		}
 	}
@@ -209,7 +209,7 @@
 
 // burst returns the capacity of a bucket to which the whole allowance is lent.
 func (p *Pool) burst(o *routes.Organisation) float64 {
-	if p.config.Apart {
+	if p.config.IsDomainPool {
 		return o.Burst
 	}
 	return p.config.Tolerance.burst(o)
--- a/limits/pool_ask.go
+++ b/limits/pool_ask.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// PoolAsk is a call that lends a node's part to a pool and takes from the pool.
-type PoolAsk struct {
+// PoolRequest is a call that lends a node's part to a pool and takes from the pool.
+type PoolRequest struct {
 	// Node lends its Part of the allowance. The part counts after Starts has
 	// elapsed, since until then it may still count in another pool.
 	Node   string
--- a/limits/pool_test.go
+++ b/limits/pool_test.go
@@ -107,17 +107,17 @@
 		Now:          clock,
 	}
 	f.pools[name] = limits.NewPool(config)
-	config.Apart = true
+	config.IsDomainPool = true
 	f.domainPools[name] = limits.NewPool(config)
 	f.allowances[name] = limits.NewAllowance(limits.AllowanceConfig{
 		Node:          name,
 		FailureDomain: f.domains[name],
 		Holders:       f.holders,
-		Ask: func(_ context.Context, address string, ask limits.PoolAsk) (limits.PoolAnswer, error) {
+		Take: func(_ context.Context, address string, ask limits.PoolRequest) (limits.PoolAnswer, error) {
 			if err := f.callError(name, address); err != nil {
 				return limits.PoolAnswer{}, err
 			}
-			return f.pool(address, ask.Apart).Answer(ask), nil
+			return f.pool(address, ask.Apart).Take(ask), nil
 		},
 		Renew: func(_ context.Context, address string, renewal limits.PoolRenewal) error {
 			if err := f.callError(name, address); err != nil {
@@ -128,8 +128,8 @@
 		},
 		NotSent:       func(err error) bool { return errors.Is(err, errDown) },
 		Organisations: func() []routes.Organisation { return []routes.Organisation{f.organisation} },
-		Pool:          f.pools[name],
-		Apart:         f.domainPools[name],
+		FleetPool:     f.pools[name],
+		DomainPool:    f.domainPools[name],
 		Logger:        slog.New(slog.DiscardHandler),
 		Now:           clock,
 	})
