--- a/claims/begin.go
+++ b/claims/begin.go
@@ -42,7 +42,7 @@
 			c.loadAnswer(ctx, &result.Record)
 			return result, err
 		}
-		record, err := claim.awaitOutcome(ctx, call.First)
+		record, err := claim.awaitOutcome(ctx, call.FirstSending)
 		if err != nil {
 			return BeginResult{}, err
 		}
@@ -69,7 +69,7 @@
 		return existing, false, nil
 	}
 	if len(c.local) >= c.config.MaxUnsaved {
-		return nil, false, unavailable(call.First)
+		return nil, false, unavailable(call.FirstSending)
 	}
 	claim := newClaim(c, call)
 	c.local[name] = claim
@@ -114,7 +114,7 @@
 // acquire writes the claim to the table. If it returns without the claim, no
 // write of the claim can take effect later without being noticed.
 func (c *Claims) acquire(ctx context.Context, claim *Claim) (BeginResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.AcquireTimeout)
 	defer cancel()
 	a := &acquisition{
 		claims: c,
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -34,7 +34,7 @@
 		claims:       c,
 		name:         call.name(),
 		hash:         call.Hash(),
-		firstSending: call.First,
+		firstSending: call.FirstSending,
 		ended:        make(chan struct{}),
 		saved:        make(chan struct{}),
 		record: Record{
@@ -74,11 +74,11 @@
 // Answer ends the claim with the complete answer of the call.
 func (l *Claim) Answer(answer zinniamast.ServiceAnswer) { l.end(EventAnswer, &answer) }
 
-// Run ends the claim of a call that ran and whose answer is not known.
-func (l *Claim) Run() { l.end(EventRun, nil) }
+// EndAsRan ends the claim of a call that ran and whose answer is not known.
+func (l *Claim) EndAsRan() { l.end(EventRun, nil) }
 
-// Lose ends the claim of a call that was sent and whose outcome is not known.
-func (l *Claim) Lose() { l.end(EventLose, nil) }
+// EndAsUnknown ends the claim of a call that was sent and whose outcome is not known.
+func (l *Claim) EndAsUnknown() { l.end(EventLose, nil) }
 
 // Release ends the claim of a call that did not run and will not run, and
 // returns the run state to report to the caller.
@@ -193,7 +193,7 @@
 	select {
 	case <-l.saved:
 		return record, nil
-	case <-time.After(l.claims.config.Patience):
+	case <-time.After(l.claims.config.AcquireTimeout):
 	case <-ctx.Done():
 	}
 	// The release may have taken effect although the table's response was lost,
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -22,14 +22,14 @@
 	Node string
 	// Retention is how long the table retains an ended claim; 24 h if zero.
 	Retention time.Duration
-	// Patience is the timeout for acquiring a claim while the table does not
+	// AcquireTimeout is the timeout for acquiring a claim while the table does not
 	// respond; 2 s if zero.
-	Patience time.Duration
+	AcquireTimeout time.Duration
 	// CallTimeout is the timeout of one table call; 1 s if zero.
 	CallTimeout time.Duration
-	// Settle is how long after a claim's deadline a call that was sent can still
+	// SettleDelay is how long after a claim's deadline a call that was sent can still
 	// run, including clock skew between nodes; 30 s if zero.
-	Settle time.Duration
+	SettleDelay time.Duration
 	// MaxAnswer is the maximum body size of answers stored in the table, in
 	// bytes; 128 KiB if zero.
 	MaxAnswer int
@@ -70,14 +70,14 @@
 	if c.Retention == 0 {
 		c.Retention = defaultRetention
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.AcquireTimeout == 0 {
+		c.AcquireTimeout = defaultPatience
 	}
 	if c.CallTimeout == 0 {
 		c.CallTimeout = defaultCallTimeout
 	}
-	if c.Settle == 0 {
-		c.Settle = defaultSettle
+	if c.SettleDelay == 0 {
+		c.SettleDelay = defaultSettle
 	}
 	if c.MaxAnswer == 0 {
 		c.MaxAnswer = defaultMaxAnswer
--- a/claims/property_test.go
+++ b/claims/property_test.go
@@ -185,7 +185,7 @@
 		MaxAnswer:      maxAnswer,
 		MaxObjectBytes: maxObjectBytes,
 		Node:           n.name,
-		Settle:         settleTime,
+		SettleDelay:    settleTime,
 	})
 	n.mu.Unlock()
 	if old != nil {
@@ -250,7 +250,7 @@
 		claim.Answer(zinniamast.ServiceAnswer{Status: 200, Body: l.answerBody(id)})
 		return
 	}
-	claim.Lose()
+	claim.EndAsUnknown()
 }
 
 // resolveUnknowns resolves open unknowns from the ledger, as an operator or a
--- a/claims/record.go
+++ b/claims/record.go
@@ -37,9 +37,9 @@
 	// Deadline is when the caller no longer needs the answer; the call is not
 	// sent after it.
 	Deadline time.Time
-	// First means that the caller guarantees that no call has run under the key:
+	// FirstSending means that the caller guarantees that no call has run under the key:
 	// it was never sent, or every earlier request was answered with "not run".
-	First bool
+	FirstSending bool
 }
 
 // name returns the unique name of the claim. The parts are escaped, so that two
--- a/claims/save.go
+++ b/claims/save.go
@@ -41,11 +41,11 @@
 	}
 }
 
-// Keep saves in the background the outcome of a call that needed no claim,
+// SaveOutcome saves in the background the outcome of a call that needed no claim,
 // because only this process could dispatch its key. If MaxUnsaved is reached, or
 // a claim on the key is in memory already, the outcome is dropped, and in the
 // first case the key reads as unknown once this process has ended.
-func (c *Claims) Keep(call Call, event Event, answer *zinniamast.ServiceAnswer) {
+func (c *Claims) SaveOutcome(call Call, event Event, answer *zinniamast.ServiceAnswer) {
 	claim, isNew, err := c.register(call)
 	if err != nil || !isNew {
 		c.config.Logger.Warn("outcome of unclaimed call not saved", "organisation", call.Organisation,
@@ -160,5 +160,5 @@
 
 // isSettled reports whether the call of the record can no longer run.
 func (c *Claims) isSettled(record *Record) bool {
-	return time.Now().After(record.Deadline.Add(c.config.Settle))
+	return time.Now().After(record.Deadline.Add(c.config.SettleDelay))
 }
--- a/claims/unknowns.go
+++ b/claims/unknowns.go
@@ -40,7 +40,7 @@
 		for _, item := range items {
 			after = item.Key.Sort
 			record, err := decode(item)
-			if err == nil && record.Lost() {
+			if err == nil && record.IsOutcomeUnknown() {
 				unknowns = append(unknowns, c.unknown(&record))
 			}
 		}
@@ -51,9 +51,9 @@
 	return unknowns[:min(limit, len(unknowns))], nil
 }
 
-// Lost reports whether the outcome is unknown and unresolved: the state is
+// IsOutcomeUnknown reports whether the outcome is unknown and unresolved: the state is
 // unknown, or the claim is held past its deadline.
-func (r *Record) Lost() bool {
+func (r *Record) IsOutcomeUnknown() bool {
 	return r.State == StateUnknown || (r.State == StateHeld && time.Now().After(r.Deadline))
 }
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		return unavailable(true)
 	}
-	if !record.Lost() {
+	if !record.IsOutcomeUnknown() {
 		return ErrNotOpen
 	}
 	event := EventRun
@@ -140,10 +140,10 @@
 	return ErrRaced
 }
 
-// Known returns the run state of a key from memory or the table, for a request
+// RunState returns the run state of a key from memory or the table, for a request
 // that is refused before it acquires a claim. The refusal may report "not run"
 // only if no call can have run under the key.
-func (c *Claims) Known(ctx context.Context, call Call) zinniamast.Ran {
+func (c *Claims) RunState(ctx context.Context, call Call) zinniamast.Ran {
 	c.mu.Lock()
 	local := c.local[call.name()]
 	c.mu.Unlock()
@@ -154,7 +154,7 @@
 	}
 	record, _, err := c.get(ctx, call.name())
 	if err != nil {
-		if call.First {
+		if call.FirstSending {
 			return zinniamast.NotRun
 		}
 		return zinniamast.Unknown
--- a/command/resolve_test.go
+++ b/command/resolve_test.go
@@ -25,7 +25,7 @@
 	call := claims.Call{Organisation: "north", Service: "booking", Key: "k", Deadline: time.Now().Add(time.Minute)}
 	standing, err := held.Begin(t.Context(), call)
 	check.NoErr(err)
-	standing.Claim.Lose()
+	standing.Claim.EndAsUnknown()
 	check.Equal(held.Close(t.Context()), 0)
 
 	address := serveOperators(t, operator.Config{
--- a/services/call.go
+++ b/services/call.go
@@ -56,7 +56,7 @@
 		Path:         c.path,
 		Body:         c.body,
 		Deadline:     c.deadline,
-		First:        c.first,
+		FirstSending: c.first,
 	}
 }
 
--- a/services/issued.go
+++ b/services/issued.go
@@ -97,16 +97,16 @@
 	done, err := h.dispatch(ctx, c, h.attempts(c))
 	if err == nil {
 		use.End(&done.answer, nil)
-		h.config.Claims.Keep(c.claim(), claims.EventAnswer, &done.answer)
+		h.config.Claims.SaveOutcome(c.claim(), claims.EventAnswer, &done.answer)
 		return done, nil
 	}
 	refusal := zinniamast.AsRefusal(err)
 	use.End(nil, refusal)
 	switch refusal.Ran {
 	case zinniamast.DidRun:
-		h.config.Claims.Keep(c.claim(), claims.EventRun, nil)
+		h.config.Claims.SaveOutcome(c.claim(), claims.EventRun, nil)
 	case zinniamast.Unknown:
-		h.config.Claims.Keep(c.claim(), claims.EventLose, nil)
+		h.config.Claims.SaveOutcome(c.claim(), claims.EventLose, nil)
 	}
 	return nil, refusal
 }
--- a/services/once.go
+++ b/services/once.go
@@ -96,7 +96,7 @@
 		return h.underClaim(c, standing.Claim)
 	}
 	record := standing.Record
-	if record.Lost() && h.lookUp(ctx, c) {
+	if record.IsOutcomeUnknown() && h.lookUp(ctx, c) {
 		standing, err = h.config.Claims.Begin(ctx, c.claim())
 		if err != nil {
 			return nil, err
@@ -125,9 +125,9 @@
 	case zinniamast.NotRun:
 		refusal.Ran = claim.Release()
 	case zinniamast.DidRun:
-		claim.Run()
+		claim.EndAsRan()
 	default:
-		claim.Lose()
+		claim.EndAsUnknown()
 	}
 	return nil, refusal
 }
@@ -144,7 +144,7 @@
 		return nil, zinniamast.Refuse(zinniamast.ReasonUpstreamFailed,
 			"the call under this key ran and its answer is not kept; ask the service for %s", c.upstreamKey()).
 			With(zinniamast.DidRun)
-	case record.Lost():
+	case record.IsOutcomeUnknown():
 		return nil, unknown(c, "an earlier request under the key").After(lookupRetry)
 	default:
 		return nil, claims.InProgress()
--- a/services/services.go
+++ b/services/services.go
@@ -148,7 +148,7 @@
 	case c.service.ChecksKeys:
 		return zinniamast.Unknown
 	default:
-		return h.config.Claims.Known(context.WithoutCancel(ctx), c.claim())
+		return h.config.Claims.RunState(context.WithoutCancel(ctx), c.claim())
 	}
 }
 
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -144,9 +144,9 @@
 // newNode builds the callers' side of one node.
 func newNode(n int, board *blackboard.Board, table zinniamast.Table, forwarder services.Forwarder) (*claims.Claims, *services.Handler, http.Handler) {
 	held := claims.New(claims.Config{
-		Table:    table,
-		Node:     fmt.Sprint("node-", n),
-		Patience: 100 * time.Millisecond,
+		Table:          table,
+		Node:           fmt.Sprint("node-", n),
+		AcquireTimeout: 100 * time.Millisecond,
 	})
 	handler := services.New(services.Config{
 		Board:      board,
