--- a/attempt/runner.go
+++ b/attempt/runner.go
@@ -241,5 +241,5 @@
 			replicas = append(replicas, upstream.Instance.ID)
 		}
 	}
-	return append(slices.Clone(p.avoid), r.config.Quarantine.Apart(p.request.Call.Fingerprint, replicas)...)
+	return append(slices.Clone(p.avoid), r.config.Quarantine.ReplicasToAvoid(p.request.Call.Fingerprint, replicas)...)
 }
--- a/attempt/runner_test.go
+++ b/attempt/runner_test.go
@@ -40,11 +40,11 @@
 
 type openQuarantine struct{}
 
-func (openQuarantine) Check(uint64) (bool, error)      { return false, nil }
-func (openQuarantine) Apart(uint64, []string) []string { return nil }
-func (openQuarantine) Running(string, uint64)          {}
-func (openQuarantine) Ended(string, uint64)            {}
-func (openQuarantine) Crashed(string)                  {}
+func (openQuarantine) Check(uint64) (bool, error)                { return false, nil }
+func (openQuarantine) ReplicasToAvoid(uint64, []string) []string { return nil }
+func (openQuarantine) AttemptStarted(string, uint64)             {}
+func (openQuarantine) AttemptEnded(string, uint64)               {}
+func (openQuarantine) ReplicaCrashed(string)                     {}
 
 func newRig(count int, config standin.Config, kvRate int64) *rig {
 	g := &rig{
--- a/attempt/stream.go
+++ b/attempt/stream.go
@@ -55,7 +55,7 @@
 		return stopped(cause, err, upstream.Instance.ID)
 	}
 	if failure := zinniamast.AsUpstreamError(err); failure != nil && failure.Outcome().MayHaveCrashed && !upstream.Leaving() {
-		r.config.Quarantine.Crashed(upstream.Instance.ID)
+		r.config.Quarantine.ReplicaCrashed(upstream.Instance.ID)
 	}
 	return err
 }
@@ -82,7 +82,7 @@
 	r.running[f.attempt] = f
 	r.mu.Unlock()
 	f.upstream.Enter()
-	r.config.Quarantine.Running(f.upstream.Instance.ID, f.request.Call.Fingerprint)
+	r.config.Quarantine.AttemptStarted(f.upstream.Instance.ID, f.request.Call.Fingerprint)
 	r.config.Router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
 		Attempt:      f.attempt,
@@ -98,7 +98,7 @@
 	delete(r.running, f.attempt)
 	r.mu.Unlock()
 	f.upstream.Exit()
-	r.config.Quarantine.Ended(f.upstream.Instance.ID, f.request.Call.Fingerprint)
+	r.config.Quarantine.AttemptEnded(f.upstream.Instance.ID, f.request.Call.Fingerprint)
 }
 
 // stream reads one answer into the request's buffer.
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -45,11 +45,11 @@
 
 type openQuarantine struct{}
 
-func (openQuarantine) Check(uint64) (bool, error)      { return false, nil }
-func (openQuarantine) Apart(uint64, []string) []string { return nil }
-func (openQuarantine) Running(string, uint64)          {}
-func (openQuarantine) Ended(string, uint64)            {}
-func (openQuarantine) Crashed(string)                  {}
+func (openQuarantine) Check(uint64) (bool, error)                { return false, nil }
+func (openQuarantine) ReplicasToAvoid(uint64, []string) []string { return nil }
+func (openQuarantine) AttemptStarted(string, uint64)             {}
+func (openQuarantine) AttemptEnded(string, uint64)               {}
+func (openQuarantine) ReplicaCrashed(string)                     {}
 
 // alone knows no other nodes.
 type alone struct{}
--- a/forward/run.go
+++ b/forward/run.go
@@ -132,7 +132,7 @@
 			replicas = append(replicas, u.Instance.ID)
 		}
 	}
-	return append(slices.Clone(c.avoid), h.config.Quarantine.Apart(c.fingerprint, replicas)...)
+	return append(slices.Clone(c.avoid), h.config.Quarantine.ReplicasToAvoid(c.fingerprint, replicas)...)
 }
 
 // attempt sends the request to one replica and forwards its answer. It returns nil
@@ -142,8 +142,8 @@
 	defer upstream.Exit()
 	c.retryCharged = false
 	id := upstream.Instance.ID
-	h.config.Quarantine.Running(id, c.fingerprint)
-	defer h.config.Quarantine.Ended(id, c.fingerprint)
+	h.config.Quarantine.AttemptStarted(id, c.fingerprint)
+	defer h.config.Quarantine.AttemptEnded(id, c.fingerprint)
 	started := time.Now()
 	before := a.events
 	h.observe(c, id, zinniamast.ObservedStart, 0, "", 0)
@@ -160,7 +160,7 @@
 	}
 	h.observe(c, id, zinniamast.ObservedEnd, time.Since(started), failure.Failure, a.events-before)
 	if failure.Outcome().MayHaveCrashed {
-		h.config.Quarantine.Crashed(id)
+		h.config.Quarantine.ReplicaCrashed(id)
 	}
 	return failure
 }
--- a/node/services.go
+++ b/node/services.go
@@ -12,7 +12,7 @@
 // holdBackCrashes builds the quarantine that both callers' sides share.
 func (n *Node) holdBackCrashes() {
 	n.quarantine = quarantine.New(quarantine.Config{
-		After: func() int {
+		CrashThreshold: func() int {
 			return n.board.Configuration.Config().Resolve(config.Match{
 				FailureDomain: n.config.Settings.FailureDomain,
 			}).QuarantineAfter
--- a/policy.go
+++ b/policy.go
@@ -165,13 +165,13 @@
 	// Check returns a *Refusal for a quarantined request. For a suspect request,
 	// alone is true: it must run where it cannot harm other requests.
 	Check(fingerprint uint64) (alone bool, err error)
-	// Apart returns the replicas that a suspect request should avoid, so that its
+	// ReplicasToAvoid returns the replicas that a suspect request should avoid, so that its
 	// next run distinguishes it from the other suspects.
-	Apart(fingerprint uint64, replicas []string) []string
-	// Running reports that a request starts running on a replica, and Ended that it
+	ReplicasToAvoid(fingerprint uint64, replicas []string) []string
+	// AttemptStarted reports that a request starts running on a replica, and Ended that it
 	// has ended there.
-	Running(upstream string, fingerprint uint64)
-	Ended(upstream string, fingerprint uint64)
-	// Crashed reports that a replica crashed while it ran requests.
-	Crashed(upstream string)
+	AttemptStarted(upstream string, fingerprint uint64)
+	AttemptEnded(upstream string, fingerprint uint64)
+	// ReplicaCrashed reports that a replica crashed while it ran requests.
+	ReplicaCrashed(upstream string)
 }
--- a/quarantine/avoid.go
+++ b/quarantine/avoid.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Apart returns the replicas that a suspect should avoid, so that its next run
+// ReplicasToAvoid returns the replicas that a suspect should avoid, so that its next run
 // provides as much evidence as possible.
 //
 // If all suspects of a crash were retried on the same few replicas, the next
@@ -15,7 +15,7 @@
 // avoid the failure domains in which replicas recently crashed while running
 // them, because a crash in another domain distinguishes a poison request from
 // the failure of a whole domain. At least two replicas remain for each suspect.
-func (q *Quarantine) Apart(fingerprint uint64, replicas []string) []string {
+func (q *Quarantine) ReplicasToAvoid(fingerprint uint64, replicas []string) []string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	outside := q.outsideCrashedDomains(fingerprint, replicas)
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -13,8 +13,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Check(1)
-		q.Running("r", 1)
-		q.Ended("r", 1)
+		q.AttemptStarted("r", 1)
+		q.AttemptEnded("r", 1)
 	}
 }
 
@@ -25,14 +25,14 @@
 	for crash := range 10 {
 		id := string(rune('a' + crash))
 		for request := range uint64(30) {
-			q.Running(id, request+100)
+			q.AttemptStarted(id, request+100)
 		}
-		q.Crashed(id)
+		q.ReplicaCrashed(id)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Check(1)
-		q.Running("r", 1)
-		q.Ended("r", 1)
+		q.AttemptStarted("r", 1)
+		q.AttemptEnded("r", 1)
 	}
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -53,7 +53,7 @@
 	if q.freed[fingerprint].onProbation && e.crashes > 0 {
 		return true
 	}
-	if e.crashes < q.config.After()+q.extraCrashes(fingerprint) {
+	if e.crashes < q.config.CrashThreshold()+q.extraCrashes(fingerprint) {
 		return false
 	}
 	for other := range e.lastCrash.running {
--- a/quarantine/held_test.go
+++ b/quarantine/held_test.go
@@ -39,12 +39,12 @@
 func (c *cluster) crash(node int, replica string, neighbours ...uint64) {
 	running := append([]uint64{poisonFingerprint}, neighbours...)
 	for _, fingerprint := range running {
-		c.nodes[node].Running(replica, fingerprint)
+		c.nodes[node].AttemptStarted(replica, fingerprint)
 	}
 	time.Sleep(time.Second)
-	c.nodes[node].Crashed(replica)
+	c.nodes[node].ReplicaCrashed(replica)
 	for _, fingerprint := range running {
-		c.nodes[node].Ended(replica, fingerprint)
+		c.nodes[node].AttemptEnded(replica, fingerprint)
 	}
 	time.Sleep(time.Second)
 }
@@ -104,9 +104,9 @@
 
 		is.NoErr(c.nodes[0].Free(freePoisonRequest))
 		time.Sleep(time.Second)
-		c.nodes[0].Running("r4", poisonFingerprint)
+		c.nodes[0].AttemptStarted("r4", poisonFingerprint)
 		time.Sleep(time.Second)
-		c.nodes[0].Ended("r4", poisonFingerprint)
+		c.nodes[0].AttemptEnded("r4", poisonFingerprint)
 		alone, err := c.nodes[0].Check(poisonFingerprint)
 		is.NoErr(err)
 		is.True(!alone)
@@ -129,7 +129,7 @@
 		c.crash(1, "r3")
 		c.crash(1, "r4")
 		is.Equal(c.refusals(), everywhere)
-		c.nodes[2].Running("r5", poisonFingerprint)
+		c.nodes[2].AttemptStarted("r5", poisonFingerprint)
 		time.Sleep(time.Second)
 		is.NoErr(c.nodes[1].Free(freePoisonRequest))
 		time.Sleep(time.Second)
@@ -138,8 +138,8 @@
 		time.Sleep(time.Second)
 		is.Equal(c.refusals(), [3]bool{true, false, false})
 		is.Equal(len(c.nodes[1].Held()), 0)
-		c.nodes[2].Crashed("r5")
-		c.nodes[2].Ended("r5", poisonFingerprint)
+		c.nodes[2].ReplicaCrashed("r5")
+		c.nodes[2].AttemptEnded("r5", poisonFingerprint)
 		time.Sleep(time.Second)
 		is.Equal(c.refusals(), [3]bool{true, false, false})
 		c.crash(1, "r6")
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -15,9 +15,9 @@
 
 // Config holds the dependencies and settings of a Quarantine.
 type Config struct {
-	// After returns the number of crashes after which a request is held back. If
+	// CrashThreshold returns the number of crashes after which a request is held back. If
 	// nil, it is 2.
-	After func() int
+	CrashThreshold func() int
 	// FailureDomain returns the failure domain of a replica, or "" if it is unknown.
 	// If nil, all are unknown.
 	FailureDomain func(upstream string) string
@@ -96,8 +96,8 @@
 
 // New returns a quarantine that subscribes to the reports of other nodes.
 func New(config Config) *Quarantine {
-	if config.After == nil {
-		config.After = func() int { return defaultCrashThreshold }
+	if config.CrashThreshold == nil {
+		config.CrashThreshold = func() int { return defaultCrashThreshold }
 	}
 	if config.FailureDomain == nil {
 		config.FailureDomain = func(string) string { return "" }
@@ -197,8 +197,8 @@
 	return crashReportTimeout - time.Since(evidence.lastCrash.at)
 }
 
-// Running implements zinniamast.Quarantine.
-func (q *Quarantine) Running(upstream string, fingerprint uint64) {
+// AttemptStarted implements zinniamast.Quarantine.
+func (q *Quarantine) AttemptStarted(upstream string, fingerprint uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	runs := q.running[upstream]
@@ -215,8 +215,8 @@
 	runs[fingerprint].count++
 }
 
-// Ended implements zinniamast.Quarantine.
-func (q *Quarantine) Ended(upstream string, fingerprint uint64) {
+// AttemptEnded implements zinniamast.Quarantine.
+func (q *Quarantine) AttemptEnded(upstream string, fingerprint uint64) {
 	q.mu.Lock()
 	r := q.running[upstream][fingerprint]
 	if r == nil {
@@ -275,9 +275,9 @@
 	return false
 }
 
-// Crashed implements zinniamast.Quarantine. It must be called before Ended of the
+// ReplicaCrashed implements zinniamast.Quarantine. It must be called before Ended of the
 // requests that were running on the replica.
-func (q *Quarantine) Crashed(upstream string) {
+func (q *Quarantine) ReplicaCrashed(upstream string) {
 	q.mu.Lock()
 	running := make([]uint64, 0, len(q.running[upstream]))
 	for fingerprint, r := range q.running[upstream] {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -193,14 +193,14 @@
 		}
 		var avoid []string
 		if alone {
-			avoid = node.Apart(fingerprint, f.ids)
+			avoid = node.ReplicasToAvoid(fingerprint, f.ids)
 		}
 		r, died := f.choose(avoid)
 		if r == nil {
 			time.Sleep(resendPause)
 			continue
 		}
-		node.Running(r.id, fingerprint)
+		node.AttemptStarted(r.id, fingerprint)
 		crashed := false
 		select {
 		case <-died:
@@ -212,9 +212,9 @@
 			}
 		}
 		if crashed {
-			node.Crashed(r.id)
+			node.ReplicaCrashed(r.id)
 		}
-		node.Ended(r.id, fingerprint)
+		node.AttemptEnded(r.id, fingerprint)
 		if !crashed {
 			return false
 		}
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -100,7 +100,7 @@
 			replicas = append(replicas, upstream.Instance.ID)
 		}
 	}
-	a.avoid = append(a.avoid, a.handler.config.Quarantine.Apart(a.call.fingerprint, replicas)...)
+	a.avoid = append(a.avoid, a.handler.config.Quarantine.ReplicasToAvoid(a.call.fingerprint, replicas)...)
 }
 
 // send makes an attempt at a replica and tells everybody who learns from it.
@@ -110,8 +110,8 @@
 	attempt := newID()
 	upstream.Enter()
 	defer upstream.Exit()
-	h.config.Quarantine.Running(id, c.fingerprint)
-	defer h.config.Quarantine.Ended(id, c.fingerprint)
+	h.config.Quarantine.AttemptStarted(id, c.fingerprint)
+	defer h.config.Quarantine.AttemptEnded(id, c.fingerprint)
 	h.config.Router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedStart,
 		Attempt:  attempt,
@@ -145,7 +145,7 @@
 	} else if failed := zinniamast.AsUpstreamError(err); failed != nil {
 		end.Failure = failed.Failure
 		if failed.Outcome().MayHaveCrashed && !upstream.Leaving() {
-			h.config.Quarantine.Crashed(id)
+			h.config.Quarantine.ReplicaCrashed(id)
 		}
 	}
 	h.config.Router.Observe(end)
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -120,7 +120,7 @@
 
 func (l *lookups) Check(uint64) (bool, error) { return l.alone, nil }
 
-func (l *lookups) Crashed(string) {
+func (l *lookups) ReplicaCrashed(string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed++
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -56,11 +56,11 @@
 func (openDoor) Grow(int) bool                                         { return true }
 func (openDoor) Release()                                              {}
 func (openDoor) Check(uint64) (bool, error)                            { return false, nil }
-func (openDoor) Apart(uint64, []string) []string                       { return nil }
+func (openDoor) ReplicasToAvoid(uint64, []string) []string             { return nil }
 
-func (openDoor) Running(string, uint64) {}
-func (openDoor) Ended(string, uint64)   {}
-func (openDoor) Crashed(string)         {}
+func (openDoor) AttemptStarted(string, uint64) {}
+func (openDoor) AttemptEnded(string, uint64)   {}
+func (openDoor) ReplicaCrashed(string)         {}
 
 // site is two nodes before one service of two replicas.
 type site struct {
