--- a/attempt/judge.go
+++ b/attempt/judge.go
@@ -174,7 +174,7 @@
 	ask := r.config.Retry.Retry
 	produced, _, _ := p.request.Progress()
 	if failure == zinniamast.FailureDial || produced > 0 {
-		ask = r.config.Retry.GoOn
+		ask = r.config.Retry.Failover
 	}
 	return ask(call.Organisation, call.Model, retry, p.policy.RetryBudget)
 }
--- a/experiment/work.go
+++ b/experiment/work.go
@@ -207,7 +207,7 @@
 		answer:       1 + int(float64(kind.Answer)*(0.4+1.2*s.random.Float64())),
 		arrived:      now,
 	}
-	for i := 0; i < prefix.Max && prefix.Tokens(i) <= q.prompt; i++ {
+	for i := 0; i < prefix.MaxBlocks && prefix.Tokens(i) <= q.prompt; i++ {
 		q.hashes = append(q.hashes, s.block(kind, organisation, document, length, i))
 	}
 	return q
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -237,7 +237,7 @@
 		c.priority = *c.organisation.Priority
 	}
 	c.deadline = deadline(c, arrived)
-	c.prefix = prefix.Parts(sharedParts(c.metadata.Parts))
+	c.prefix = prefix.HashParts(sharedParts(c.metadata.Parts))
 	return c, nil
 }
 
--- a/policy.go
+++ b/policy.go
@@ -153,11 +153,11 @@
 	Retry(organisation, service string, retry int, ratio float64) (time.Duration, error)
 	// Succeeded reports that a replica of the service has started to answer.
 	Succeeded(service string)
-	// GoOn is like Retry, for an attempt that adds no load beyond the request's
+	// Failover is like Retry, for an attempt that adds no load beyond the request's
 	// own: either nothing of the previous attempt was sent, or its replica failed
 	// and the part of the answer already produced remains valid. Such an attempt
 	// is refused only while the service does not answer other requests.
-	GoOn(organisation, service string, retry int, ratio float64) (time.Duration, error)
+	Failover(organisation, service string, retry int, ratio float64) (time.Duration, error)
 }
 
 // Quarantine refuses requests that crash the replicas that run them.
--- a/prefix/parts.go
+++ b/prefix/parts.go
@@ -8,11 +8,11 @@
 	Tokens int
 }
 
-// Parts returns hashes of a prompt's leading blocks, shortest first. It is the
+// HashParts returns hashes of a prompt's leading blocks, shortest first. It is the
 // counterpart of Hashes for a prompt of which only the parts are known. A block's
 // hash covers the IDs of the parts up to the one in which the block ends, and the
 // block's index.
-func Parts(parts []Part) []uint64 {
+func HashParts(parts []Part) []uint64 {
 	var hashes []uint64
 	chain, offset := uint64(0), 0
 	for _, part := range parts {
@@ -21,7 +21,7 @@
 			id[i] = byte(part.ID >> (8 * i))
 		}
 		chain = xxh3.HashSeed(id[:], chain)
-		for len(hashes) < Max && Tokens(len(hashes)) <= offset+part.Tokens {
+		for len(hashes) < MaxBlocks && Tokens(len(hashes)) <= offset+part.Tokens {
 			hashes = append(hashes, blockHash(chain, uint64(len(hashes))))
 		}
 		offset += part.Tokens
--- a/prefix/parts_test.go
+++ b/prefix/parts_test.go
@@ -18,15 +18,15 @@
 			Tokens: tokens,
 		}
 	}
-	one := prefix.Parts([]prefix.Part{part(1, 600), part(2, 2000), part(3, 500)})
-	other := prefix.Parts([]prefix.Part{part(1, 600), part(2, 2000), part(4, 900)})
+	one := prefix.HashParts([]prefix.Part{part(1, 600), part(2, 2000), part(3, 500)})
+	other := prefix.HashParts([]prefix.Part{part(1, 600), part(2, 2000), part(4, 900)})
 	shared := 0
 	for shared < min(len(one), len(other)) && one[shared] == other[shared] {
 		shared++
 	}
 	check.True(prefix.Tokens(shared-1) <= 2600)
 	check.True(prefix.Tokens(shared) > 2600)
-	check.Equal(len(prefix.Parts([]prefix.Part{part(1, 100)})), 0) // shorter than a block
-	swapped := prefix.Parts([]prefix.Part{part(2, 2000), part(1, 600)})
+	check.Equal(len(prefix.HashParts([]prefix.Part{part(1, 100)})), 0) // shorter than a block
+	swapped := prefix.HashParts([]prefix.Part{part(2, 2000), part(1, 600)})
 	check.True(swapped[0] != one[0])
 }
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -10,8 +10,8 @@
 // blockBytes is the length of the first blocks in bytes, which is 256 tokens.
 const blockBytes = 1024
 
-// Max is the maximum number of prefixes that are hashed per prompt.
-const Max = 48
+// MaxBlocks is the maximum number of prefixes that are hashed per prompt.
+const MaxBlocks = 48
 
 // Bytes returns the length in bytes of the prefix at an index of Hashes. Blocks
 // become longer with depth, so that a prompt of 30,000 tokens takes about 25
@@ -37,7 +37,7 @@
 func Hashes(dst []uint64, prompt []byte) []uint64 {
 	chain := uint64(0)
 	start := 0
-	for i := range Max {
+	for i := range MaxBlocks {
 		end := Bytes(i)
 		if end > len(prompt) {
 			break
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -27,9 +27,9 @@
 
 func TestBlocksGrow(t *testing.T) {
 	is := is.New(t)
-	for i := 1; i < prefix.Max; i++ {
+	for i := 1; i < prefix.MaxBlocks; i++ {
 		is.True(prefix.Bytes(i) > prefix.Bytes(i-1))
 	}
 	is.Equal(len(prefix.Hashes(nil, make([]byte, 120_000))), 24)
-	is.True(prefix.Tokens(prefix.Max-1) > 70_000)
+	is.True(prefix.Tokens(prefix.MaxBlocks-1) > 70_000)
 }
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -1,7 +1,7 @@
 package retry
 
-// HedgeAsk describes the call that a hedge, a second parallel attempt, would repeat.
-type HedgeAsk struct {
+// HedgeRequest describes the call that a hedge, a second parallel attempt, would repeat.
+type HedgeRequest struct {
 	// Organisation is the caller's organisation, whose retry budget the hedge uses.
 	Organisation string
 	// Service is the plain service.
@@ -16,7 +16,7 @@
 // that are not idempotent are never hedged, because both copies would run. A hedge
 // counts against the retry budget like a retry but cannot use the reserve, so that
 // hedges neither add to an overload nor use up retries that failures may need.
-func (p *Policy) Hedge(ask HedgeAsk) bool {
+func (p *Policy) Hedge(ask HedgeRequest) bool {
 	if !ask.Idempotent {
 		p.decisions.WithLabelValues(decisionHedgeDenied).Inc()
 		return false
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -145,15 +145,15 @@
 }
 
 const (
-	// maxGoOnRetries is the number of retries per request that GoOn allows beyond
+	// maxFailovers is the number of retries per request that GoOn allows beyond
 	// the budget.
-	maxGoOnRetries = 2
+	maxFailovers = 2
 	// successWindow is the maximum age of a service's last success for the service to
 	// count as available.
 	successWindow = time.Second
 )
 
-// GoOn implements zinniamast.RetryPolicy.
+// Failover implements zinniamast.RetryPolicy.
 //
 // If one of a few replicas crashes, the retries of the dozens of streams that it
 // ran would exhaust an organisation's budget at once, and the remaining streams
@@ -162,11 +162,11 @@
 // While no replica answers any request, such attempts would fail repeatedly, so
 // the budget applies to them as well. Retries that exceeded the budget before are
 // counted against it.
-func (p *Policy) GoOn(organisation, service string, retry int, ratio float64) (time.Duration, error) {
+func (p *Policy) Failover(organisation, service string, retry int, ratio float64) (time.Duration, error) {
 	p.mu.Lock()
 	now := p.config.Now()
 	state := p.serviceState(service, now)
-	if retry <= maxGoOnRetries && now.Sub(state.lastSuccess) < successWindow {
+	if retry <= maxFailovers && now.Sub(state.lastSuccess) < successWindow {
 		if retry > 1 {
 			state.effect.failed++
 		}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -78,7 +78,7 @@
 		c.now = c.now.Add(100 * time.Millisecond)
 	}
 	for range 40 {
-		_, err := policy.GoOn("north", "summary", 1, ratio)
+		_, err := policy.Failover("north", "summary", 1, ratio)
 		is.NoErr(err)
 	}
 	requests, attempts := 0, 0
@@ -87,7 +87,7 @@
 		attempts++
 		policy.Started("north", "summary")
 		for n := 1; n <= 5; n++ {
-			if _, err := policy.GoOn("north", "summary", n, ratio); err != nil {
+			if _, err := policy.Failover("north", "summary", n, ratio); err != nil {
 				break
 			}
 			attempts++
@@ -206,7 +206,7 @@
 	is := is.New(t)
 	c := newFakeClock()
 	policy := retry.New(retry.Config{Now: c.Now})
-	ask := retry.HedgeAsk{
+	ask := retry.HedgeRequest{
 		Organisation: "atlas",
 		Service:      "stock",
 		Ratio:        ratio,
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -23,7 +23,7 @@
 		return &zinniamast.RouteRequest{
 			Service:      "service",
 			PromptTokens: 12_000,
-			Prefix: prefix.Parts([]prefix.Part{{
+			Prefix: prefix.HashParts([]prefix.Part{{
 				ID:     1,
 				Tokens: shared,
 			}}),
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -42,7 +42,7 @@
 	need := &zinniamast.RouteRequest{
 		Service:      "service",
 		PromptTokens: 6000,
-		Prefix: prefix.Parts([]prefix.Part{
+		Prefix: prefix.HashParts([]prefix.Part{
 			{
 				ID:     1,
 				Tokens: 500,
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -188,7 +188,7 @@
 	}
 	ask := h.config.Retry.Retry
 	if a.failed.Failure == zinniamast.FailureDial {
-		ask = h.config.Retry.GoOn
+		ask = h.config.Retry.Failover
 	}
 	pause, err := ask(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
 	if err != nil {
--- a/services/hedge.go
+++ b/services/hedge.go
@@ -97,7 +97,7 @@
 		h.metrics.hedged(hedgeNoReplica)
 		return nil
 	}
-	if !h.config.Hedge(retry.HedgeAsk{
+	if !h.config.Hedge(retry.HedgeRequest{
 		Organisation: c.organisation,
 		Service:      c.service.Name,
 		Idempotent:   c.idempotent,
--- a/services/services.go
+++ b/services/services.go
@@ -30,7 +30,7 @@
 	Limiter zinniamast.Limiter
 	Retry   zinniamast.RetryPolicy
 	// Hedge pays for a second attempt beside a late one; nil sends none.
-	Hedge      func(ask retry.HedgeAsk) bool
+	Hedge      func(ask retry.HedgeRequest) bool
 	Quarantine zinniamast.Quarantine
 	Claims     *claims.Claims
 	// Issuer issues keys that this node alone dispatches; nil issues none.
