--- a/capacity/act.go
+++ b/capacity/act.go
@@ -90,7 +90,7 @@
 		if s.Done {
 			continue
 		}
-		c.config.Leave(s.Instance, time.Time{})
+		c.config.AnnounceLeaving(s.Instance, time.Time{})
 		if !c.isIdle(s) {
 			c.metrics.waits.WithLabelValues(waitDrain).Inc()
 			continue
--- a/capacity/controller.go
+++ b/capacity/controller.go
@@ -32,8 +32,8 @@
 	Engine func(instance zinniamast.Instance) zinniamast.Engine
 	// Report returns an engine's last load report; false means that there is none.
 	Report func(instance string) (zinniamast.LoadReport, bool)
-	// Leave announces to every node that an instance takes no new work.
-	Leave func(instance string, at time.Time)
+	// AnnounceLeaving announces to every node that an instance takes no new work.
+	AnnounceLeaving func(instance string, at time.Time)
 	// Rules are the settings of the plan.
 	Rules Rules
 	// Interval is the time between rounds; zero means five seconds.
--- a/capacity/controller_test.go
+++ b/capacity/controller_test.go
@@ -180,18 +180,18 @@
 		Logger: logger,
 	})
 	controller := capacity.New(capacity.Config{
-		Lease:   l,
-		Table:   table,
-		Cloud:   cloud,
-		List:    s.platform.Cloud,
-		Weights: s.platform.Weights,
-		Demands: s.demands,
-		Classes: func() []capacity.Class { return classes },
-		Engine:  func(instance zinniamast.Instance) zinniamast.Engine { return s.engine(instance.ID) },
-		Report:  func(id string) (zinniamast.LoadReport, bool) { return s.engine(id).report(), true },
-		Leave:   s.announceLeaving,
-		Rules:   capacity.Rules{MaxLoading: 20},
-		Logger:  logger,
+		Lease:           l,
+		Table:           table,
+		Cloud:           cloud,
+		List:            s.platform.Cloud,
+		Weights:         s.platform.Weights,
+		Demands:         s.demands,
+		Classes:         func() []capacity.Class { return classes },
+		Engine:          func(instance zinniamast.Instance) zinniamast.Engine { return s.engine(instance.ID) },
+		Report:          func(id string) (zinniamast.LoadReport, bool) { return s.engine(id).report(), true },
+		AnnounceLeaving: s.announceLeaving,
+		Rules:           capacity.Rules{MaxLoading: 20},
+		Logger:          logger,
 	})
 	s.running.Go(func() { l.Run(ctx) })
 	s.running.Go(func() { controller.Run(ctx) })
--- a/capacity/reports.go
+++ b/capacity/reports.go
@@ -88,9 +88,9 @@
 	return known.content, known.received
 }
 
-// Expect records that an engine was sent an order, so that it is polled soon for the
+// RecordOrder records that an engine was sent an order, so that it is polled soon for the
 // effect.
-func (r *Reports) Expect(instance string) {
+func (r *Reports) RecordOrder(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.reports[instance]
--- a/capacity/reports_test.go
+++ b/capacity/reports_test.go
@@ -82,7 +82,7 @@
 		t.Logf("%.1f polls a second", perSecond)
 		check.True(perSecond < 6)
 
-		reports.Expect("1")
+		reports.RecordOrder("1")
 		board.MarkLeaving("2", time.Now().Add(time.Minute))
 		ordered, leaving := engines[1].polls.Load(), engines[2].polls.Load()
 		pollAll(8, round)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -272,7 +272,7 @@
 		e.config.Logger.Warn("stopped with requests running", "cause", err)
 		e.giveUpRequests()
 	}
-	e.members.Depart(ctx)
+	e.members.AnnounceDeparture(ctx)
 	if err := e.peers.Close(ctx); err != nil {
 		e.config.Logger.Warn("peers left with calls running", "cause", err)
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -183,12 +183,12 @@
 	return m.isolated
 }
 
-// Leave announces to the failure domain that this node takes no new requests.
-func (m *Membership) Leave() { m.setOwnState(Leaving) }
+// AnnounceLeaving announces to the failure domain that this node takes no new requests.
+func (m *Membership) AnnounceLeaving() { m.setOwnState(Leaving) }
 
-// Depart announces to the failure domain that this node has shut down. It waits until
+// AnnounceDeparture announces to the failure domain that this node has shut down. It waits until
 // the members have received the announcement or the context ends.
-func (m *Membership) Depart(ctx context.Context) {
+func (m *Membership) AnnounceDeparture(ctx context.Context) {
 	m.setOwnState(Dead)
 	for m.hasUnsent() && ctx.Err() == nil {
 		m.flush(ctx)
--- a/node/stop.go
+++ b/node/stop.go
@@ -57,7 +57,7 @@
 // process may die at any moment of it, and what peers hold is safe.
 func (n *Node) stop(times stopTimes) error {
 	n.stopping.Store(true)
-	n.members.Leave()
+	n.members.AnnounceLeaving()
 	n.config.Logger.Info("node stopping",
 		"requests", n.running(),
 		"drain_until", times.drain,
@@ -100,7 +100,7 @@
 func (n *Node) depart() {
 	ctx, cancel := context.WithTimeout(context.Background(), relayReserve)
 	defer cancel()
-	n.members.Depart(ctx)
+	n.members.AnnounceDeparture(ctx)
 }
 
 // giveAll hands over what runs until nothing does and no caller reads here any
--- a/node/table.go
+++ b/node/table.go
@@ -70,18 +70,18 @@
 	})
 	n.reports = capacity.NewReports(n.board.Upstreams)
 	n.capacity = capacity.New(capacity.Config{
-		Lease:      n.lease,
-		Table:      n.table.Role(roleCapacity),
-		Cloud:      n.config.Platform.Cloud,
-		List:       n.list,
-		Weights:    n.config.Platform.Weights,
-		Demands:    n.demands,
-		Classes:    func() []capacity.Class { return capacity.Classes(n.board.Configuration.Config()) },
-		Engine:     n.engineOf,
-		Report:     n.reports.Last,
-		Leave:      n.upstreamLeaves,
-		Registerer: n.registry,
-		Logger:     n.config.Logger,
+		Lease:           n.lease,
+		Table:           n.table.Role(roleCapacity),
+		Cloud:           n.config.Platform.Cloud,
+		List:            n.list,
+		Weights:         n.config.Platform.Weights,
+		Demands:         n.demands,
+		Classes:         func() []capacity.Class { return capacity.Classes(n.board.Configuration.Config()) },
+		Engine:          n.engineOf,
+		Report:          n.reports.Last,
+		AnnounceLeaving: n.upstreamLeaves,
+		Registerer:      n.registry,
+		Logger:          n.config.Logger,
 	})
 }
 
@@ -95,7 +95,7 @@
 // engineOf returns what takes an order for an engine, whose effect is then looked for.
 func (n *Node) engineOf(instance zinniamast.Instance) zinniamast.Engine {
 	if upstream := n.clients.build(instance); upstream != nil {
-		n.reports.Expect(instance.ID)
+		n.reports.RecordOrder(instance.ID)
 		return upstream.Engine
 	}
 	return nil
