--- a/handoff/directory.go
+++ b/handoff/directory.go
@@ -14,29 +14,30 @@
 	"zinniamast/caller"
 )
 
-// The directory says which node holds a request. It is soft state: every name
-// has two home nodes, chosen by rendezvous hash in two failure domains, and an
-// entry lives no longer than its request. Losing both homes costs a second
-// run of a model request at the most, never a wrong answer.
+// The directory maps the names of requests to the nodes that hold them. It is
+// soft state: every name has two home nodes, chosen by rendezvous hashing in two
+// failure domains, and an entry lives no longer than its request. If both homes
+// are lost, a model request may run a second time, but no answer becomes wrong.
 
 const (
-	// entryLife is how long an entry stands; the holder keeps an ended request for less.
-	entryLife = 4 * time.Minute
-	// maxEntries bounds the directory of one node.
+	// entryTTL is how long an entry is valid; it exceeds the time for which the
+	// holder retains an ended request.
+	entryTTL = 4 * time.Minute
+	// maxEntries bounds the entries in the directory of one node.
 	maxEntries = 200_000
 )
 
-// Entry says where a request is.
+// Entry records which node holds a request.
 type Entry struct {
-	// Holder is host:port of the node that holds it.
+	// Holder is the host:port of the node that holds the request.
 	Holder string
 	// Node is the holder's name.
 	Node string
 	// ID is the request's ID.
 	ID string
-	// Fingerprint is the hash of its organisation and body.
+	// Fingerprint is the hash of the request's organisation and body.
 	Fingerprint uint64
-	// Hops is how often the request had been handed on when the holder got it.
+	// Hops counts the handoffs by which the request reached the holder.
 	Hops int
 
 	entered time.Time
@@ -70,15 +71,15 @@
 func (d *directory) put(name string, entry Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shrink()
+	d.evict()
 	entry.entered = time.Now()
-	entry.expires = entry.entered.Add(entryLife)
+	entry.expires = entry.entered.Add(entryTTL)
 	d.entries[name] = entry
 }
 
-// shrink drops what has expired, or anything, when the directory is full; the
-// caller holds the lock.
-func (d *directory) shrink() {
+// evict makes space in a full directory: it removes expired entries, and
+// arbitrary others up to a tenth of the directory. The caller holds the lock.
+func (d *directory) evict() {
 	if len(d.entries) < maxEntries {
 		return
 	}
@@ -92,8 +93,8 @@
 	}
 }
 
-// names lists under what a query's request may stand.
-func names(query caller.Query) []string {
+// queryNames returns the names under which a query's request may be registered.
+func queryNames(query caller.Query) []string {
 	var all []string
 	if query.Key != "" {
 		all = append(all, keyName(query))
@@ -102,7 +103,7 @@
 		all = append(all, "id\x00"+query.ID)
 	}
 	if query.Key == "" && query.Orphan {
-		all = append(all, printName(query))
+		all = append(all, fingerprintName(query))
 	}
 	return all
 }
@@ -111,20 +112,20 @@
 	return "key\x00" + query.Organisation + "\x00" + query.Key
 }
 
-func printName(query caller.Query) string {
+func fingerprintName(query caller.Query) string {
 	return "print\x00" + strconv.FormatUint(query.Fingerprint, 36)
 }
 
-// home is where a name's entry is kept. A node knows every member of its own
-// failure domain but only some contacts of another: there the contact passes
-// the call on to the home, which it can work out.
+// home is a node that stores the entry of a name. A node knows every member of
+// its own failure domain but only some contacts in other ones. A contact in
+// another domain forwards the call to the home, which it can determine.
 type home struct {
 	member  blackboard.Member
 	forward bool
 }
 
-// homes returns one home in each of the two failure domains that come first by
-// rendezvous hash.
+// homes returns one home in each of the two failure domains that rank highest
+// by rendezvous hash.
 func (x *Exchange) homes(name string) []home {
 	domains := map[string][]blackboard.Member{}
 	for _, member := range x.config.Board.Members.All() {
@@ -133,34 +134,35 @@
 		}
 	}
 	ranked := slices.SortedFunc(maps.Keys(domains), func(a, b string) int {
-		return cmp.Compare(rank(name, b), rank(name, a))
+		return cmp.Compare(rendezvousRank(name, b), rendezvousRank(name, a))
 	})
 	var homes []home
 	for _, domain := range ranked[:min(len(ranked), homesPerName)] {
 		homes = append(homes, home{
-			member:  first(name, domains[domain]),
+			member:  highestRanked(name, domains[domain]),
 			forward: domain != x.config.FailureDomain,
 		})
 	}
 	return homes
 }
 
-// homesPerName is how many failure domains keep a name's entry.
+// homesPerName is the number of failure domains that store the entry of a name.
 const homesPerName = 2
 
-// rank orders candidates for a name, the same on every node.
-func rank(name, candidate string) uint64 {
+// rendezvousRank returns the rank of a candidate for a name; it is the same on
+// every node.
+func rendezvousRank(name, candidate string) uint64 {
 	return xxh3.HashStringSeed(name, xxh3.HashString(candidate))
 }
 
-// first returns the member that comes first for a name.
-func first(name string, members []blackboard.Member) blackboard.Member {
+// highestRanked returns the member that ranks highest for a name.
+func highestRanked(name string, members []blackboard.Member) blackboard.Member {
 	return slices.MaxFunc(members, func(a, b blackboard.Member) int {
-		return cmp.Compare(rank(name, a.ID), rank(name, b.ID))
+		return cmp.Compare(rendezvousRank(name, a.ID), rendezvousRank(name, b.ID))
 	})
 }
 
-// localHome returns this failure domain's home of a name.
+// localHome returns the home of a name in this node's failure domain.
 func (x *Exchange) localHome(name string) blackboard.Member {
 	var members []blackboard.Member
 	for _, member := range x.config.Board.Members.All() {
@@ -173,11 +175,11 @@
 			ID: x.config.Node,
 		}
 	}
-	return first(name, members)
+	return highestRanked(name, members)
 }
 
-// alive says whether a holder has not been found dead.
-func (x *Exchange) alive(entry Entry) bool {
+// isAlive reports whether the holder of an entry is not known to be dead.
+func (x *Exchange) isAlive(entry Entry) bool {
 	member, ok := x.config.Board.Members.Get(entry.Node)
 	return !ok || !member.Dead
 }
--- a/handoff/enter_bench_test.go
+++ b/handoff/enter_bench_test.go
@@ -8,13 +8,13 @@
 	"zinniamast/caller"
 )
 
-// BenchmarkEnter measures what one keyed request costs in the directory: its
-// entry at two homes, which also tells whether the key stands. The bytes are below TLS, and
-// each counts once.
+// BenchmarkEnter measures the cost of one keyed request in the directory: a write
+// at two homes, which also returns an existing entry of the key. The bytes are
+// counted below TLS, each once.
 func BenchmarkEnter(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	nodes := openNodes(ctx, b, 4)
+	nodes := newTCPNodes(ctx, b, 4)
 	count := 0
 	for b.Loop() {
 		count++
@@ -26,7 +26,7 @@
 			Fingerprint:  uint64(count),
 		}
 		if reader, refusal := node.exchange.Enter(ctx, query); reader != nil || refusal != nil {
-			b.Fatal("a new key stands already")
+			b.Fatal("a new key has an entry already")
 		}
 	}
 	wire := int64(0)
--- a/handoff/give.go
+++ b/handoff/give.go
@@ -12,27 +12,28 @@
 	"zinniamast/request"
 )
 
-// giving is one request on its way to a peer.
-type giving struct {
+// outgoing is a request that is being handed over to a peer.
+type outgoing struct {
 	request  *request.Request
 	snapshot request.Snapshot
 }
 
-// Give hands every request that has not ended to peers and returns how many
-// are left here because no peer would hold them. It first makes peers hold
-// copies, and only lets go of a request whose copy was acknowledged.
+// Give hands over every request that has not ended to peers and returns how
+// many remain here because no peer accepted them. It first sends copies for
+// peers to hold, and releases only requests whose copy was acknowledged.
 //
-// A request whose upstream is leaving too is let go only when its stream has
-// moved and goes on, or at the given time: ending its attempt earlier would cut
-// the move short, and the peer would have to compute prompt and tokens again.
-// Until then the peer's copy is what survives if this node dies.
-func (x *Exchange) Give(ctx context.Context, until time.Time) (left int) {
-	var open []giving
+// A request whose upstream is leaving too is released only after its stream has
+// moved and produces tokens again, or at the given time: ending its attempt
+// earlier would interrupt the move, and the peer would have to compute the
+// prompt and the tokens again. Until then the request survives the death of this
+// node through the peer's copy.
+func (x *Exchange) Give(ctx context.Context, until time.Time) (remaining int) {
+	var open []outgoing
 	for _, q := range x.config.Board.Requests.All() {
 		select {
 		case <-q.Done():
 		default:
-			open = append(open, giving{
+			open = append(open, outgoing{
 				request:  q,
 				snapshot: q.Snapshot(),
 			})
@@ -40,20 +41,21 @@
 	}
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	for i, batch := range split(open) {
+	for i, batch := range splitBatches(open) {
 		group.Go(func() {
-			missed := x.giveBatch(ctx, batch, i, until)
+			refused := x.handOffBatch(ctx, batch, i, until)
 			mu.Lock()
-			left += missed
+			remaining += refused
 			mu.Unlock()
 		})
 	}
 	group.Wait()
-	return left
+	return remaining
 }
 
-// settled says whether nothing is gained by keeping a request here longer.
-func (x *Exchange) settled(q *request.Request) bool {
+// isSettled reports whether a request has ended or has no move off a leaving
+// upstream in progress, so that it can be released.
+func (x *Exchange) isSettled(q *request.Request) bool {
 	select {
 	case <-q.Done():
 		return true
@@ -67,10 +69,10 @@
 	return upstream == nil || !upstream.Leaving()
 }
 
-// split makes batches that one call can carry.
-func split(open []giving) [][]giving {
-	var batches [][]giving
-	var batch []giving
+// splitBatches splits requests into batches that fit into one Hold call.
+func splitBatches(open []outgoing) [][]outgoing {
+	var batches [][]outgoing
+	var batch []outgoing
 	bytes := 0
 	for _, g := range open {
 		size := g.snapshot.Bytes()
@@ -88,9 +90,10 @@
 	return batches
 }
 
-// giveBatch tries peers in turn until one holds the batch. Both neighbours
-// may be leaving too; a leaving peer refuses, and the next one is asked.
-func (x *Exchange) giveBatch(ctx context.Context, batch []giving, turn int, until time.Time) (left int) {
+// handOffBatch tries peers in turn until one accepts the batch, and returns how
+// many requests no peer accepted. A peer that is leaving too refuses, and the
+// next one is tried.
+func (x *Exchange) handOffBatch(ctx context.Context, batch []outgoing, turn int, until time.Time) (remaining int) {
 	args := HoldArgs{
 		Giver: x.config.Node,
 		Lease: startLease + max(0, time.Until(until)),
@@ -98,7 +101,7 @@
 	for _, g := range batch {
 		args.Snapshots = append(args.Snapshots, g.snapshot)
 	}
-	for _, peer := range x.candidates(turn) {
+	for _, peer := range x.candidatePeers(turn) {
 		if ctx.Err() != nil {
 			break
 		}
@@ -108,23 +111,24 @@
 		cancel()
 		if err != nil {
 			x.metrics.refused.Add(float64(len(batch)))
-			x.config.Logger.Info("peer does not hold requests",
+			x.config.Logger.Info("peer did not accept requests",
 				"peer", peer.ID,
 				"cause", err)
 			continue
 		}
-		return x.letGo(ctx, batch, peer, reply.Held, until)
+		return x.releaseBatch(ctx, batch, peer, reply.Held, until)
 	}
 	return len(batch)
 }
 
-// candidates orders the peers: other failure domains first, since this one may
-// be leaving as a whole, then spread by turn and weight.
-func (x *Exchange) candidates(turn int) []blackboard.Member {
+// candidatePeers returns the peers in the order to try: other failure domains
+// first, since this one may be leaving as a whole, then by turn and a random
+// factor that favours weight.
+func (x *Exchange) candidatePeers(turn int) []blackboard.Member {
 	type ranked struct {
-		member blackboard.Member
-		home   bool
-		rank   float64
+		member  blackboard.Member
+		isLocal bool
+		rank    float64
 	}
 	var all []ranked
 	for i, member := range x.config.Board.Members.All() {
@@ -133,14 +137,14 @@
 		}
 		weight := max(member.Weight, 0.01)
 		all = append(all, ranked{
-			member: member,
-			home:   member.FailureDomain == x.config.FailureDomain,
-			rank:   float64((i+turn)%8) + rand.ExpFloat64()/weight,
+			member:  member,
+			isLocal: member.FailureDomain == x.config.FailureDomain,
+			rank:    float64((i+turn)%8) + rand.ExpFloat64()/weight,
 		})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
-		if a.home != b.home {
-			if a.home {
+		if a.isLocal != b.isLocal {
+			if a.isLocal {
 				return 1
 			}
 			return -1
@@ -154,43 +158,45 @@
 	return members
 }
 
-// letGo stops what the peer holds here and gives the word to start it there.
-func (x *Exchange) letGo(ctx context.Context, batch []giving, peer blackboard.Member, held []string, until time.Time) (left int) {
+// releaseBatch stops the requests that the peer holds and starts them there. It
+// returns how many requests of the batch the peer does not hold.
+func (x *Exchange) releaseBatch(ctx context.Context, batch []outgoing, peer blackboard.Member, held []string, until time.Time) (remaining int) {
 	var group sync.WaitGroup
 	for _, g := range batch {
 		if !slices.Contains(held, g.snapshot.Call.ID) {
-			left++
+			remaining++
 			continue
 		}
 		group.Go(func() {
-			x.awaitSettled(ctx, g.request, until)
-			// From here on nothing is added to the answer at this node, so what
-			// follows is all that callers can have seen.
+			x.waitUntilSettled(ctx, g.request, until)
+			// After Move this node adds no tokens to the answer, so the snapshot
+			// that sendStart takes holds everything that callers can have seen.
 			g.request.Move(peer.Address)
 			x.config.Runner.Release(g.request)
 			x.metrics.given.Inc()
-			x.sayStart(ctx, g, peer)
+			x.sendStart(ctx, g, peer)
 		})
 	}
 	group.Wait()
-	return left
+	return remaining
 }
 
-// settlePoll is how often a request that waits for its move is looked at.
-const settlePoll = 20 * time.Millisecond
+// settlePollInterval is the interval at which a request that waits for its move is checked.
+const settlePollInterval = 20 * time.Millisecond
 
-// awaitSettled waits for a request's move off a leaving upstream, up to a moment.
-func (x *Exchange) awaitSettled(ctx context.Context, q *request.Request, until time.Time) {
-	for !x.settled(q) && time.Now().Before(until) && ctx.Err() == nil {
-		time.Sleep(settlePoll)
+// waitUntilSettled waits for a request's move off a leaving upstream, but no
+// longer than until the given time.
+func (x *Exchange) waitUntilSettled(ctx context.Context, q *request.Request, until time.Time) {
+	for !x.isSettled(q) && time.Now().Before(until) && ctx.Err() == nil {
+		time.Sleep(settlePollInterval)
 	}
 }
 
-// startTries is how often the word to start is said; after that the peer's
-// lease starts the request from its older copy.
-const startTries = 3
+// startAttempts bounds the Start calls for a request. If all of them fail, the
+// peer starts the request from its older copy when the lease expires.
+const startAttempts = 3
 
-func (x *Exchange) sayStart(ctx context.Context, g giving, peer blackboard.Member) {
+func (x *Exchange) sendStart(ctx context.Context, g outgoing, peer blackboard.Member) {
 	latest := g.request.Snapshot()
 	from := len(g.snapshot.IDs)
 	args := StartArgs{
@@ -200,18 +206,18 @@
 	if latest.State == request.StateMoved {
 		args.Latest.State = request.StateAccepted
 	}
-	for range startTries {
+	for range startAttempts {
 		var reply StartReply
 		err := x.call(ctx, peer.Address, "Start", args, &reply)
 		if err == nil {
 			return
 		}
-		x.config.Logger.Info("peer did not hear the word to start",
+		x.config.Logger.Info("start call to peer failed",
 			"peer", peer.ID,
 			"request", g.snapshot.Call.ID,
 			"cause", err)
 		select {
-		case <-time.After(relayPause):
+		case <-time.After(relayRetryDelay):
 		case <-ctx.Done():
 			return
 		}
--- a/handoff/give_bench_test.go
+++ b/handoff/give_bench_test.go
@@ -14,17 +14,17 @@
 	"zinniamast/request"
 )
 
-// openNode is a node with a real listener and pool on loopback.
-type openNode struct {
+// tcpNode is a node with a real listener and pool on loopback.
+type tcpNode struct {
 	board    *blackboard.Board
 	exchange *handoff.Exchange
 	server   *peer.Server
 	pool     *peer.Pool
 }
 
-func openNodes(ctx context.Context, b *testing.B, count int) []*openNode {
+func newTCPNodes(ctx context.Context, b *testing.B, count int) []*tcpNode {
 	keys := []string{strings.Repeat("k", 32)}
-	var nodes []*openNode
+	var nodes []*tcpNode
 	for i := range count {
 		server, err := peer.NewServer(peer.ServerConfig{
 			Listen:       "127.0.0.1:0",
@@ -40,7 +40,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		node := &openNode{
+		node := &tcpNode{
 			board:  blackboard.New(),
 			server: server,
 			pool:   pool,
@@ -48,7 +48,7 @@
 		node.exchange = handoff.New(handoff.Config{
 			Board:         node.board,
 			Transport:     pool,
-			Runner:        finisher{length: 0},
+			Runner:        finishingRunner{length: 0},
 			Node:          fmt.Sprint("node-", i),
 			FailureDomain: fmt.Sprint("domain-", i),
 			Address:       server.Address(),
@@ -79,13 +79,13 @@
 	return nodes
 }
 
-// BenchmarkGive hands over 200 open streams of 30,000 prompt tokens each, from
-// the first look at the table to the last word to start.
-func BenchmarkGive(b *testing.B) {
+// BenchmarkHandOff hands over 200 open streams of 30,000 prompt tokens each, from
+// listing the requests to the last Start call.
+func BenchmarkHandOff(b *testing.B) {
 	const streams, promptBytes, produced = 200, 120_000, 500
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	nodes := openNodes(ctx, b, 4)
+	nodes := newTCPNodes(ctx, b, 4)
 	round := 0
 	for b.Loop() {
 		b.StopTimer()
@@ -104,8 +104,8 @@
 		}
 		round++
 		b.StartTimer()
-		if left := nodes[0].exchange.Give(ctx, time.Time{}); left > 0 {
-			b.Fatalf("%d streams found no peer", left)
+		if remaining := nodes[0].exchange.Give(ctx, time.Time{}); remaining > 0 {
+			b.Fatalf("%d streams were accepted by no peer", remaining)
 		}
 	}
 	traffic := nodes[0].pool.Traffic()
--- a/handoff/handoff.go
+++ b/handoff/handoff.go
@@ -1,6 +1,6 @@
-// Package handoff keeps accepted requests alive beyond the node that accepted
-// them: a leaving node hands them to peers, peers tell where a request is now,
-// and callers go on reading wherever they land.
+// Package handoff lets accepted requests outlive the node that accepted them: a
+// leaving node hands them over to peers, a directory records which node holds a
+// request, and callers can continue to read its answer from any node.
 package handoff
 
 import (
@@ -30,44 +30,45 @@
 	Release(q *request.Request)
 }
 
-// Config says what an exchange works with.
+// Config holds the dependencies and settings of an exchange.
 type Config struct {
 	Board     *blackboard.Board
 	Transport Transport
 	Runner    Runner
-	// Node and FailureDomain are this instance's own.
+	// Node and FailureDomain are the name and the failure domain of this instance.
 	Node          string
 	FailureDomain string
-	// Address is host:port by which peers reach this node.
+	// Address is the host:port at which peers reach this node.
 	Address string
-	// Stopping says whether this node takes nothing over any more.
+	// Stopping reports whether this node no longer takes over requests.
 	Stopping func() bool
-	// MemoryCap bounds the bytes of requests held here and taken over; zero means no bound.
+	// MemoryCap bounds the bytes of the requests at this node, held ones included;
+	// zero means no bound.
 	MemoryCap int64
-	// Context ends when the node may run nothing any more.
+	// Context is cancelled when the node must stop running requests.
 	Context    context.Context
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 }
 
 const (
-	// callTimeout bounds small calls between nodes.
+	// callTimeout bounds calls between nodes that carry no requests.
 	callTimeout = 300 * time.Millisecond
-	// holdTimeout bounds the call that carries requests.
+	// holdTimeout bounds a Hold call, which carries requests.
 	holdTimeout = 3 * time.Second
-	// startLease is how long a node waits for the word to start what it holds.
-	// The giver sends it right after the acknowledgement; if it does not come
-	// the giver has died in between, and nobody else would run the request.
+	// startLease is how long a node waits for the Start call of a request that it
+	// holds. The giver makes the call right after the acknowledgement of Hold; if
+	// it does not arrive, the giver has died and no other node runs the request.
 	startLease = 3 * time.Second
-	// maxLease bounds the lease that a giver asks for.
+	// maxLease bounds the lease that a giver may request.
 	maxLease = time.Minute
-	// batchBytes and batchRequests bound one call that carries requests.
+	// batchBytes and batchRequests bound the requests in one Hold call.
 	batchBytes    = 4 << 20
 	batchRequests = 64
 )
 
-// Exchange is a node's part in the exchange of requests. Its exported RPC
-// methods are on the receiver that Receiver returns.
+// Exchange hands requests over to peers, takes them over from peers and locates
+// them. The methods that peers call are on the receiver that Receiver returns.
 type Exchange struct {
 	config    Config
 	directory *directory
@@ -78,7 +79,7 @@
 	relays map[string]*relay
 }
 
-// heldRequest waits for the word to start.
+// heldRequest is a copy of a peer's request that waits for the Start call.
 type heldRequest struct {
 	snapshot request.Snapshot
 	timer    *time.Timer
@@ -98,7 +99,7 @@
 	}
 }
 
-// Receiver returns what peers may call, to register under ServiceName.
+// Receiver returns the RPC receiver for peers, to be registered under ServiceName.
 func (x *Exchange) Receiver() *Receiver {
 	return &Receiver{
 		exchange: x,
@@ -113,7 +114,7 @@
 	exchange *Exchange
 }
 
-// call calls a small method of a peer.
+// call calls a method of a peer within callTimeout.
 func (x *Exchange) call(ctx context.Context, address, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -27,12 +27,12 @@
 
 // network connects exchanges in memory; arguments pass through gob as over net/rpc.
 type network struct {
-	mu    sync.Mutex
-	nodes map[string]*testNode
-	cut   map[string]bool
-	calls int
-	bytes int
-	// delay is what a call takes each way; nil is a millisecond in all.
+	mu          sync.Mutex
+	nodes       map[string]*testNode
+	unreachable map[string]bool
+	calls       int
+	bytes       int
+	// delay returns the time that a call takes; if nil, a call takes a millisecond.
 	delay func() time.Duration
 }
 
@@ -44,21 +44,21 @@
 	network  *network
 }
 
-var errCut = errors.New("link is cut")
+var errUnreachable = errors.New("node is unreachable")
 
 // Call implements handoff.Transport.
 func (n *network) Call(ctx context.Context, address, method string, args, reply any) error {
 	n.mu.Lock()
 	node := n.nodes[address]
-	cut := n.cut[address] || n.cut[address+"/"+method]
+	unreachable := n.unreachable[address] || n.unreachable[address+"/"+method]
 	n.calls++
 	delay := time.Millisecond
 	if n.delay != nil {
 		delay = n.delay()
 	}
 	n.mu.Unlock()
-	if cut || node == nil {
-		return errCut
+	if unreachable || node == nil {
+		return errUnreachable
 	}
 	time.Sleep(delay)
 	receiver := reflect.ValueOf(node.exchange.Receiver()).MethodByName(strings.TrimPrefix(method, handoff.ServiceName+"."))
@@ -94,10 +94,10 @@
 	}
 }
 
-// finisher runs resumed requests: it produces the tokens that are missing.
-type finisher struct{ length int }
+// finishingRunner finishes resumed requests: it produces the missing tokens.
+type finishingRunner struct{ length int }
 
-func (f finisher) Resume(_ context.Context, q *request.Request, upstream string) {
+func (f finishingRunner) Resume(_ context.Context, q *request.Request, upstream string) {
 	q.Begin("resumed", upstream)
 	for i := len(q.Produced()); i < f.length; i++ {
 		time.Sleep(10 * time.Millisecond)
@@ -108,11 +108,11 @@
 	q.Finish("resumed", "stop", request.Usage{})
 }
 
-func (finisher) Release(*request.Request) {}
+func (finishingRunner) Release(*request.Request) {}
 
 func tokenText(i int) []byte { return fmt.Appendf(nil, " t%d", i) }
 
-func wholeText(length int) string {
+func answerText(length int) string {
 	var text []byte
 	for i := range length {
 		text = append(text, tokenText(i)...)
@@ -120,11 +120,11 @@
 	return string(text)
 }
 
-// fleet returns nodes that know each other, two to a failure domain.
-func fleet(ctx context.Context, count, length int) (*network, []*testNode) {
+// newFleet returns nodes that know each other, two in each failure domain.
+func newFleet(ctx context.Context, count, length int) (*network, []*testNode) {
 	n := &network{
-		nodes: map[string]*testNode{},
-		cut:   map[string]bool{},
+		nodes:       map[string]*testNode{},
+		unreachable: map[string]bool{},
 	}
 	var nodes []*testNode
 	for i := range count {
@@ -136,7 +136,7 @@
 		node.exchange = handoff.New(handoff.Config{
 			Board:         node.board,
 			Transport:     n,
-			Runner:        finisher{length: length},
+			Runner:        finishingRunner{length: length},
 			Node:          node.name,
 			FailureDomain: fmt.Sprintf("domain-%d", i/2),
 			Address:       node.name,
@@ -160,7 +160,7 @@
 	return n, nodes
 }
 
-func running(node *testNode, id string, tokens int) *request.Request {
+func addRunning(node *testNode, id string, tokens int) *request.Request {
 	q := request.New(request.Call{
 		ID:           id,
 		Organisation: "north",
@@ -176,15 +176,16 @@
 	return q
 }
 
-// readAll follows an answer as the caller's side does, from node to node.
-func readAll(ctx context.Context, at *testNode, reader request.Reader, text string, tokens int) (string, error) {
+// readAnswer reads an answer to its end and follows it from node to node, as the
+// caller package does.
+func readAnswer(ctx context.Context, at *testNode, reader request.Reader, text string, tokens int) (string, error) {
 	var progress request.Progress
 	for {
 		if err := reader.Read(ctx, &progress); err != nil {
 			return text, err
 		}
 		if progress.Index != tokens {
-			return text, fmt.Errorf("token %d came after %d", progress.Index, tokens)
+			return text, fmt.Errorf("got token %d, want token %d", progress.Index, tokens)
 		}
 		text += string(progress.Text)
 		tokens += len(progress.Ends)
@@ -206,20 +207,20 @@
 	}
 }
 
-// The entry instance is reclaimed while streams run, and its neighbour in the
-// failure domain is leaving too and refuses. Every caller that stays connected
-// reads one unbroken answer; one that reconnects with its key to any other
-// node gets the same answer.
+// A node is reclaimed while streams run, and two peers, one of them in the same
+// failure domain, are leaving too and refuse. Every caller that stays connected
+// reads one unbroken answer; a caller that reconnects to another node with its
+// key receives the same answer.
 func TestLeavingNodeHandsRequestsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		_, nodes := fleet(ctx, 6, 50)
+		_, nodes := newFleet(ctx, 6, 50)
 		nodes[1].stopping = true
 		nodes[2].stopping = true
 		var readers []request.Reader
 		for i := range 20 {
-			q := running(nodes[0], fmt.Sprint("r", i), i)
+			q := addRunning(nodes[0], fmt.Sprint("r", i), i)
 			readers = append(readers, q.Watch(0))
 			nodes[0].exchange.Enter(ctx, caller.Query{
 				ID:           q.Call.ID,
@@ -228,13 +229,13 @@
 				Fingerprint:  7,
 			})
 		}
-		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0) // nobody is left behind
+		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0) // peers accept every request
 		var group sync.WaitGroup
 		for _, reader := range readers {
 			group.Go(func() {
-				text, err := readAll(ctx, nodes[0], reader, "", 0)
+				text, err := readAnswer(ctx, nodes[0], reader, "", 0)
 				is.NoErr(err)
-				is.Equal(text, wholeText(50))
+				is.Equal(text, answerText(50))
 			})
 		}
 		group.Go(func() {
@@ -245,10 +246,10 @@
 				Fingerprint:  7,
 			})
 			is.Equal(refusal, nil)
-			is.True(reader != nil) // attached, not run a second time
-			text, err := readAll(ctx, nodes[5], reader, "", 0)
+			is.True(reader != nil) // attached to the running request, not run a second time
+			text, err := readAnswer(ctx, nodes[5], reader, "", 0)
 			is.NoErr(err)
-			is.Equal(text, wholeText(50))
+			is.Equal(text, answerText(50))
 		})
 		group.Wait()
 		cancel()
@@ -256,19 +257,19 @@
 	})
 }
 
-// The leaving node dies between the acknowledgement and the word to start.
-// The holder starts from its copy when the lease ends. A caller that had seen
-// more tokens than the copy has is told that its answer cannot go on, since
-// tokens produced again may differ; one that had seen fewer goes on.
-func TestGiverDiesBeforeTheWordToStart(t *testing.T) {
+// The leaving node dies between the acknowledgement of Hold and the Start call.
+// The holder starts from its copy when the lease expires. A caller that has
+// received more tokens than the copy has gets ErrLost, since tokens produced
+// again may differ; a caller that has received no more continues.
+func TestGiverDiesBeforeStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		n, nodes := fleet(ctx, 2, 30)
+		n, nodes := newFleet(ctx, 2, 30)
 		for _, node := range nodes {
-			n.cut[node.name+"/"+handoff.ServiceName+".Start"] = true
+			n.unreachable[node.name+"/"+handoff.ServiceName+".Start"] = true
 		}
-		q := running(nodes[0], "r", 10)
+		q := addRunning(nodes[0], "r", 10)
 		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0)
 		is.Equal(q.State(), request.StateMoved)
 		time.Sleep(5 * time.Second)
@@ -277,39 +278,39 @@
 			Organisation: "north",
 			From:         12,
 		}
-		_, err := readAll(ctx, nodes[0], nodes[0].exchange.Follow("node-1", query), "", 12)
+		_, err := readAnswer(ctx, nodes[0], nodes[0].exchange.Follow("node-1", query), "", 12)
 		is.True(errors.Is(err, handoff.ErrLost))
 		query.From = 10
-		text, err := readAll(ctx, nodes[0], nodes[0].exchange.Follow("node-1", query), wholeText(10), 10)
+		text, err := readAnswer(ctx, nodes[0], nodes[0].exchange.Follow("node-1", query), answerText(10), 10)
 		is.NoErr(err)
-		is.Equal(text, wholeText(30))
+		is.Equal(text, answerText(30))
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// A holder cannot be reached any more when a caller sends its key to another
-// node. The entry gives way and the request runs anew there; the same key with
-// another body is refused while the holder can be reached.
-func TestKeyGoesOnWithoutItsHolder(t *testing.T) {
+// A caller sends its key to another node while the holder is unreachable. The
+// entry is replaced and the request runs anew at that node. While the holder can
+// be reached, the same key with another body is refused.
+func TestKeyRunsAnewWithoutItsHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		n, nodes := fleet(ctx, 4, 5)
+		n, nodes := newFleet(ctx, 4, 5)
 		query := caller.Query{
 			ID:           "r",
 			Organisation: "north",
 			Key:          "key-r",
 			Fingerprint:  7,
 		}
-		running(nodes[0], "r", 1)
+		addRunning(nodes[0], "r", 1)
 		reader, refusal := nodes[0].exchange.Enter(ctx, query)
 		is.True(reader == nil && refusal == nil)
 		other := query
 		other.Fingerprint = 8
 		_, refusal = nodes[2].exchange.Enter(ctx, other)
 		is.True(refusal != nil)
-		n.cut["node-0"] = true
+		n.unreachable["node-0"] = true
 		query.ID = "second"
 		reader, refusal = nodes[3].exchange.Enter(ctx, query)
 		is.True(reader == nil && refusal == nil) // runs anew
@@ -318,15 +319,15 @@
 	})
 }
 
-// The caller's connection breaks at the moment of the handoff: the node that
-// lets go still tells the directory that its request lost its caller, after the
-// new holder has put itself down. The caller must be led to the new holder.
-func TestLateWordOfTheGiverIsNotBelieved(t *testing.T) {
+// The caller's connection breaks during the handoff: the giver still registers
+// the request as orphaned in the directory after the new holder has registered
+// itself. The caller must be directed to the new holder.
+func TestLateOrphanReportOfTheGiverIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		_, nodes := fleet(ctx, 6, 30)
-		q := running(nodes[0], "r", 10)
+		_, nodes := newFleet(ctx, 6, 30)
+		q := addRunning(nodes[0], "r", 10)
 		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0)
 		time.Sleep(50 * time.Millisecond)
 		entry := handoff.Entry{
@@ -354,29 +355,29 @@
 			Organisation: "north",
 		})
 		is.True(reader != nil)
-		text, err := readAll(ctx, nodes[5], reader, "", 0)
+		text, err := readAnswer(ctx, nodes[5], reader, "", 0)
 		is.NoErr(err)
-		is.Equal(text, wholeText(30))
+		is.Equal(text, answerText(30))
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// A caller's two sendings of one key reach two nodes at the same moment. One of
-// the nodes runs the request and the other reads it there; neither gives it up
-// to the other at the same time, whatever order their words reach the homes in.
+// A caller sends one key to two nodes at the same moment. Exactly one of the
+// nodes runs the request and the other reads it there, in whatever order their
+// entries reach the homes; both must not leave the request to each other.
 func TestOneKeyAtTwoNodesAtOnce(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			n, nodes := fleet(ctx, 6, 5)
+			n, nodes := newFleet(ctx, 6, 5)
 			random := rand.New(rand.NewPCG(seed, 0))
 			n.delay = func() time.Duration { return time.Duration(random.IntN(3000)) * time.Microsecond }
-			var mine atomic.Int32
+			var running atomic.Int32
 			var group sync.WaitGroup
 			for _, i := range []int{0, 5} {
 				id := fmt.Sprint("r", i)
-				running(nodes[i], id, 1)
+				addRunning(nodes[i], id, 1)
 				group.Go(func() {
 					reader, _ := nodes[i].exchange.Enter(ctx, caller.Query{
 						ID:           id,
@@ -385,13 +386,13 @@
 						Fingerprint:  7,
 					})
 					if reader == nil {
-						mine.Add(1)
+						running.Add(1)
 					}
 				})
 			}
 			group.Wait()
-			if mine.Load() != 1 {
-				t.Fatalf("seed %d: %d nodes run the key", seed, mine.Load())
+			if running.Load() != 1 {
+				t.Fatalf("seed %d: %d nodes run the request, want 1", seed, running.Load())
 			}
 			cancel()
 			time.Sleep(time.Minute)
@@ -399,9 +400,9 @@
 	}
 }
 
-// Nodes leave one after the other at random moments, some links are cut on
-// the way. Whatever happens, what a caller reads is a prefix of its own
-// answer, and it is the whole answer if the reader says so.
+// Nodes leave one after the other at random moments, and one method of one node
+// may be unreachable. What a caller reads is always a prefix of its own answer,
+// and it is the whole answer if the reader ends without an error.
 func TestChainOfHandoffs(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		leave := rapid.SliceOfN(rapid.IntRange(0, 400), 1, 4).Draw(r, "leave")
@@ -409,11 +410,11 @@
 		at := rapid.IntRange(1, 5).Draw(r, "at")
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			n, nodes := fleet(ctx, 6, 60)
+			n, nodes := newFleet(ctx, 6, 60)
 			if lost != "" {
-				n.cut[fmt.Sprintf("node-%d/%s.%s", at, handoff.ServiceName, lost)] = true
+				n.unreachable[fmt.Sprintf("node-%d/%s.%s", at, handoff.ServiceName, lost)] = true
 			}
-			q := running(nodes[0], "r", 3)
+			q := addRunning(nodes[0], "r", 3)
 			go func() {
 				for i, wait := range leave {
 					time.Sleep(time.Duration(wait) * time.Millisecond)
@@ -421,15 +422,15 @@
 					nodes[i].exchange.Give(ctx, time.Time{})
 				}
 			}()
-			text, err := readAll(ctx, nodes[0], q.Watch(0), "", 0)
-			if !strings.HasPrefix(wholeText(60), text) {
-				t.Fatalf("read %q", text)
+			text, err := readAnswer(ctx, nodes[0], q.Watch(0), "", 0)
+			if !strings.HasPrefix(answerText(60), text) {
+				t.Fatalf("read %q, which is not a prefix of the answer", text)
 			}
-			if err == nil && text != wholeText(60) {
-				t.Fatalf("whole answer is %q", text)
+			if err == nil && text != answerText(60) {
+				t.Fatalf("reader ended without an error after %q, which is not the whole answer", text)
 			}
 			if lost == "" && err != nil {
-				t.Fatalf("nothing was cut, but %v", err)
+				t.Fatalf("all nodes were reachable, but reading failed: %v", err)
 			}
 			cancel()
 			time.Sleep(time.Minute)
--- a/handoff/locate.go
+++ b/handoff/locate.go
@@ -11,45 +11,48 @@
 	"zinniamast/request"
 )
 
-// EnterArgs asks a home to keep an entry unless another stands.
+// EnterArgs asks a home to store an entry unless the name has another one.
 type EnterArgs struct {
 	Name  string
 	Entry Entry
-	// Replace puts the entry in place of whatever stands.
+	// Replace stores the entry even if the name has another one.
 	Replace bool
-	// Forward asks a contact to pass the call on to its failure domain's home.
+	// Forward asks a contact to forward the call to the home in its failure domain.
 	Forward bool
-	// Dead is a holder that the asking node could not reach; its entry gives way.
+	// Dead is a holder that the calling node could not reach; its entry is replaced.
 	Dead string
 }
 
-// EnterReply holds what stood before, if it stays.
+// EnterReply holds the existing entry if it was not replaced.
 type EnterReply struct {
+	// Standing reports that the existing entry was kept.
 	Standing bool
 	Entry    Entry
-	// Age is for how long it has stood.
+	// Age is the time since the existing entry was stored.
 	Age time.Duration
 }
 
-// Enter implements the directory's conditional write.
+// Enter stores an entry in this node's directory unless the name has another
+// entry that must be kept.
 func (r *Receiver) Enter(args EnterArgs, reply *EnterReply) error {
 	x := r.exchange
 	if args.Forward {
 		args.Forward = false
 		return x.enterAt(x.config.Context, x.localHome(args.Name), args, reply)
 	}
-	standing, ok := x.directory.get(args.Name)
-	stays := ok && !args.Replace && standing.Holder != args.Entry.Holder && standing.Holder != args.Dead && x.alive(standing)
-	if stays {
+	existing, ok := x.directory.get(args.Name)
+	isKept := ok && !args.Replace && existing.Holder != args.Entry.Holder && existing.Holder != args.Dead && x.isAlive(existing)
+	if isKept {
 		reply.Standing = true
-		reply.Entry = standing
-		reply.Age = time.Since(standing.entered)
+		reply.Entry = existing
+		reply.Age = time.Since(existing.entered)
 		return nil
 	}
-	// A node that has handed a request on may still be telling that it lost its
-	// caller. Taken for newer, that word would lead the caller to a node that is
-	// gone, and it would hear request_lost of a request that runs.
-	if ok && standing.ID == args.Entry.ID && standing.Hops > args.Entry.Hops {
+	// A node that has handed a request over may still register itself because the
+	// request lost its caller. If that late entry replaced the new holder's, the
+	// caller would be directed to a node that is gone and would receive
+	// request_lost for a request that runs.
+	if ok && existing.ID == args.Entry.ID && existing.Hops > args.Entry.Hops {
 		return nil
 	}
 	x.directory.put(args.Name, args.Entry)
@@ -59,7 +62,7 @@
 // LookupArgs asks a home for the entry of a name.
 type LookupArgs struct {
 	Name string
-	// Forward asks a contact to pass the call on to its failure domain's home.
+	// Forward asks a contact to forward the call to the home in its failure domain.
 	Forward bool
 }
 
@@ -69,7 +72,7 @@
 	Entry Entry
 }
 
-// Lookup implements the directory's read.
+// Lookup reads an entry from this node's directory.
 func (r *Receiver) Lookup(args LookupArgs, reply *LookupReply) error {
 	x := r.exchange
 	if args.Forward {
@@ -77,47 +80,48 @@
 		return x.lookupAt(x.config.Context, x.localHome(args.Name), args, reply)
 	}
 	entry, ok := x.directory.get(args.Name)
-	reply.Found = ok && x.alive(entry)
+	reply.Found = ok && x.isAlive(entry)
 	reply.Entry = entry
 	return nil
 }
 
 const (
-	// findTries is how often a request is looked for, and findPause the wait
-	// before the second time; it doubles. A caller that lost its connection may
-	// be back before the node that it lost has noticed and put itself down as
-	// the holder.
-	findTries = 4
-	findPause = 50 * time.Millisecond
+	// findAttempts bounds the lookups of a request, and initialFindBackoff is the
+	// wait before the second one, which doubles for each further one. A caller that
+	// lost its connection may reconnect before the node it was connected to has
+	// noticed the loss and registered itself as the holder.
+	findAttempts       = 4
+	initialFindBackoff = 50 * time.Millisecond
 )
 
 // Find implements caller.Locator.
 func (x *Exchange) Find(ctx context.Context, query caller.Query) request.Reader {
-	pause := findPause
-	for try := range findTries {
+	backoff := initialFindBackoff
+	for attempt := range findAttempts {
 		if reader := x.findOnce(ctx, query); reader != nil {
 			return reader
 		}
-		// The usual clients wait before they retry without an ID, mostly what was
-		// refused and runs nowhere; a second look would only delay them.
-		if try == findTries-1 || query.ID == "" {
+		// Clients that retry without an ID usually wait before they do so, and
+		// mostly their request was refused and runs nowhere; a second lookup would
+		// only delay them.
+		if attempt == findAttempts-1 || query.ID == "" {
 			return nil
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return nil
 		}
-		pause *= 2
+		backoff *= 2
 	}
 	return nil
 }
 
-// findOnce asks the directory, and then the node that accepted the request.
+// findOnce queries the directory, and then the node that accepted the request.
 func (x *Exchange) findOnce(ctx context.Context, query caller.Query) request.Reader {
-	for _, name := range names(query) {
+	for _, name := range queryNames(query) {
 		if entry, ok := x.lookup(ctx, name); ok && entry.Holder != x.config.Address {
-			if reader := x.open(ctx, entry, query); reader != nil {
+			if reader := x.openReader(ctx, entry, query); reader != nil {
 				return reader
 			}
 		}
@@ -126,14 +130,14 @@
 	if !ok || acceptor.Dead || acceptor.ID == x.config.Node {
 		return nil
 	}
-	return x.open(ctx, Entry{
+	return x.openReader(ctx, Entry{
 		Holder: acceptor.Address,
 		Node:   acceptor.ID,
 		ID:     query.ID,
 	}, query)
 }
 
-// lookup asks both homes at once and takes the first that knows.
+// lookup queries both homes concurrently and returns the first entry found.
 func (x *Exchange) lookup(ctx context.Context, name string) (Entry, bool) {
 	homes := x.homes(name)
 	replies := make(chan LookupReply, len(homes))
@@ -145,7 +149,7 @@
 				Forward: home.forward,
 			}
 			if err := x.lookupAt(ctx, home.member, args, &reply); err != nil {
-				x.unreachable(home, err)
+				x.logUnreachable(home, err)
 			}
 			replies <- reply
 		}()
@@ -158,52 +162,52 @@
 	return Entry{}, false
 }
 
-// open returns a reader of a request at its holder, or nil if the holder
+// openReader returns a reader of a request at its holder, or nil if the holder
 // cannot be reached or does not have it.
-func (x *Exchange) open(ctx context.Context, entry Entry, query caller.Query) request.Reader {
+func (x *Exchange) openReader(ctx context.Context, entry Entry, query caller.Query) request.Reader {
 	query.ID = entry.ID
 	var reply ReadReply
 	err := x.call(ctx, entry.Holder, "Read", ReadArgs{
-		Wants: []Want{want(query)},
+		Wants: []Want{newWant(query)},
 	}, &reply)
 	if err != nil || len(reply.Parts) == 1 && reply.Parts[0].Lost {
 		return nil
 	}
-	return x.relayTo(entry.Holder).reader(query)
+	return x.relayTo(entry.Holder).addReader(query)
 }
 
 // Follow implements caller.Locator.
 func (x *Exchange) Follow(peer string, query caller.Query) request.Reader {
-	return x.relayTo(peer).reader(query)
+	return x.relayTo(peer).addReader(query)
 }
 
-// Enter implements caller.Locator. An entry whose holder cannot be reached
-// gives way: the holder may live on behind a cut link, and then a model
-// request runs twice and each caller still gets one whole answer. Calls that
-// may not be repeated have claims in the table instead.
+// Enter implements caller.Locator. An entry whose holder cannot be reached is
+// replaced. The holder may still be alive behind a broken link; a model request
+// then runs twice, and each caller still receives one whole answer. Calls that
+// must not be repeated are protected by claims in the table instead.
 func (x *Exchange) Enter(ctx context.Context, query caller.Query) (request.Reader, *zinniamast.Refusal) {
 	name := keyName(query)
 	args := EnterArgs{
 		Name:  name,
-		Entry: x.entry(query),
+		Entry: x.newEntry(query),
 	}
-	standing, ok := x.enter(ctx, args)
+	existing, ok := x.enter(ctx, args)
 	if !ok {
 		return nil, nil
 	}
-	if standing.Fingerprint != query.Fingerprint {
+	if existing.Fingerprint != query.Fingerprint {
 		return nil, zinniamast.Refuse(zinniamast.ReasonKeyConflict, "key %q was used with another body", query.Key)
 	}
 	query.From = 0
-	if reader := x.open(ctx, standing, query); reader != nil {
+	if reader := x.openReader(ctx, existing, query); reader != nil {
 		return reader, nil
 	}
-	args.Dead = standing.Holder
+	args.Dead = existing.Holder
 	x.enter(ctx, args)
 	return nil, nil
 }
 
-func (x *Exchange) entry(query caller.Query) Entry {
+func (x *Exchange) newEntry(query caller.Query) Entry {
 	hops := 0
 	if q := x.config.Board.Requests.Get(query.ID); q != nil {
 		hops = q.Hops()
@@ -217,18 +221,18 @@
 	}
 }
 
-// raceWindow is how old an entry must be for the second home's word to count
-// against the first home's.
+// raceWindow is the age from which an entry at the second home is accepted
+// although the first home has none.
 const raceWindow = time.Second
 
-// enter writes to both homes and returns what stands.
+// enter writes an entry to both homes and returns the existing entry, if any.
 //
-// Failure: a caller's two sendings of one key reach two nodes at once, and each
-// node's word comes first at another home. If each believed the home that
-// names the other, both would give the request up to the other. So the first
-// home decides; the second one is believed where the first does not answer,
-// or where its entry is too old to be such a race, since then the first home
-// is new and has not heard of the key.
+// If a caller sends one key to two nodes at once, each node's entry may arrive
+// first at a different home. If each node accepted the entry of the other from
+// either home, both would leave the request to the other and none would run it.
+// So the first home decides. The second home's entry is accepted only if the
+// first home does not answer, or if the entry is older than raceWindow: then it
+// is not such a race, but the first home is new and does not have the key yet.
 func (x *Exchange) enter(ctx context.Context, args EnterArgs) (Entry, bool) {
 	homes := x.homes(args.Name)
 	replies := make([]EnterReply, len(homes))
@@ -240,7 +244,7 @@
 			args.Forward = home.forward
 			if err := x.enterAt(ctx, home.member, args, &replies[i]); err != nil {
 				failed[i] = true
-				x.unreachable(home, err)
+				x.logUnreachable(home, err)
 			}
 		})
 	}
@@ -254,7 +258,7 @@
 	return Entry{}, false
 }
 
-// lookupAt asks a member, which may be this node.
+// lookupAt reads an entry at a member, which may be this node.
 func (x *Exchange) lookupAt(ctx context.Context, member blackboard.Member, args LookupArgs, reply *LookupReply) error {
 	if member.ID == x.config.Node {
 		return x.Receiver().Lookup(args, reply)
@@ -262,7 +266,7 @@
 	return x.call(ctx, member.Address, "Lookup", args, reply)
 }
 
-// enterAt writes at a member, which may be this node.
+// enterAt writes an entry at a member, which may be this node.
 func (x *Exchange) enterAt(ctx context.Context, member blackboard.Member, args EnterArgs, reply *EnterReply) error {
 	if member.ID == x.config.Node {
 		return x.Receiver().Enter(args, reply)
@@ -270,14 +274,14 @@
 	return x.call(ctx, member.Address, "Enter", args, reply)
 }
 
-// unreachable notes a home that knows nothing for now.
-func (x *Exchange) unreachable(home home, err error) {
+// logUnreachable logs that a home could not be reached.
+func (x *Exchange) logUnreachable(home home, err error) {
 	x.config.Logger.Debug("directory home unreachable",
 		"home", home.member.ID,
 		"cause", err)
 }
 
-// registerTimeout bounds the word to the homes about one request.
+// registerTimeout bounds the registration of one request at its homes.
 const registerTimeout = 2 * time.Second
 
 // Orphaned implements caller.Locator.
@@ -290,14 +294,14 @@
 	go x.register(query)
 }
 
-// register puts this node down as the holder under every name of a request.
+// register records this node as the holder under every name of a request.
 func (x *Exchange) register(query caller.Query) {
 	ctx, cancel := context.WithTimeout(x.config.Context, registerTimeout)
 	defer cancel()
-	for _, name := range names(query) {
+	for _, name := range queryNames(query) {
 		x.enter(ctx, EnterArgs{
 			Name:    name,
-			Entry:   x.entry(query),
+			Entry:   x.newEntry(query),
 			Replace: true,
 		})
 	}
--- a/handoff/metrics.go
+++ b/handoff/metrics.go
@@ -5,12 +5,12 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// metrics counts what crosses between nodes.
+// metrics counts the requests that are handed over between nodes.
 type metrics struct {
-	given   prometheus.Counter
-	taken   prometheus.Counter
-	orphans prometheus.Counter
-	refused prometheus.Counter
+	given        prometheus.Counter
+	taken        prometheus.Counter
+	leaseStarted prometheus.Counter
+	refused      prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -22,9 +22,9 @@
 		})
 	}
 	return &metrics{
-		given:   counter("zinniamast_handoff_given_total", "Requests that a peer acknowledged holding."),
-		taken:   counter("zinniamast_handoff_taken_total", "Requests taken over from peers."),
-		orphans: counter("zinniamast_handoff_lease_started_total", "Requests started because their giver went silent."),
-		refused: counter("zinniamast_handoff_refused_total", "Requests that no peer would hold at the first try."),
+		given:        counter("zinniamast_handoff_given_total", "Requests that a peer acknowledged holding."),
+		taken:        counter("zinniamast_handoff_taken_total", "Requests taken over from peers."),
+		leaseStarted: counter("zinniamast_handoff_lease_started_total", "Requests started because their giver went silent."),
+		refused:      counter("zinniamast_handoff_refused_total", "Requests that no peer would hold at the first try."),
 	}
 }
--- a/handoff/read.go
+++ b/handoff/read.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// maxReadWait bounds how long a read waits for news.
+	// maxReadWait bounds how long a read waits for new tokens.
 	maxReadWait = 2 * time.Second
-	// heldWait bounds it where an answer waits for the word to start, which comes
-	// within a round trip; a caller would see a longer wait as a stall.
-	heldWait = 20 * time.Millisecond
+	// maxHeldReadWait bounds the wait of a read that includes a held request. Its
+	// Start call arrives within a round trip, and a caller would notice a longer
+	// wait as a stall.
+	maxHeldReadWait = 20 * time.Millisecond
 )
 
-// Want names an answer and what its reader has already.
+// Want names an answer and the first token that its reader lacks.
 type Want struct {
 	ID           string
 	Organisation string
@@ -23,7 +24,7 @@
 	Epoch        int
 }
 
-func want(query caller.Query) Want {
+func newWant(query caller.Query) Want {
 	return Want{
 		ID:           query.ID,
 		Organisation: query.Organisation,
@@ -32,30 +33,30 @@
 	}
 }
 
-// ReadArgs asks for what is new of several answers at once, so that one call
-// carries all that one peer reads from another.
+// ReadArgs asks for the new tokens of several answers at once, so that one call
+// carries everything that one peer reads from another.
 type ReadArgs struct {
 	Wants []Want
-	// Wait is how long to wait if nothing is new.
+	// Wait is how long to wait if no answer has progressed.
 	Wait time.Duration
-	// Delivered lists requests whose callers have the whole answer.
+	// Delivered lists requests whose callers have received the whole answer.
 	Delivered []string
 }
 
-// ReadReply holds what is new; an answer without news has no part.
+// ReadReply holds the parts of the answers that have progressed.
 type ReadReply struct {
 	Parts []Part
 }
 
-// Part is what is new of one answer.
+// Part is the progress of one answer.
 type Part struct {
 	ID string
-	// Lost means that this node cannot go on with the answer from there.
+	// Lost reports that this node cannot continue the answer from the wanted token.
 	Lost     bool
 	Progress request.Progress
 }
 
-// Read implements the long poll of answers.
+// Read is a long poll for the progress of answers.
 func (r *Receiver) Read(args ReadArgs, reply *ReadReply) error {
 	x := r.exchange
 	for _, id := range args.Delivered {
@@ -72,13 +73,14 @@
 		}
 	}()
 	for _, wanted := range args.Wants {
-		// Held is asked first: a request goes from held to running between the
-		// two looks, and asked the other way round it was in neither, so that its
-		// caller was told it is lost. It enters the one before it leaves the other.
-		held := x.holds(wanted.ID)
+		// The held requests are checked first. A request is added to the running
+		// ones before it is removed from the held ones, so this order always finds
+		// it in one of them. In the opposite order a request that started between
+		// the two checks was found in neither and reported as lost.
+		held := x.isHeld(wanted.ID)
 		q := x.config.Board.Requests.Get(wanted.ID)
 		if q == nil && held {
-			wait = min(wait, heldWait)
+			wait = min(wait, maxHeldReadWait)
 			continue
 		}
 		if q == nil || q.Call.Organisation != wanted.Organisation || !q.Accepts(wanted.Epoch, wanted.From) {
@@ -93,7 +95,7 @@
 	timeout := time.After(wait)
 	for {
 		for _, w := range watchers {
-			if part, news := poll(w); news {
+			if part, progressed := pollWatcher(w); progressed {
 				reply.Parts = append(reply.Parts, part)
 			}
 		}
@@ -110,8 +112,8 @@
 	}
 }
 
-// poll returns what is new for one watcher.
-func poll(w *request.Watcher) (Part, bool) {
+// pollWatcher returns the progress of one watcher and reports whether there is any.
+func pollWatcher(w *request.Watcher) (Part, bool) {
 	part := Part{
 		ID: w.Request(),
 	}
@@ -119,15 +121,15 @@
 	return part, len(part.Progress.Ends) > 0 || part.Progress.Ended()
 }
 
-// Held returns how many requests wait here for the word to start.
+// Held returns how many held requests wait here for their Start call.
 func (x *Exchange) Held() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.held)
 }
 
-// holds says whether a request waits here for the word to start.
-func (x *Exchange) holds(id string) bool {
+// isHeld reports whether a request waits here for its Start call.
+func (x *Exchange) isHeld(id string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	_, ok := x.held[id]
--- a/handoff/relay.go
+++ b/handoff/relay.go
@@ -13,28 +13,29 @@
 
 // Errors of this layer.
 var (
-	// ErrLost means that the peer cannot go on with the answer.
+	// ErrLost means that the peer cannot continue the answer.
 	ErrLost = merry.Sentinel("peer does not hold the answer")
 	// ErrUnreachable means that the peer has not answered for relayPatience.
 	ErrUnreachable = merry.Sentinel("peer holding the answer is unreachable")
 )
 
 const (
-	// relayWait is how long one poll waits for news.
-	relayWait = time.Second
-	// relaySlack is what a poll may take beyond its wait.
-	relaySlack = time.Second
-	// relayPatience is how long a peer may be silent before its readers give up.
-	relayPatience = 3 * time.Second
-	// relayGather lets readers that come together join one poll. Each poll cut
-	// short still waits at the peer, which bounds the calls of one connection.
-	relayGather = 20 * time.Millisecond
-	// relayPause is the wait after a failed poll.
-	relayPause = 50 * time.Millisecond
+	// relayPollWait is how long one poll waits at the peer for new tokens.
+	relayPollWait = time.Second
+	// relayCallMargin is the time that a poll may take in addition to its wait.
+	relayCallMargin = time.Second
+	// relaySilenceTimeout is how long a peer may fail to answer before its readers fail.
+	relaySilenceTimeout = 3 * time.Second
+	// relayJoinDelay lets readers that are added together join one poll. A
+	// cancelled poll still waits at the peer, and the peer bounds the calls of one
+	// connection, so polls must not be cancelled for every single reader.
+	relayJoinDelay = 20 * time.Millisecond
+	// relayRetryDelay is the wait before a failed call is retried.
+	relayRetryDelay = 50 * time.Millisecond
 )
 
-// relay reads all answers that this node's callers follow at one peer, with
-// one call at a time. It runs only while it has readers.
+// relay reads all answers that callers of this node follow at one peer, with one
+// call at a time. It runs only while it has readers or deliveries to report.
 type relay struct {
 	exchange *Exchange
 	peer     string
@@ -52,7 +53,7 @@
 	query caller.Query
 	ready chan struct{}
 
-	// The relay's lock guards what follows.
+	// The relay's lock guards the fields below.
 	parts []request.Progress
 	err   error
 }
@@ -73,8 +74,8 @@
 	return known
 }
 
-// reader adds a reader and sees that the relay runs.
-func (l *relay) reader(query caller.Query) *remoteReader {
+// addReader adds a reader and starts the relay if it is not running.
+func (l *relay) addReader(query caller.Query) *remoteReader {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &remoteReader{
@@ -84,7 +85,7 @@
 	}
 	l.readers[r] = true
 	if l.cancel != nil {
-		// The poll under way does not know of this reader.
+		// The poll in flight does not include this reader.
 		l.cancel()
 	}
 	if !l.running {
@@ -94,11 +95,11 @@
 	return r
 }
 
-// run polls until no reader is left.
+// run polls until no readers and no deliveries remain.
 func (l *relay) run() {
-	heard := time.Now()
+	lastReply := time.Now()
 	for {
-		ctx, args, ok := l.next()
+		ctx, args, ok := l.nextPoll()
 		if !ok {
 			return
 		}
@@ -108,42 +109,43 @@
 		l.cancel()
 		switch {
 		case err == nil:
-			heard = time.Now()
-			l.spread(reply.Parts)
+			lastReply = time.Now()
+			l.distribute(reply.Parts)
 		case interrupted:
-			l.undelivered(args.Delivered)
-			time.Sleep(relayGather)
-		case time.Since(heard) > relayPatience:
-			l.abandon()
-			heard = time.Now()
+			l.requeueDelivered(args.Delivered)
+			time.Sleep(relayJoinDelay)
+		case time.Since(lastReply) > relaySilenceTimeout:
+			l.failUnreachable()
+			lastReply = time.Now()
 		default:
-			l.undelivered(args.Delivered)
-			time.Sleep(relayPause)
+			l.requeueDelivered(args.Delivered)
+			time.Sleep(relayRetryDelay)
 		}
 	}
 }
 
-// undelivered puts back what a failed poll was to tell.
-func (l *relay) undelivered(ids []string) {
+// requeueDelivered queues again the deliveries that a failed poll was to report.
+func (l *relay) requeueDelivered(ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delivered = append(l.delivered, ids...)
 }
 
-// next returns the arguments of the next poll, or false when no reader is left.
-func (l *relay) next() (context.Context, ReadArgs, bool) {
+// nextPoll returns the context and the arguments of the next poll, or false if
+// the relay has nothing more to do.
+func (l *relay) nextPoll() (context.Context, ReadArgs, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ended := l.exchange.config.Context.Err() != nil
 	if ended {
-		l.fail(ErrUnreachable)
+		l.failReaders(ErrUnreachable)
 	}
 	if ended || len(l.readers) == 0 && len(l.delivered) == 0 {
 		l.running = false
 		return nil, ReadArgs{}, false
 	}
 	args := ReadArgs{
-		Wait:      relayWait,
+		Wait:      relayPollWait,
 		Delivered: l.delivered,
 	}
 	if len(l.readers) == 0 {
@@ -151,16 +153,17 @@
 	}
 	l.delivered = nil
 	for r := range l.readers {
-		args.Wants = append(args.Wants, want(r.query))
+		args.Wants = append(args.Wants, newWant(r.query))
 	}
-	ctx, cancel := context.WithTimeout(l.exchange.config.Context, relayWait+relaySlack)
+	ctx, cancel := context.WithTimeout(l.exchange.config.Context, relayPollWait+relayCallMargin)
 	l.cancel = cancel
 	return ctx, args, true
 }
 
-// spread gives each part to the readers that wait for it. Several callers may
-// follow one answer from different tokens; a part serves those it begins at.
-func (l *relay) spread(parts []Part) {
+// distribute passes each part to the readers of its answer. Several callers may
+// follow one answer from different tokens; a reader ignores a part that does not
+// begin at the token it needs next.
+func (l *relay) distribute(parts []Part) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, part := range parts {
@@ -168,13 +171,13 @@
 			if r.query.ID != part.ID {
 				continue
 			}
-			r.take(part)
+			r.accept(part)
 		}
 	}
 }
 
-// take stores what is new; the caller holds the relay's lock.
-func (r *remoteReader) take(part Part) {
+// accept stores a part for the reader; the caller holds the relay's lock.
+func (r *remoteReader) accept(part Part) {
 	switch {
 	case part.Lost:
 		r.err = ErrLost
@@ -199,15 +202,16 @@
 	}
 }
 
-// abandon tells all readers that the peer is silent.
-func (l *relay) abandon() {
+// failUnreachable fails all readers because the peer does not answer.
+func (l *relay) failUnreachable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail(ErrUnreachable)
+	l.failReaders(ErrUnreachable)
 }
 
-// fail ends all readers and drops what was to tell; the caller holds the lock.
-func (l *relay) fail(err error) {
+// failReaders ends all readers with an error and drops the queued deliveries;
+// the caller holds the lock.
+func (l *relay) failReaders(err error) {
 	for r := range l.readers {
 		r.err = err
 		r.signal()
@@ -222,7 +226,7 @@
 // Read implements request.Reader.
 func (r *remoteReader) Read(ctx context.Context, progress *request.Progress) error {
 	for {
-		if done, err := r.pop(progress); done {
+		if done, err := r.popPart(progress); done {
 			return err
 		}
 		select {
@@ -233,8 +237,9 @@
 	}
 }
 
-// pop takes the oldest part, if there is one.
-func (r *remoteReader) pop(progress *request.Progress) (bool, error) {
+// popPart removes the oldest part, if there is one, and reports whether the read
+// is done.
+func (r *remoteReader) popPart(progress *request.Progress) (bool, error) {
 	r.relay.mu.Lock()
 	defer r.relay.mu.Unlock()
 	if len(r.parts) > 0 {
--- a/handoff/take.go
+++ b/handoff/take.go
@@ -9,34 +9,36 @@
 	"zinniamast/request"
 )
 
-// Errors that tell a giver to ask another peer.
+// Errors of Hold, after which a giver tries another peer.
 var (
-	// ErrStopping means that this node takes nothing over any more.
+	// ErrStopping means that this node no longer takes over requests.
 	ErrStopping = merry.Sentinel("node is stopping")
-	// ErrFull means that this node has no memory left for more requests.
+	// ErrFull means that this node has no memory for more requests.
 	ErrFull = merry.Sentinel("node has no memory for more requests")
 )
 
-// HoldArgs carries requests to the node that shall take them over.
+// HoldArgs carries requests to the node that is to take them over.
 type HoldArgs struct {
 	Giver string
-	// Lease is how long to wait for the word to start; at least startLease.
+	// Lease is how long to wait for the Start call; at least startLease.
 	Lease     time.Duration
 	Snapshots []request.Snapshot
 }
 
-// HoldReply acknowledges what is held; the giver counts on nothing else.
+// HoldReply lists the IDs of the requests that the node holds. The giver
+// releases no others.
 type HoldReply struct {
 	Held []string
 }
 
-// Hold implements the first step of a handoff.
+// Hold is the first step of a handoff: it stores copies of requests until Start
+// is called or the lease expires.
 func (r *Receiver) Hold(args HoldArgs, reply *HoldReply) error {
 	x := r.exchange
 	if x.config.Stopping() {
 		return ErrStopping
 	}
-	if !x.room(args.Snapshots) {
+	if !x.hasRoom(args.Snapshots) {
 		return ErrFull
 	}
 	x.mu.Lock()
@@ -49,16 +51,16 @@
 		}
 		x.held[id] = &heldRequest{
 			snapshot: snapshot,
-			timer:    time.AfterFunc(min(max(args.Lease, startLease), maxLease), func() { x.startByLease(id) }),
+			timer:    time.AfterFunc(min(max(args.Lease, startLease), maxLease), func() { x.startOnLeaseExpiry(id) }),
 		}
 	}
 	return nil
 }
 
-// room says whether the snapshots fit into memory. When a failure domain
-// leaves as a whole its requests arrive together; without this bound the node
-// that takes them would die of them, and they with it.
-func (x *Exchange) room(snapshots []request.Snapshot) bool {
+// hasRoom reports whether the snapshots fit into memory. When a whole failure
+// domain leaves, its requests arrive together. Without this bound they would
+// exhaust the memory of the node that takes them over, and all would be lost.
+func (x *Exchange) hasRoom(snapshots []request.Snapshot) bool {
 	if x.config.MemoryCap == 0 {
 		return true
 	}
@@ -77,35 +79,36 @@
 	return int64(bytes) <= x.config.MemoryCap
 }
 
-// StartArgs is the word to start, with what was produced since the hold.
+// StartArgs tells a node to start a held request, with the tokens produced since
+// the Hold call.
 type StartArgs struct {
-	// From is how many tokens the held snapshot had.
+	// From is the number of tokens in the held snapshot.
 	From int
-	// Latest holds the tokens from there on and the rest of the request's state.
+	// Latest holds the tokens from From on and the rest of the request's state.
 	Latest request.Snapshot
 }
 
 // StartReply is empty; no error means that the request runs here.
 type StartReply struct{}
 
-// Start implements the second step of a handoff.
+// Start is the second step of a handoff: it runs a held request.
 func (r *Receiver) Start(args StartArgs, _ *StartReply) error {
 	x := r.exchange
-	held := x.begin(args.Latest.Call.ID)
+	held := x.claimHeld(args.Latest.Call.ID)
 	if held == nil {
-		// Said twice, or started by the lease already.
+		// The call is a duplicate, or the lease has expired and the request runs.
 		return nil
 	}
 	snapshot := held.snapshot
 	snapshot.Extend(args.Latest, args.From)
-	x.start(snapshot)
+	x.takeOver(snapshot)
 	return nil
 }
 
-// begin marks a held request as starting; only the first caller gets it. It
-// stays in the table of held requests until it stands among the running ones,
-// so that a reader that asks in between is not told that it is lost.
-func (x *Exchange) begin(id string) *heldRequest {
+// claimHeld marks a held request as starting and returns it to the first caller
+// only. The request stays in the table of held requests until it is among the
+// running ones, so that a read in between does not report it as lost.
+func (x *Exchange) claimHeld(id string) *heldRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	held, ok := x.held[id]
@@ -117,22 +120,23 @@
 	return held
 }
 
-// startByLease starts a request whose giver went silent in between. Its
-// callers may have seen tokens that the held copy lacks, so the copy is marked.
-func (x *Exchange) startByLease(id string) {
-	held := x.begin(id)
+// startOnLeaseExpiry starts a held request whose Start call did not arrive. Its
+// callers may have received tokens that the held copy lacks, so the copy is
+// marked as possibly older.
+func (x *Exchange) startOnLeaseExpiry(id string) {
+	held := x.claimHeld(id)
 	if held == nil {
 		return
 	}
-	x.metrics.orphans.Inc()
-	x.config.Logger.Warn("giver went silent; starting its request",
+	x.metrics.leaseStarted.Inc()
+	x.config.Logger.Warn("lease expired without a start call; starting request from held copy",
 		"request", id)
 	held.snapshot.Older()
-	x.start(held.snapshot)
+	x.takeOver(held.snapshot)
 }
 
-// start makes this node the holder and runs the request on.
-func (x *Exchange) start(snapshot request.Snapshot) {
+// takeOver makes this node the holder of a request and resumes it.
+func (x *Exchange) takeOver(snapshot request.Snapshot) {
 	snapshot.Hops++
 	q := request.Restore(snapshot)
 	_, added := x.config.Board.Requests.Add(q)
