--- a/handoff/give.go
+++ b/handoff/give.go
@@ -53,8 +53,8 @@
 	return remaining
 }
 
-// isSettled reports whether a request has ended or has no move off a leaving
-// upstream in progress, so that it can be released.
+// isSettled reports whether a request can be released: it has ended, or its
+// upstream is not leaving and no resumed attempt still waits for its first token.
 func (x *Exchange) isSettled(q *request.Request) bool {
 	select {
 	case <-q.Done():
@@ -91,8 +91,8 @@
 }
 
 // handOffBatch tries peers in turn until one accepts the batch, and returns how
-// many requests no peer accepted. A peer that is leaving too refuses, and the
-// next one is tried.
+// many requests no peer accepted. Several peers may be leaving too; such a peer
+// refuses, and the next one is tried.
 func (x *Exchange) handOffBatch(ctx context.Context, batch []outgoing, turn int, until time.Time) (remaining int) {
 	args := HoldArgs{
 		Giver: x.config.Node,
--- a/handoff/handoff.go
+++ b/handoff/handoff.go
@@ -24,7 +24,7 @@
 
 // Runner runs requests.
 type Runner interface {
-	// Resume runs a request that another node began, at its upstream if it can.
+	// Resume runs a request that another node began, at the same upstream if possible.
 	Resume(ctx context.Context, q *request.Request, upstream string)
 	// Release ends the attempt of a request that a peer has taken over.
 	Release(q *request.Request)
--- a/handoff/relay.go
+++ b/handoff/relay.go
@@ -11,7 +11,7 @@
 	"zinniamast/request"
 )
 
-// Errors of this layer.
+// Errors that end the reading of an answer at a peer.
 var (
 	// ErrLost means that the peer cannot continue the answer.
 	ErrLost = merry.Sentinel("peer does not hold the answer")
@@ -62,16 +62,16 @@
 func (x *Exchange) relayTo(peer string) *relay {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	known, ok := x.relays[peer]
+	l, ok := x.relays[peer]
 	if !ok {
-		known = &relay{
+		l = &relay{
 			exchange: x,
 			peer:     peer,
 			readers:  map[*remoteReader]bool{},
 		}
-		x.relays[peer] = known
+		x.relays[peer] = l
 	}
-	return known
+	return l
 }
 
 // addReader adds a reader and starts the relay if it is not running.
