--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,10 +1,11 @@
-// Package clock tells true time on machines whose time of day may be wrong.
+// Package clock provides true time on instances whose time of day may be wrong.
 //
-// The platform's store has a steady clock that all nodes hear. Each node
-// compares its own time of day with it once, at its start; the median of what
-// the nodes found is the offset between the store's clock and true time. After
-// that nobody's time of day matters: a step of it on some machines, or a
-// machine that was suspended, changes nothing.
+// The platform's store has a monotonic clock that all nodes receive with its
+// answers. Each node compares its own time of day with that clock once, at its
+// start. The median of the nodes' differences is the offset between the store's
+// clock and true time. After that no node's time of day is used: true time does
+// not change if the time of day of some instances steps or an instance is
+// suspended.
 package clock
 
 import (
@@ -15,56 +16,57 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is one node's view. The zero value knows nothing yet.
+// Clock is one node's view of true time. The zero value has no time yet.
 type Clock struct {
 	mu sync.Mutex
-	// store is the store's clock less the time since this machine's boot; of
-	// many answers the least delayed one gives the largest, truest value.
-	store time.Duration
-	heard bool
-	// own is this node's time of day less the store's clock, at the first answer.
-	own time.Duration
-	// offset is true time less the store's clock, as most nodes found it.
-	offset time.Duration
-	agreed bool
+	// storeMinusBoot is the store's clock minus the time since this instance's boot. Of
+	// many answers the least delayed one gives the largest and most accurate value.
+	storeMinusBoot time.Duration
+	hasStoreTime   bool
+	// localOffset is this node's time of day minus the store's clock, at the first answer.
+	localOffset time.Duration
+	// offset is true time minus the store's clock: the median over the nodes.
+	offset    time.Duration
+	hasOffset bool
 }
 
-// sinceBoot is a steady clock that goes on while the machine is suspended.
-//
-// Failure: Go's own steady clock stands still during a suspension; a node that
-// woke up would count requests into a window that ended long ago.
+// sinceBoot returns the time since boot on a monotonic clock that goes on while
+// the instance is suspended. Go's own monotonic clock stands still during a
+// suspension; with it, a node that resumes would count requests into a window
+// that ended long ago.
 func sinceBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// Every Linux since 2.6.39 has this clock; without it the time of day is what is left.
+		// Every Linux since 2.6.39 has this clock; without it the time of day is the fallback.
 		return time.Duration(time.Now().UnixNano())
 	}
 	return time.Duration(now.Nano())
 }
 
-// Heard takes in the store's clock from an answer that has just come.
+// Heard records the store's clock from an answer that has just arrived.
 func (c *Clock) Heard(store time.Duration) {
 	boot := sinceBoot()
 	wall := time.Duration(time.Now().UnixNano())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.heard {
-		c.heard = true
-		c.store = store - boot
-		c.own = wall - store
+	if !c.hasStoreTime {
+		c.hasStoreTime = true
+		c.storeMinusBoot = store - boot
+		c.localOffset = wall - store
 		return
 	}
-	c.store = max(c.store, store-boot)
+	c.storeMinusBoot = max(c.storeMinusBoot, store-boot)
 }
 
-// Own returns this node's time of day less the store's clock, as found at its start.
+// Own returns this node's time of day minus the store's clock, as measured at the
+// first answer; false before that.
 func (c *Clock) Own() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own, c.heard
+	return c.localOffset, c.hasStoreTime
 }
 
-// Agree takes the median of what the nodes found.
+// Agree sets the offset of true time to the median of the nodes' offsets.
 func (c *Clock) Agree(offsets []time.Duration) {
 	if len(offsets) == 0 {
 		return
@@ -73,10 +75,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.offset = sorted[len(sorted)/2]
-	c.agreed = true
+	c.hasOffset = true
 }
 
-// NowOrLocal returns true time, or this machine's time of day while that is not known.
+// NowOrLocal returns true time, or this instance's time of day while true time is
+// not known.
 func (c *Clock) NowOrLocal() time.Time {
 	if now, ok := c.Now(); ok {
 		return now
@@ -84,13 +87,13 @@
 	return time.Now()
 }
 
-// Now returns true time; false while it is not known.
+// Now returns true time; false while true time is not known.
 func (c *Clock) Now() (time.Time, bool) {
 	boot := sinceBoot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.heard || !c.agreed {
+	if !c.hasStoreTime || !c.hasOffset {
 		return time.Time{}, false
 	}
-	return time.Unix(0, int64(boot+c.store+c.offset)), true
+	return time.Unix(0, int64(boot+c.storeMinusBoot+c.offset)), true
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,9 +9,9 @@
 	"zinniamast/clock"
 )
 
-// Two of seven machines start while their time of day is 40 minutes wrong, one
-// to either side. Every node tells true time all the same.
-func TestWrongTimesOfDayAreOutvoted(t *testing.T) {
+// Two of seven instances start with a time of day that is wrong by 40 minutes, one
+// ahead and one behind. The median still gives true time.
+func TestWrongTimesOfDayDoNotChangeMedian(t *testing.T) {
 	check := is.New(t)
 	c := &clock.Clock{}
 	_, ok := c.Now()
@@ -25,9 +25,9 @@
 	check.True(time.Until(now).Abs() < 50*time.Millisecond)
 }
 
-// Answers of the store come late. The least delayed one counts, so that true
-// time does not fall behind by the delay of the last.
-func TestLateAnswersCountLess(t *testing.T) {
+// An answer of the store is delayed. The least delayed answer is used, so that true
+// time does not fall behind by the delay of the latest one.
+func TestDelayedAnswersAreIgnored(t *testing.T) {
 	check := is.New(t)
 	c := &clock.Clock{}
 	c.Heard(50 * time.Second)
--- a/lease/bench_test.go
+++ b/lease/bench_test.go
@@ -10,7 +10,7 @@
 	"zinniamast/standin/platform"
 )
 
-// BenchmarkCheck measures what asking before each use costs.
+// BenchmarkCheck measures the cost of checking the lease before each use.
 func BenchmarkCheck(b *testing.B) {
 	l := lease.New(lease.Config{
 		Table:  platform.New(platform.Config{}).Table,
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -21,61 +21,62 @@
 
 const term = 15 * time.Second
 
-// rough stands between one node and the table: it pauses the node before and
-// after a call, delivers writes late and twice, and cuts a crashed node off.
-type rough struct {
+// faultyTable injects faults between one node and the table: it pauses the node before
+// and after a call, delivers writes late or twice, and fails every call of a node
+// that is disconnected or has crashed.
+type faultyTable struct {
 	zinniamast.Table
 	chance float64
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// cutOff ends every call; crashed tells besides that the node is no more.
-	cutOff  bool
-	crashed bool
-	late    *sync.WaitGroup
+	// disconnected makes every call fail; crashed means in addition that the node has stopped.
+	disconnected bool
+	crashed      bool
+	lateWrites   *sync.WaitGroup
 }
 
-var errCut = errors.New("cut off")
+var errDisconnected = errors.New("disconnected from the table")
 
-// draw says whether an accident happens and how long it takes.
-func (r *rough) draw() (bool, time.Duration) {
+// drawFault decides at random whether a fault happens, and how long it lasts.
+func (r *faultyTable) drawFault() (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.Float64() < r.chance, time.Duration(r.random.Int64N(int64(2 * term)))
 }
 
-func (r *rough) pause() error {
-	if hit, wait := r.draw(); hit {
+func (r *faultyTable) pause() error {
+	if isFault, wait := r.drawFault(); isFault {
 		time.Sleep(wait)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cutOff {
-		return errCut
+	if r.disconnected {
+		return errDisconnected
 	}
 	return nil
 }
 
-func (r *rough) cut() {
+func (r *faultyTable) disconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutOff = true
+	r.disconnected = true
 }
 
-func (r *rough) crash() {
-	r.cut()
+func (r *faultyTable) crash() {
+	r.disconnect()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashed = true
 }
 
-func (r *rough) gone() bool {
+func (r *faultyTable) hasCrashed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashed
 }
 
-func (r *rough) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
+func (r *faultyTable) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
 	if err := r.pause(); err != nil {
 		return zinniamast.Item{}, err
 	}
@@ -83,31 +84,31 @@
 	return item, errors.Join(err, r.pause())
 }
 
-func (r *rough) Write(ctx context.Context, writes []zinniamast.Write) error {
+func (r *faultyTable) Write(ctx context.Context, writes []zinniamast.Write) error {
 	if err := r.pause(); err != nil {
 		return err
 	}
-	if hit, wait := r.draw(); hit {
-		r.late.Go(func() {
+	if isFault, wait := r.drawFault(); isFault {
+		r.lateWrites.Go(func() {
 			time.Sleep(wait)
 			_ = r.Table.Write(context.Background(), writes)
 		})
 		return context.DeadlineExceeded
 	}
 	err := r.Table.Write(ctx, writes)
-	if hit, _ := r.draw(); hit {
+	if isFault, _ := r.drawFault(); isFault {
 		_ = r.Table.Write(ctx, writes)
 	}
 	return errors.Join(err, r.pause())
 }
 
-// node is one candidate with its own clock, which runs fast or slow and shows
-// another time than the others'.
+// node is one candidate with its own clock, which differs from the others' in
+// speed and offset.
 type node struct {
-	lease   *lease.Lease
-	machine string
-	table   *rough
-	end     context.CancelFunc
+	lease    *lease.Lease
+	instance string
+	table    *faultyTable
+	stop     context.CancelFunc
 }
 
 func newNode(p *platform.Platform, seed uint64, chance float64, late, running *sync.WaitGroup) *node {
@@ -115,24 +116,24 @@
 	return newNodeWith(p, fmt.Sprint(seed), seed, speed, chance, late, running)
 }
 
-// newNodeWith starts a node on a machine of the given name.
-func newNodeWith(p *platform.Platform, machine string, seed uint64, speed, chance float64, late, running *sync.WaitGroup) *node {
+// newNodeWith starts a node on an instance of the given name.
+func newNodeWith(p *platform.Platform, instance string, seed uint64, speed, chance float64, late, running *sync.WaitGroup) *node {
 	random := rand.New(rand.NewPCG(seed, 7))
 	began := time.Now()
 	offset := time.Duration(random.Int64N(int64(time.Hour)))
 	n := &node{
-		machine: machine,
-		table: &rough{
-			Table:  p.Table,
-			chance: chance,
-			random: random,
-			late:   late,
+		instance: instance,
+		table: &faultyTable{
+			Table:      p.Table,
+			chance:     chance,
+			random:     random,
+			lateWrites: late,
 		},
 	}
 	n.lease = lease.New(lease.Config{
 		Table:  n.table,
 		Name:   "capacity",
-		Holder: machine,
+		Holder: instance,
 		Term:   term,
 		Logger: slog.New(slog.DiscardHandler),
 		Now: func() time.Time {
@@ -140,18 +141,18 @@
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	n.end = cancel
+	n.stop = cancel
 	running.Go(func() { n.lease.Run(ctx) })
 	return n
 }
 
-// Candidates crash, are paused anywhere, have fast and slow clocks, lose
-// answers, and their writes arrive late and twice, while the table comes and
-// goes; some machines stop and start again under their name, alone or in turn.
-// At no moment may two of them act: both would buy the same instances. Each new
-// holder must have a higher fencing number than all before it, and no machine
-// may act again within a term of its last act if another one acted between:
-// who sees the calls alone would take it for a holder that had been paused.
+// Candidates crash, are paused at any point, have fast and slow clocks and lose
+// answers; their writes arrive late and twice, and the table is down at times.
+// Some instances stop and start again under their name, alone or one after the
+// other. No two nodes may act at the same time, since both would buy the same
+// instances. Each new holder must have a higher fencing number than all before it.
+// No instance may act again within a term of its last act if another one acted in
+// between: a receiver of the calls would treat it as a holder that had been paused.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -165,31 +166,31 @@
 	})
 }
 
-// compete runs the candidates through the faults, a minute each, and watches
-// who may act ten times a second; it returns how often somebody might.
+// compete runs the candidates through the faults, a minute each, and checks ten
+// times a second which nodes may act; it returns how often one of them might.
 func compete(seed uint64, chance float64, faults []int) (failure string, acted int) {
 	p := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
 	var late, running sync.WaitGroup
-	w := &watcher{}
-	newcomer := func() {
-		w.nodes = append(w.nodes, newNode(p, seed+uint64(len(w.nodes)), chance, &late, &running))
+	o := &observer{}
+	startNode := func() {
+		o.nodes = append(o.nodes, newNode(p, seed+uint64(len(o.nodes)), chance, &late, &running))
 	}
 	starts := uint64(0)
-	// returns stops a node in order and starts its machine again.
-	returns := func(at int) {
+	// restart stops a node regularly and starts another one on its instance.
+	restart := func(at int) {
 		starts++
-		old := w.nodes[at]
-		old.end()
+		old := o.nodes[at]
+		old.stop()
 		speed := 0.95 + 0.1*rand.New(rand.NewPCG(seed, starts)).Float64()
-		w.nodes[at] = newNodeWith(p, old.machine, seed-starts, speed, chance, &late, &running)
-		w.ended = append(w.ended, old)
+		o.nodes[at] = newNodeWith(p, old.instance, seed-starts, speed, chance, &late, &running)
+		o.stopped = append(o.stopped, old)
 	}
 	for range 4 {
-		newcomer()
+		startNode()
 	}
 	defer func() {
-		for _, n := range append(w.ended, w.nodes...) {
-			n.end()
+		for _, n := range append(o.stopped, o.nodes...) {
+			n.stop()
 		}
 		running.Wait()
 		late.Wait()
@@ -206,53 +207,53 @@
 		case 4:
 			_ = p.SetFault(platform.ServiceTable, platform.Fault{Stale: true})
 		case 5:
-			w.nodes[random.IntN(len(w.nodes))].end()
-			newcomer()
+			o.nodes[random.IntN(len(o.nodes))].stop()
+			startNode()
 		case 6:
-			w.crash(random.IntN(len(w.nodes)))
-			newcomer()
+			o.crash(random.IntN(len(o.nodes)))
+			startNode()
 		case 7:
-			w.crash(random.IntN(len(w.nodes)))
-			returns(random.IntN(len(w.nodes)))
+			o.crash(random.IntN(len(o.nodes)))
+			restart(random.IntN(len(o.nodes)))
 		default:
 			gap := time.Duration(random.Int64N(int64(term / 4)))
-			for at := range w.nodes {
-				returns(at)
-				if failure := w.watch(gap); failure != "" {
-					return failure, w.acted
+			for at := range o.nodes {
+				restart(at)
+				if failure := o.observe(gap); failure != "" {
+					return failure, o.acted
 				}
 			}
 		}
-		if failure := w.watch(time.Minute); failure != "" {
-			return failure, w.acted
+		if failure := o.observe(time.Minute); failure != "" {
+			return failure, o.acted
 		}
 	}
-	return "", w.acted
+	return "", o.acted
 }
 
-// The holder's clock is slow, the candidate's fast, and the holder is cut off
-// from the table at any moment of its term. It must stop before the candidate
-// starts, whatever the candidate had seen last.
+// The holder's clock is slow, the candidate's fast, and the holder is disconnected
+// from the table at any time within its term. The holder must stop acting before
+// the candidate starts, whichever revision the candidate read last.
 func TestClocksOfDifferentSpeed(t *testing.T) {
 	is := is.New(t)
 	for cut := 5 * time.Second; cut < 25*time.Second; cut += 50 * time.Millisecond {
 		synctest.Test(t, func(*testing.T) {
 			p := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
 			var late, running sync.WaitGroup
-			w := &watcher{}
+			o := &observer{}
 			for i, speed := range []float64{0.95, 1.05} {
-				w.nodes = append(w.nodes, newNodeWith(p, fmt.Sprint(i), uint64(i+1), speed, 0, &late, &running))
+				o.nodes = append(o.nodes, newNodeWith(p, fmt.Sprint(i), uint64(i+1), speed, 0, &late, &running))
 				time.Sleep(time.Second)
 			}
 			time.Sleep(cut)
-			w.nodes[0].table.cut()
+			o.nodes[0].table.disconnect()
 			for range 600 {
 				time.Sleep(100 * time.Millisecond)
-				is.Equal(w.look(), "")
+				is.Equal(o.checkHolders(), "")
 			}
-			is.Equal(w.holder, w.nodes[1])
-			for _, n := range w.nodes {
-				n.end()
+			is.Equal(o.holder, o.nodes[1])
+			for _, n := range o.nodes {
+				n.stop()
 			}
 			running.Wait()
 		})
@@ -267,15 +268,15 @@
 		n := newNode(p, 1, 0, &late, &running)
 		time.Sleep(term)
 		f(is.New(t), p, n)
-		n.end()
+		n.stop()
 		running.Wait()
 	})
 }
 
-// The holder's table goes away for an hour. It may act until its own term is
-// over and not after; when the table is back it goes on with the same number,
-// since nobody could take over.
-func TestHolderStopsWhenTheTableIsDownForLong(t *testing.T) {
+// The table is down for an hour. The holder may act until its own term expires and
+// not after. When the table is available again the holder continues with the same
+// fencing number, since no other node could take over.
+func TestHolderStopsDuringTableOutage(t *testing.T) {
 	withHolder(t, func(is *is.I, p *platform.Platform, n *node) {
 		fence, err := n.lease.Check(time.Second)
 		is.NoErr(err)
@@ -293,8 +294,8 @@
 	})
 }
 
-// The answer to every single renewal is lost after it took effect. The holder
-// recognises its own write and keeps the lease instead of giving it up.
+// The answer to every renewal is lost after the write took effect. The holder
+// recognises its own write by the token and keeps the lease.
 func TestLostRenewalAnswersKeepTheLease(t *testing.T) {
 	withHolder(t, func(is *is.I, p *platform.Platform, n *node) {
 		is.NoErr(p.SetFault(platform.ServiceTable, platform.Fault{LoseAnswers: 1000}))
@@ -306,8 +307,8 @@
 	})
 }
 
-// A released lease is taken over at the next look, a crashed holder's after
-// its term; and 50 candidates that wait for it cost few writes.
+// A released lease is taken over at the next poll and a crashed holder's lease
+// after its term. 50 waiting candidates make few writes.
 func TestTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -335,7 +336,7 @@
 		wait()
 		time.Sleep(time.Minute)
 		first := holder()
-		all[first].end()
+		all[first].stop()
 		time.Sleep(time.Millisecond)
 		released := wait()
 		second := holder()
@@ -345,7 +346,7 @@
 		time.Sleep(time.Minute)
 		after := p.Counts()
 		all[second].table.crash()
-		all[second].end()
+		all[second].stop()
 		time.Sleep(time.Millisecond)
 		crashed := wait()
 		writes := p.Counts().TableWrites - after.TableWrites
@@ -356,15 +357,16 @@
 		is.True(crashed < 2*term)
 		is.True(writes < 8)
 		for _, n := range all {
-			n.end()
+			n.stop()
 		}
 		running.Wait()
 	})
 }
 
-// The machine was suspended: its monotonic clock stood still and only the wall
-// clock tells. The holder must not act on the time it believes to have left.
-func TestSuspendedMachineDoesNotAct(t *testing.T) {
+// The instance was suspended: its monotonic clock stood still and only the wall
+// clock shows the time that passed. The holder must not act on a term that has
+// expired.
+func TestSuspendedInstanceDoesNotAct(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		jump := time.Duration(0)
--- a/lease/pace_test.go
+++ b/lease/poll_test.go
@@ -11,10 +11,10 @@
 	"zinniamast/standin/platform"
 )
 
-// The store's calls are paid for and its rate is bounded: at 91 nodes one pace
-// for all candidates but the first made eight looks a second at the lease of a
-// holder that is well. With paces by rank they make under five.
-func TestManyCandidatesLookRarely(t *testing.T) {
+// Calls to the table are paid for and their rate is bounded. With 91 nodes, one
+// poll interval for all candidates but the first led to eight reads a second
+// while the holder was healthy; with intervals by rank there are fewer than five.
+func TestManyCandidatesPollRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		p := platform.New(platform.Config{})
@@ -32,8 +32,8 @@
 		time.Sleep(time.Minute)
 		before := p.Counts().TableReads
 		time.Sleep(time.Minute)
-		looks := float64(p.Counts().TableReads-before) / 60
-		t.Logf("%.1f looks a second", looks)
-		check.True(looks < 5)
+		reads := float64(p.Counts().TableReads-before) / 60
+		t.Logf("%.1f reads a second", reads)
+		check.True(reads < 5)
 	})
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -8,11 +8,13 @@
 
 // The states of a lease on one node.
 const (
-	// stateWatching means that another may hold it.
+	// stateWatching means that another node may hold the lease.
 	stateWatching = "watching"
-	// stateHeld means that this node held it when it last looked; Check says whether it may act.
+	// stateHeld means that this node held the lease when it last wrote or read it;
+	// Check reports whether it may act now.
 	stateHeld = "held"
-	// stateLapsed means that the term ran out here and nobody else is known to have taken over.
+	// stateLapsed means that the term expired on this node and no other node is
+	// known to have taken over.
 	stateLapsed = "lapsed"
 )
 
@@ -23,7 +25,7 @@
 	eventLose  = "lose"
 )
 
-func newMachine() *fsm.FSM {
+func newStateMachine() *fsm.FSM {
 	return fsm.NewFSM(stateWatching, fsm.Events{
 		{
 			Name: eventTake,
@@ -43,14 +45,14 @@
 	}, fsm.Callbacks{})
 }
 
-// step moves the machine and logs where it moved.
-func (l *Lease) step(event string) {
+// transition applies an event to the state machine and logs the transition.
+func (l *Lease) transition(event string) {
 	l.mu.Lock()
-	from := l.machine.Current()
-	err := l.machine.Event(context.Background(), event)
-	to, fence, holder := l.machine.Current(), l.record.Fence, l.record.Holder
+	from := l.states.Current()
+	err := l.states.Event(context.Background(), event)
+	to, fence, holder := l.states.Current(), l.record.Fence, l.record.Holder
 	l.mu.Unlock()
 	if err == nil {
-		l.config.Logger.Info("lease", "name", l.config.Name, "from", from, "to", to, "fence", fence, "holder", holder)
+		l.config.Logger.Info("lease state changed", "name", l.config.Name, "from", from, "to", to, "fence", fence, "holder", holder)
 	}
 }
