--- a/registry/follower.go
+++ b/registry/follower.go
@@ -14,136 +14,140 @@
 )
 
 const (
-	// feedWait is how long a feed is asked to wait for a change.
+	// feedWait is how long a feed call waits for a change.
 	//
-	// Failure: the store drops its history, and a feed that is opened meanwhile
-	// hears nothing for as long as it waits, while others hear of replicas that
-	// leave. It also bounds how long a reader that has lost the store can speak
-	// for it unawares. With feedSpacing it makes a second, which keeps both within
-	// the platform's two; an idle reader makes two calls a second.
+	// If the store drops its history, a feed that is opened meanwhile receives no
+	// changes for as long as it waits, while other feeds report replicas that
+	// leave. The wait also bounds how long a reader that has lost the store can
+	// answer peers before it detects the loss. Together with feedSpacing it is one
+	// second, which keeps both delays within the two seconds that the platform
+	// allows; an idle reader makes two calls a second.
 	feedWait = 750 * time.Millisecond
-	// minPause and maxPause bound the wait after a failed call.
-	minPause = 100 * time.Millisecond
-	maxPause = 800 * time.Millisecond
-	// lapseGrace is how long after the store's return an entry that lapsed while
-	// it was away may take to come back; the platform names two seconds.
-	lapseGrace = 2200 * time.Millisecond
-	// goneMemory is how long a replica that is gone stays in the table for what still runs there.
-	goneMemory = 30 * time.Second
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed call.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// lapseGracePeriod is how long after the store recovers an entry that lapsed
+	// during the outage may take to come back; the platform specifies two seconds.
+	lapseGracePeriod = 2200 * time.Millisecond
+	// removedRetention is how long a removed replica stays in the table for requests
+	// that still run on it.
+	removedRetention = 30 * time.Second
 )
 
-// FollowerConfig says what a follower keeps up to date.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
-	// Source is the platform's store.
+	// Source provides the platform's tables.
 	Source Source
-	// Routes is the table of configurations to keep.
+	// Routes receives each new configuration.
 	Routes *routes.Table
-	// Upstreams is the table of replicas to keep.
+	// Upstreams receives the replicas and their changes.
 	Upstreams *blackboard.Upstreams
-	// Build returns the client of a replica at host:port.
+	// Build returns a client for the replica at host:port.
 	Build func(id, address string) zinniamast.Replica
-	// Logger hears of versions, replicas and the store's losses; nil means slog's default.
+	// Logger logs versions, replicas and losses of the store; nil means slog's default.
 	Logger *slog.Logger
 }
 
-// Follower keeps the tables as the store has them. Its two loops share no state.
+// Follower keeps this node's tables up to date with the store. The loop for
+// replicas and the loop for the configuration share no state.
 type Follower struct {
 	config FollowerConfig
-	// ready says that the replicas are known, from the store or a peer.
+	// ready is set once the replicas are known, from the store or a peer.
 	ready atomic.Bool
-	// brought holds what a peer knows, for a node that cannot reach the store.
-	brought chan ReplicaChanges
-
-	// shared is what peers are told.
-	shared shared
-
-	// The rest belongs to the replicas' loop.
-
-	// seen holds the newest version of each entry, also of removed ones, so
-	// that a stale answer undoes nothing.
-	seen map[string]uint64
-	// lapsed holds entries that vanished around an outage, with the time from
-	// which they count as gone.
-	lapsed map[string]time.Time
-	// gone holds when replicas left the list.
-	gone map[string]time.Time
+	// seeds holds a peer's replicas, for a node that cannot reach the store.
+	seeds chan ReplicaChanges
+
+	// peerFeed holds the entries and positions from which peers are answered.
+	peerFeed peerFeed
+
+	// The fields below belong to the replicas' loop.
+
+	// versions holds the newest version of each entry, removed ones included, so
+	// that a stale answer does not revert a change.
+	versions map[string]uint64
+	// lapseDeadlines holds, for each entry that disappeared during an outage, the
+	// time from which its replica counts as removed.
+	lapseDeadlines map[string]time.Time
+	// removedAt holds the time at which each replica was removed.
+	removedAt map[string]time.Time
 }
 
-// NewFollower returns a follower; Run starts it.
+// NewFollower returns a follower that does nothing until Run is called.
 func NewFollower(config FollowerConfig) *Follower {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
 	}
 	return &Follower{
-		config:  config,
-		shared:  newShared(),
-		brought: make(chan ReplicaChanges, 1),
-		seen:    map[string]uint64{},
-		lapsed:  map[string]time.Time{},
-		gone:    map[string]time.Time{},
+		config:         config,
+		peerFeed:       newPeerFeed(),
+		seeds:          make(chan ReplicaChanges, 1),
+		versions:       map[string]uint64{},
+		lapseDeadlines: map[string]time.Time{},
+		removedAt:      map[string]time.Time{},
 	}
 }
 
-// Ready says whether replicas and a configuration are known.
+// Ready reports whether replicas and a configuration are known.
 func (f *Follower) Ready() bool { return f.ready.Load() && f.config.Routes.Current() != nil }
 
-// Bring gives a follower that has not reached the store yet what a peer knows.
+// Bring passes a peer's replicas to a follower that has not reached the store yet.
 //
-// Failure: a node starts while the store is down; without replicas it refuses
-// every request until the store returns, though its neighbours serve. What the
-// peer knew counts as the store's word until the store itself answers: later
-// versions go before it, and what the first whole list lacks is gone.
+// A node that starts while the store is down would otherwise refuse every request
+// until the store recovers, although its neighbours serve. The peer's replicas
+// are used until the store itself answers: later versions replace them, and those
+// that the first full list lacks are removed.
 func (f *Follower) Bring(changes ReplicaChanges) {
 	select {
-	case f.brought <- changes:
+	case f.seeds <- changes:
 	default:
 	}
 }
 
-// takeBrought takes in what a peer brought, while the store was never reached.
-func (f *Follower) takeBrought() {
+// applySeed applies the replicas passed to Bring, if there are any.
+func (f *Follower) applySeed() {
 	select {
-	case changes := <-f.brought:
-		f.believe(changes)
+	case changes := <-f.seeds:
+		f.seed(changes)
 	default:
 	}
 }
 
-// believe takes in what a peer knows, unless the store has answered.
-func (f *Follower) believe(changes ReplicaChanges) {
+// seed applies a peer's replicas unless replicas are already known.
+func (f *Follower) seed(changes ReplicaChanges) {
 	if f.ready.Load() || len(changes.Changes) == 0 {
 		return
 	}
-	f.take(changes, false, false)
+	f.applyReplicas(changes, false, false)
 	f.ready.Store(true)
-	f.config.Logger.Info("replicas from a peer", "entries", len(changes.Changes))
+	f.config.Logger.Info("replicas received from a peer", "entries", len(changes.Changes))
 }
 
-// readWhole reads the whole list, and takes in what a peer brings meanwhile.
+// readAllReplicas reads the full list from the store, and applies a peer's replicas
+// that arrive meanwhile.
 //
-// Failure: instances are restarted in turn while the store is silent. One that
-// starts is told the replicas by a neighbour within milliseconds; it took them in
-// when its own question to the store had timed out, and refused all callers for
-// the second and a half until then.
-func (f *Follower) readWhole(ctx context.Context) (ReplicaChanges, error) {
-	var changes ReplicaChanges
+// During a rolling restart while the store does not answer, a starting instance
+// receives the replicas from a neighbour within milliseconds. If it applied them
+// only after its own call to the store timed out, it would refuse all callers for
+// a second and a half.
+func (f *Follower) readAllReplicas(ctx context.Context) (ReplicaChanges, error) {
+	var listed ReplicaChanges
 	read := make(chan error, 1)
 	go func() {
 		var err error
-		changes, err = f.config.Source.ReadReplicas(ctx)
+		listed, err = f.config.Source.ReadReplicas(ctx)
 		read <- err
 	}()
 	for {
 		select {
 		case err := <-read:
-			return changes, err
-		case told := <-f.brought:
-			f.believe(told)
+			return listed, err
+		case changes := <-f.seeds:
+			f.seed(changes)
 		}
 	}
 }
 
-// Run follows both tables until ctx ends.
+// Run follows the replicas and the configuration until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -154,181 +158,184 @@
 	<-done
 }
 
-// position is where a feed stands; it is lost with the feed's history.
-type position struct {
-	at    uint64
-	known bool
-	pause time.Duration
-	// regained says that the last answer was the first after a loss of the store.
-	regained bool
-	name     string
+// feedState is the state of one feed. The position is no longer known after the
+// store has dropped the feed's history.
+type feedState struct {
+	position    uint64
+	hasPosition bool
+	retryDelay  time.Duration
+	// afterOutage means that the last answer was the first one after a loss of the store.
+	afterOutage bool
+	table       string
 }
 
-// after judges a call's error: it says whether the answer may be used, and
-// pauses where it may not.
-func (f *Follower) after(ctx context.Context, p *position, err error) bool {
+// handleResult handles the error of a call and reports whether the answer may be
+// used. It waits for the backoff if it may not.
+func (f *Follower) handleResult(ctx context.Context, feed *feedState, err error) bool {
 	if err == nil {
-		p.regained = p.pause > 0
-		if p.regained {
-			f.config.Logger.Info("store regained", "table", p.name)
+		feed.afterOutage = feed.retryDelay > 0
+		if feed.afterOutage {
+			f.config.Logger.Info("store reachable again", "table", feed.table)
 		}
-		p.pause = 0
+		feed.retryDelay = 0
 		return true
 	}
 	if ctx.Err() != nil {
 		return false
 	}
 	if errors.Is(err, ErrHistoryGone) {
-		f.config.Logger.Info("feed lost its history, reading whole", "table", p.name)
-		p.known = false
-		f.pause(ctx, minPause)
+		f.config.Logger.Info("feed history dropped, reading full table", "table", feed.table)
+		feed.hasPosition = false
+		f.sleep(ctx, minRetryDelay)
 		return false
 	}
-	f.shared.lost()
-	if p.pause == 0 {
-		f.config.Logger.Warn("store lost", "table", p.name, "cause", err)
+	f.peerFeed.markUnreachable()
+	if feed.retryDelay == 0 {
+		f.config.Logger.Warn("store unreachable", "table", feed.table, "cause", err)
 	}
-	p.pause = min(max(2*p.pause, minPause), maxPause)
-	f.pause(ctx, p.pause)
+	feed.retryDelay = min(max(2*feed.retryDelay, minRetryDelay), maxRetryDelay)
+	f.sleep(ctx, feed.retryDelay)
 	return false
 }
 
-func (f *Follower) pause(ctx context.Context, wait time.Duration) {
+func (f *Follower) sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 	}
 }
 
-// followConfig keeps the configuration.
+// followConfig keeps the configuration up to date.
 func (f *Follower) followConfig(ctx context.Context) {
-	p := position{
-		name: "configuration",
+	feed := feedState{
+		table: "configuration",
 	}
 	for ctx.Err() == nil {
 		var change ConfigChange
 		var err error
-		if p.known {
-			change, err = f.config.Source.FollowConfig(ctx, p.at, feedWait)
+		if feed.hasPosition {
+			change, err = f.config.Source.FollowConfig(ctx, feed.position, feedWait)
 		} else {
 			change, err = f.config.Source.ReadConfig(ctx)
 		}
-		if !f.after(ctx, &p, err) {
+		if !f.handleResult(ctx, &feed, err) {
 			continue
 		}
-		p.at, p.known = max(p.at, change.Position), true
-		f.apply(change.Config)
-		f.shared.heardConfig(p.at)
+		feed.position, feed.hasPosition = max(feed.position, change.Position), true
+		f.applyConfig(change.Config)
+		f.peerFeed.advanceConfig(feed.position)
 	}
 }
 
-func (f *Follower) apply(c *routes.Config) {
+func (f *Follower) applyConfig(c *routes.Config) {
 	if c != nil && f.config.Routes.Apply(c) {
 		f.config.Logger.Info("configuration in force", "version", c.Version, "routes", len(c.Routes),
 			"organisations", len(c.Organisations))
 	}
 }
 
-// followReplicas keeps the replicas.
+// followReplicas keeps the replicas up to date.
 func (f *Follower) followReplicas(ctx context.Context) {
-	p := position{
-		name: "replicas",
+	feed := feedState{
+		table: "replicas",
 	}
 	for ctx.Err() == nil {
 		var changes ReplicaChanges
 		var err error
-		whole := !p.known
+		whole := !feed.hasPosition
 		if whole {
-			changes, err = f.readWhole(ctx)
+			changes, err = f.readAllReplicas(ctx)
 		} else {
-			changes, err = f.config.Source.FollowReplicas(ctx, p.at, f.wait())
+			changes, err = f.config.Source.FollowReplicas(ctx, feed.position, f.feedTimeout())
 		}
-		if f.after(ctx, &p, err) {
+		if f.handleResult(ctx, &feed, err) {
 			if whole {
-				f.config.Logger.Info("replicas read whole", "entries", len(changes.Changes),
-					"position", changes.Position, "before", p.at)
+				f.config.Logger.Info("full replica list read", "entries", len(changes.Changes),
+					"position", changes.Position, "before", feed.position)
 			}
-			p.at, p.known = max(p.at, changes.Position), true
-			f.take(changes, whole, p.regained)
+			feed.position, feed.hasPosition = max(feed.position, changes.Position), true
+			f.applyReplicas(changes, whole, feed.afterOutage)
 			f.ready.Store(true)
-			f.shared.heardReplicas(p.at, whole)
+			f.peerFeed.advanceReplicas(feed.position, whole)
 		}
-		f.takeBrought()
-		f.settle(time.Now())
+		f.applySeed()
+		f.expire(time.Now())
 	}
 }
 
-// wait is how long the feed may wait: until the next lapsed entry counts as gone.
-func (f *Follower) wait() time.Duration {
+// feedTimeout returns how long the feed may wait: at most until the next lapsed
+// entry counts as removed.
+func (f *Follower) feedTimeout() time.Duration {
 	wait := feedWait
-	for _, at := range f.lapsed {
-		wait = min(wait, max(time.Until(at), minPause))
+	for _, at := range f.lapseDeadlines {
+		wait = min(wait, max(time.Until(at), minRetryDelay))
 	}
 	return wait
 }
 
-// take takes changes in; a whole list also tells what is no longer there.
-// Regained says that some changes are from a time when the store was away.
-func (f *Follower) take(changes ReplicaChanges, whole, regained bool) {
+// applyReplicas applies changes. With whole they are a full list, and replicas that
+// it lacks are removed. With afterOutage some changes may date from an outage of
+// the store.
+func (f *Follower) applyReplicas(changes ReplicaChanges, whole, afterOutage bool) {
 	listed := map[string]bool{}
-	// Of an entry that lapsed and came back in one answer the last change counts.
-	var vanished []string
+	// If an entry lapsed and came back in one answer, its last change counts.
+	var missing []string
 	for _, change := range changes.Changes {
 		listed[change.ID] = true
-		if change.Version <= f.seen[change.ID] {
+		if change.Version <= f.versions[change.ID] {
 			continue
 		}
-		f.seen[change.ID] = change.Version
-		f.shared.keep(change)
+		f.versions[change.ID] = change.Version
+		f.peerFeed.put(change)
 		if change.Unreadable != "" {
-			f.config.Logger.Warn("unreadable entry", "replica", change.ID, "version", change.Version, "cause", change.Unreadable)
+			f.config.Logger.Warn("replica entry unreadable", "replica", change.ID, "version", change.Version, "cause", change.Unreadable)
 		}
 		if change.Replica == nil {
-			vanished = append(vanished, change.ID)
+			missing = append(missing, change.ID)
 			continue
 		}
-		vanished = slices.DeleteFunc(vanished, func(id string) bool { return id == change.ID })
-		f.appeared(change.Replica)
+		missing = slices.DeleteFunc(missing, func(id string) bool { return id == change.ID })
+		f.handleListed(change.Replica)
 	}
 	if whole {
-		vanished = append(vanished, f.unlisted(listed, changes.Position)...)
+		missing = append(missing, f.unlisted(listed, changes.Position)...)
 	}
-	f.vanished(vanished, regained)
+	f.handleMissing(missing, afterOutage)
 }
 
-// unlisted returns known replicas that a whole list leaves out. A list from
-// before an entry's last change says nothing of it.
+// unlisted returns known replicas that a full list lacks. A list that is older
+// than an entry's last change is not evidence that the entry was removed.
 func (f *Follower) unlisted(listed map[string]bool, position uint64) []string {
 	var missing []string
 	for _, u := range f.config.Upstreams.All() {
-		if id := u.Instance.ID; !listed[id] && f.seen[id] <= position {
+		if id := u.Instance.ID; !listed[id] && f.versions[id] <= position {
 			missing = append(missing, id)
 		}
 	}
 	return missing
 }
 
-// appeared takes in an entry that names a replica.
-func (f *Follower) appeared(r *Replica) {
-	delete(f.lapsed, r.ID)
+// handleListed applies an entry that names a replica.
+func (f *Follower) handleListed(r *Replica) {
+	delete(f.lapseDeadlines, r.ID)
 	known := f.config.Upstreams.Get(r.ID)
 	same := known != nil && known.Instance.Started.Equal(r.Started) && known.Instance.Address == r.Address
 	if !same {
 		f.add(r)
 	}
 	if r.Draining {
-		f.leave(r.ID, r.LeavesIn)
+		f.markLeaving(r.ID, r.LeavesIn)
 		return
 	}
-	if _, wasGone := f.gone[r.ID]; same && wasGone {
-		f.config.Logger.Info("replica back", "replica", r.ID)
+	if _, wasRemoved := f.removedAt[r.ID]; same && wasRemoved {
+		f.config.Logger.Info("replica readmitted", "replica", r.ID)
 		f.config.Upstreams.Readmit(r.ID)
 	}
-	delete(f.gone, r.ID)
+	delete(f.removedAt, r.ID)
 }
 
-// add enters a new start of a replica. A later start under the same ID takes
-// the place of the one before.
+// add adds a new start of a replica. It replaces an earlier start under the same
+// ID.
 func (f *Follower) add(r *Replica) {
 	if f.config.Upstreams.Get(r.ID) != nil {
 		f.config.Upstreams.Remove(r.ID)
@@ -350,12 +357,13 @@
 		Replica: f.config.Build(r.ID, r.Address),
 		Slots:   r.Slots,
 	})
-	f.config.Logger.Info("replica seen", "replica", r.ID, "service", r.Service,
+	f.config.Logger.Info("replica added", "replica", r.ID, "service", r.Service,
 		"failure_domain", r.FailureDomain, "draining", r.Draining)
 }
 
-// leave marks a replica that takes no new work.
-func (f *Follower) leave(id string, in time.Duration) {
+// markLeaving marks a replica as leaving, so that it takes no new requests. It goes
+// away after the given time, or at an unknown time if that is zero.
+func (f *Follower) markLeaving(id string, in time.Duration) {
 	var at time.Time
 	if in > 0 {
 		at = time.Now().Add(in)
@@ -365,45 +373,46 @@
 	}
 }
 
-// lapsedPart is the part of a service's replicas that must vanish together
-// across a loss of the store to be taken for entries that lapsed. A reclaim
-// takes a failure domain, a quarter of them or a half.
-const lapsedPart = 0.6
+// lapsedFraction is the fraction of a service's replicas that must disappear
+// together during a loss of the store to count as lapsed entries. It is above the
+// part that a reclaim of a failure domain takes, which is a quarter or a half of
+// them.
+const lapsedFraction = 0.6
 
-// vanished takes in that entries are no longer there.
+// handleMissing handles entries that are no longer in the table.
 //
-// Failure: while the store is away live replicas cannot write to it and their
-// entries lapse; at its return a whole service seems to be gone, and every
-// request is refused. Entries of most of a service that vanished before the
-// store was regained have therefore some time to come back. Others are gone
-// now: where only this node was cut off, nothing lapsed, and waiting would send
-// new work to replicas that left a moment ago. One that comes back after all is
-// taken in again.
-func (f *Follower) vanished(ids []string, regained bool) {
-	lost := map[string][]string{}
+// During an outage of the store live replicas cannot write to it and their entries
+// lapse. When it recovers, a whole service would appear to be removed and every
+// request would be refused. If the entries of most of a service disappeared during
+// the outage, they therefore have some time to come back. In all other cases the
+// replicas are removed at once: if only this node was disconnected, nothing
+// lapsed, and waiting would send new requests to replicas that left a moment ago.
+// A replica whose entry comes back later is readmitted.
+func (f *Follower) handleMissing(ids []string, afterOutage bool) {
+	missingByService := map[string][]string{}
 	for _, id := range ids {
 		u := f.config.Upstreams.Get(id)
-		if _, gone := f.gone[id]; u != nil && !gone {
-			lost[u.Instance.Service] = append(lost[u.Instance.Service], id)
+		if _, isRemoved := f.removedAt[id]; u != nil && !isRemoved {
+			missingByService[u.Instance.Service] = append(missingByService[u.Instance.Service], id)
 		}
 	}
 	now := time.Now()
-	for service, together := range lost {
-		lapsed := regained && float64(len(together)) >= lapsedPart*float64(f.present(service))
-		for _, id := range together {
+	for service, serviceIDs := range missingByService {
+		lapsed := afterOutage && float64(len(serviceIDs)) >= lapsedFraction*float64(f.countActive(service))
+		for _, id := range serviceIDs {
 			if !lapsed {
-				f.lose(id, now)
+				f.markRemoved(id, now)
 				continue
 			}
-			if _, ok := f.lapsed[id]; !ok {
-				f.lapsed[id] = now.Add(lapseGrace)
+			if _, ok := f.lapseDeadlines[id]; !ok {
+				f.lapseDeadlines[id] = now.Add(lapseGracePeriod)
 			}
 		}
 	}
 }
 
-// present counts a service's replicas that take work.
-func (f *Follower) present(service string) int {
+// countActive returns the number of a service's replicas that take new requests.
+func (f *Follower) countActive(service string) int {
 	count := 0
 	for _, u := range f.config.Upstreams.Of(service) {
 		if !u.Leaving() {
@@ -413,26 +422,27 @@
 	return count
 }
 
-// lose counts a replica as gone.
-func (f *Follower) lose(id string, now time.Time) {
-	delete(f.lapsed, id)
-	f.gone[id] = now
+// markRemoved marks a replica as removed, so that it takes no new requests.
+func (f *Follower) markRemoved(id string, now time.Time) {
+	delete(f.lapseDeadlines, id)
+	f.removedAt[id] = now
 	f.config.Upstreams.MarkLeaving(id, time.Time{})
-	f.config.Logger.Info("replica gone", "replica", id)
+	f.config.Logger.Info("replica removed", "replica", id)
 }
 
-// settle counts lapsed entries as gone and forgets replicas that are long gone.
-func (f *Follower) settle(now time.Time) {
-	for id, at := range f.lapsed {
+// expire removes replicas whose lapsed entries did not come back in time, and
+// deletes from the table those that were removed removedRetention ago.
+func (f *Follower) expire(now time.Time) {
+	for id, at := range f.lapseDeadlines {
 		if !now.Before(at) {
-			f.lose(id, now)
+			f.markRemoved(id, now)
 		}
 	}
-	for id, at := range f.gone {
-		if now.Sub(at) < goneMemory {
+	for id, at := range f.removedAt {
+		if now.Sub(at) < removedRetention {
 			continue
 		}
-		delete(f.gone, id)
+		delete(f.removedAt, id)
 		if u := f.config.Upstreams.Get(id); u != nil {
 			u.Replica.Close()
 			f.config.Upstreams.Remove(id)
--- a/registry/follower_test.go
+++ b/registry/follower_test.go
@@ -18,8 +18,8 @@
 	"zinniamast/standin/store"
 )
 
-// bed is a follower of a stand-in store.
-type bed struct {
+// fixture is a follower of a simulated store, with its tables.
+type fixture struct {
 	t         *testing.T
 	is        *is.I
 	store     *store.Store
@@ -28,19 +28,19 @@
 	follower  *registry.Follower
 }
 
-func newBed(t *testing.T) *bed {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bed{
+	f := &fixture{
 		t:         t,
 		is:        is.New(t),
 		store:     store.New(),
 		routes:    &routes.Table{},
 		upstreams: blackboard.NewUpstreams(),
 	}
-	b.follower = registry.NewFollower(registry.FollowerConfig{
-		Source:    platform.NewStore(b.store.Address()),
-		Routes:    b.routes,
-		Upstreams: b.upstreams,
+	f.follower = registry.NewFollower(registry.FollowerConfig{
+		Source:    platform.NewStore(f.store.Address()),
+		Routes:    f.routes,
+		Upstreams: f.upstreams,
 		Build: func(id, address string) zinniamast.Replica {
 			return plain.New(plain.Config{
 				Upstream: id,
@@ -53,14 +53,14 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.follower.Run(ctx)
+		f.follower.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		b.store.Close()
+		f.store.Close()
 	})
-	return b
+	return f
 }
 
 // entry is a replica's entry as the platform's replicas write it.
@@ -74,7 +74,7 @@
 	Leaves  int    `json:"leaves_ms,omitempty"`
 }
 
-func ready(born int64) entry {
+func readyEntry(born int64) entry {
 	return entry{
 		Service: "svc",
 		Address: "127.0.0.1:1",
@@ -85,39 +85,39 @@
 	}
 }
 
-func draining(born int64) entry {
-	e := ready(born)
+func drainingEntry(born int64) entry {
+	e := readyEntry(born)
 	e.State = "draining"
 	return e
 }
 
-// within waits until a condition holds.
-func (b *bed) within(limit time.Duration, what string, holds func() bool) {
-	b.t.Helper()
+// eventually waits until a condition holds, and fails the test after the limit.
+func (f *fixture) eventually(limit time.Duration, what string, holds func() bool) {
+	f.t.Helper()
 	deadline := time.Now().Add(limit)
 	for !holds() {
 		if time.Now().After(deadline) {
-			b.t.Fatalf("not within %s: %s", limit, what)
+			f.t.Fatalf("condition not met within %s: %s", limit, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// takesWork says whether a replica takes new work.
-func (b *bed) takesWork(id string) func() bool {
+// isAccepting returns a condition: the replica takes new requests.
+func (f *fixture) isAccepting(id string) func() bool {
 	return func() bool {
-		u := b.upstreams.Get(id)
+		u := f.upstreams.Get(id)
 		return u != nil && !u.Leaving()
 	}
 }
 
-func (b *bed) takesNone(id string) func() bool {
-	return func() bool { return !b.takesWork(id)() }
+func (f *fixture) isNotAccepting(id string) func() bool {
+	return func() bool { return !f.isAccepting(id)() }
 }
 
-func (b *bed) version(number int64) func() bool {
+func (f *fixture) hasVersion(number int64) func() bool {
 	return func() bool {
-		current := b.routes.Current()
+		current := f.routes.Current()
 		return current != nil && current.Version == number
 	}
 }
@@ -126,192 +126,192 @@
 	Version int64 `json:"version"`
 }
 
-// An operator's change and a replica's leaving are known within a moment of
-// the store's answer.
-func TestFollows(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("op", "config", configuration{Version: 3})
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "configuration", b.version(3))
-	b.within(time.Second, "replica", b.takesWork("i-1"))
-	b.is.True(b.follower.Ready())
-	b.store.PutJSON("op", "config", configuration{Version: 9})
-	b.store.PutJSON("servers", "i-1", draining(1))
-	b.within(time.Second, "new version", b.version(9))
-	b.within(time.Second, "leaving", b.takesNone("i-1"))
+// A change of the configuration and a draining replica are applied soon after the
+// store reports them.
+func TestFollowerAppliesChanges(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("op", "config", configuration{Version: 3})
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "configuration", f.hasVersion(3))
+	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
+	f.is.True(f.follower.Ready())
+	f.store.PutJSON("op", "config", configuration{Version: 9})
+	f.store.PutJSON("servers", "i-1", drainingEntry(1))
+	f.eventually(time.Second, "new version", f.hasVersion(9))
+	f.eventually(time.Second, "leaving", f.isNotAccepting("i-1"))
 }
 
-// An older version is written by mistake, or a late answer brings one. What is
-// in force stays.
-func TestNeverGoesBack(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("op", "config", configuration{Version: 9})
-	b.within(time.Second, "configuration", b.version(9))
-	b.store.PutJSON("op", "config", configuration{Version: 4})
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-1"))
+// An older version of the configuration arrives, written by mistake or in a late
+// answer. The version in force stays.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("op", "config", configuration{Version: 9})
+	f.eventually(time.Second, "configuration", f.hasVersion(9))
+	f.store.PutJSON("op", "config", configuration{Version: 4})
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
 	time.Sleep(100 * time.Millisecond)
-	b.is.True(b.version(9)())
+	f.is.True(f.hasVersion(9)())
 }
 
-// A replica never says that it leaves: its entry is removed. It is gone at
-// once, while the store is well.
-func TestRemovedIsGone(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-1"))
-	b.store.Remove("servers", "i-1")
-	b.within(time.Second, "gone", b.takesNone("i-1"))
+// A replica's entry is removed without a draining state before. While the store is
+// reachable the replica takes no new requests from then on.
+func TestRemovedEntryTakesNoRequests(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
+	f.store.Remove("servers", "i-1")
+	f.eventually(time.Second, "removed", f.isNotAccepting("i-1"))
 }
 
-// The store is down and entries lapse. At its return one replica's entry comes
-// back a second later, the other's never does: the first has taken work all
-// the while, the second is gone after the grace.
-func TestLapsedComesBack(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.store.PutJSON("servers", "i-2", ready(1))
-	b.within(time.Second, "replicas", b.takesWork("i-2"))
-	b.store.SetFault(store.Fault{
+// The store is down and entries lapse. After it recovers, one replica's entry comes
+// back a second later and the other's never does. The first takes requests all the
+// time, the second is removed after the grace period.
+func TestLapsedEntryComesBackWithinGracePeriod(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.store.PutJSON("servers", "i-2", readyEntry(1))
+	f.eventually(time.Second, "replicas", f.isAccepting("i-2"))
+	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
-	time.Sleep(2500 * time.Millisecond) // a feed ends and the next one fails
-	b.store.Remove("servers", "i-1")
-	b.store.Remove("servers", "i-2")
-	b.store.SetFault(store.Fault{})
+	time.Sleep(2500 * time.Millisecond) // the feed ends and the next call fails
+	f.store.Remove("servers", "i-1")
+	f.store.Remove("servers", "i-2")
+	f.store.SetFault(store.Fault{})
 	for range 10 {
 		time.Sleep(100 * time.Millisecond)
-		b.is.True(b.takesWork("i-1")())
+		f.is.True(f.isAccepting("i-1")())
 	}
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(4*time.Second, "the second is gone", b.takesNone("i-2"))
-	b.is.True(b.takesWork("i-1")())
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(4*time.Second, "second replica removed", f.isNotAccepting("i-2"))
+	f.is.True(f.isAccepting("i-1")())
 }
 
-// While a node hears nothing of the store, every entry lapses and comes back.
-// Its first answer holds both changes of each, in order. The replicas take work
-// all the while: a service that is well must not be gone.
-func TestLapsedAndBackInOneAnswer(t *testing.T) {
-	b := newBed(t)
+// Every entry lapses and comes back while a node cannot reach the store. The first
+// answer afterwards holds both changes of each entry, in order. The replicas must
+// take requests all the time, since the service is healthy.
+func TestEntryLapsedAndBackInOneAnswer(t *testing.T) {
+	f := newFixture(t)
 	ids := []string{"i-1", "i-2", "i-3"}
 	for _, id := range ids {
-		b.store.PutJSON("servers", id, ready(1))
+		f.store.PutJSON("servers", id, readyEntry(1))
 	}
-	b.within(time.Second, "replicas", b.takesWork("i-3"))
-	b.store.SetFault(store.Fault{
+	f.eventually(time.Second, "replicas", f.isAccepting("i-3"))
+	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
 	time.Sleep(1500 * time.Millisecond)
 	for _, id := range ids {
-		b.store.Remove("servers", id)
+		f.store.Remove("servers", id)
 	}
 	for _, id := range ids {
-		b.store.PutJSON("servers", id, ready(1))
+		f.store.PutJSON("servers", id, readyEntry(1))
 	}
-	b.store.SetFault(store.Fault{})
+	f.store.SetFault(store.Fault{})
 	for range 35 {
 		time.Sleep(100 * time.Millisecond)
 		for _, id := range ids {
-			b.is.True(b.takesWork(id)())
+			f.is.True(f.isAccepting(id)())
 		}
 	}
 }
 
-// The store is regained, and a moment later a replica leaves by removing its
-// entry. It is gone at once: the grace for lapsed entries is over with the
-// first answer, or new work would go to it for two seconds.
-func TestRemovedAfterTheReturnIsGone(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-1"))
-	b.store.SetFault(store.Fault{
+// A replica removes its entry just after the store became reachable again. It is
+// removed at once: the grace period for lapsed entries applies only to the first
+// answer, otherwise new requests would go to the replica for two seconds.
+func TestEntryRemovedAfterStoreRecovers(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
+	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
 	time.Sleep(2500 * time.Millisecond)
-	b.store.SetFault(store.Fault{})
-	b.store.PutJSON("servers", "i-2", ready(1))
-	b.within(2*time.Second, "regained", b.takesWork("i-2"))
-	b.store.Remove("servers", "i-1")
-	b.within(500*time.Millisecond, "gone", b.takesNone("i-1"))
+	f.store.SetFault(store.Fault{})
+	f.store.PutJSON("servers", "i-2", readyEntry(1))
+	f.eventually(2*time.Second, "regained", f.isAccepting("i-2"))
+	f.store.Remove("servers", "i-1")
+	f.eventually(500*time.Millisecond, "removed", f.isNotAccepting("i-1"))
 }
 
-// A node is cut off from the store for some seconds; the store is well. One
-// replica of four leaves by removing its entry just before the node is back.
-// For the node it vanished during a loss of the store, and all the same it is
-// gone at once: nothing lapsed, the other three stand.
-func TestRemovedDuringTheNodesOwnCut(t *testing.T) {
-	b := newBed(t)
+// Only this node is disconnected from the store for some seconds. One replica of
+// four removes its entry just before the node reconnects, so that the entry
+// disappears during a loss of the store. The replica is still removed at once,
+// since the other three entries show that nothing lapsed.
+func TestEntryRemovedWhileNodeIsDisconnected(t *testing.T) {
+	f := newFixture(t)
 	for _, id := range []string{"i-1", "i-2", "i-3", "i-4"} {
-		b.store.PutJSON("servers", id, ready(1))
+		f.store.PutJSON("servers", id, readyEntry(1))
 	}
-	b.within(time.Second, "replicas", b.takesWork("i-4"))
-	b.store.SetFault(store.Fault{
+	f.eventually(time.Second, "replicas", f.isAccepting("i-4"))
+	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
 	time.Sleep(2500 * time.Millisecond)
-	b.store.Remove("servers", "i-1")
-	b.store.SetFault(store.Fault{})
-	b.within(1200*time.Millisecond, "gone", b.takesNone("i-1"))
-	b.is.True(b.takesWork("i-2")())
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "back after all", b.takesWork("i-1"))
+	f.store.Remove("servers", "i-1")
+	f.store.SetFault(store.Fault{})
+	f.eventually(1200*time.Millisecond, "removed", f.isNotAccepting("i-1"))
+	f.is.True(f.isAccepting("i-2")())
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "readmitted", f.isAccepting("i-1"))
 }
 
-// The store drops its history, and a feed that is opened meanwhile hears
-// nothing while a replica leaves. The node must hear of it soon after.
-func TestDeafFeed(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-1"))
-	b.store.SetFault(store.Fault{
+// The store drops its history, and a feed that is opened meanwhile receives no
+// changes while a replica leaves. The node must learn of it soon afterwards.
+func TestFeedOpenedWhileHistoryIsDropped(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
+	f.store.SetFault(store.Fault{
 		DeafFeeds: true,
 	})
-	b.store.PutJSON("servers", "i-2", ready(1)) // ends the feed that still hears
+	f.store.PutJSON("servers", "i-2", readyEntry(1)) // ends the feed that still receives changes
 	time.Sleep(50 * time.Millisecond)
-	b.store.SetFault(store.Fault{})
-	b.store.PutJSON("servers", "i-1", draining(1))
-	b.within(3*time.Second, "leaving", b.takesNone("i-1"))
+	f.store.SetFault(store.Fault{})
+	f.store.PutJSON("servers", "i-1", drainingEntry(1))
+	f.eventually(3*time.Second, "leaving", f.isNotAccepting("i-1"))
 }
 
-// The history that the feed asks for is gone, with a change in it. The whole
-// list is read, and what it does not hold any more is gone.
+// The store has dropped the history from the feed's position, including a change.
+// The full list is read, and replicas that it lacks are removed.
 func TestHistoryDropped(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.store.PutJSON("servers", "i-2", ready(1))
-	b.within(time.Second, "replicas", b.takesWork("i-2"))
-	b.store.SetFault(store.Fault{
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.store.PutJSON("servers", "i-2", readyEntry(1))
+	f.eventually(time.Second, "replicas", f.isAccepting("i-2"))
+	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
 	time.Sleep(2500 * time.Millisecond)
-	b.store.Remove("servers", "i-1")
-	b.store.PutJSON("servers", "i-2", draining(1))
-	b.store.DropHistory()
-	b.store.SetFault(store.Fault{})
-	b.within(2*time.Second, "leaving", b.takesNone("i-2"))
-	b.within(4*time.Second, "gone", b.takesNone("i-1"))
+	f.store.Remove("servers", "i-1")
+	f.store.PutJSON("servers", "i-2", drainingEntry(1))
+	f.store.DropHistory()
+	f.store.SetFault(store.Fault{})
+	f.eventually(2*time.Second, "leaving", f.isNotAccepting("i-2"))
+	f.eventually(4*time.Second, "removed", f.isNotAccepting("i-1"))
 }
 
-// Another writer leaves entries that cannot be read or lack fields. They name
-// no replica, and the others hold.
+// Another writer stores entries that cannot be parsed or lack fields. They add no
+// replica, and the valid entries are applied.
 func TestUnreadableEntries(t *testing.T) {
-	b := newBed(t)
-	b.store.Put("servers", "i-0", []byte("\xff not json"))
-	b.store.Put("servers", "i-3", []byte(`{"service":"svc","address":7,"zone":"here","state":"ready"}`))
-	b.store.Put("servers", "i-4", []byte(`{"service":"svc","zone":"here","state":"ready"}`))
-	b.store.Put("servers", "i-5", []byte(`{"service":"svc","address":"127.0.0.1:1","zone":"here","state":"odd"}`))
-	b.store.PutJSON("servers", "i-9", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-9"))
-	b.is.Equal(len(b.upstreams.All()), 1)
+	f := newFixture(t)
+	f.store.Put("servers", "i-0", []byte("\xff not json"))
+	f.store.Put("servers", "i-3", []byte(`{"service":"svc","address":7,"zone":"here","state":"ready"}`))
+	f.store.Put("servers", "i-4", []byte(`{"service":"svc","zone":"here","state":"ready"}`))
+	f.store.Put("servers", "i-5", []byte(`{"service":"svc","address":"127.0.0.1:1","zone":"here","state":"odd"}`))
+	f.store.PutJSON("servers", "i-9", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-9"))
+	f.is.Equal(len(f.upstreams.All()), 1)
 }
 
-// A replica that drains is started again under its ID. The new start takes
-// work; what was known of the old one does not bar it.
-func TestNewStartUnderOneID(t *testing.T) {
-	b := newBed(t)
-	b.store.PutJSON("servers", "i-1", draining(1))
-	b.within(time.Second, "known", func() bool { return b.upstreams.Get("i-1") != nil })
-	b.is.True(b.takesNone("i-1")())
-	b.store.PutJSON("servers", "i-1", ready(2))
-	b.within(time.Second, "new start", b.takesWork("i-1"))
+// A draining replica is started again under the same ID. The new start takes
+// requests, although the old one was leaving.
+func TestNewStartUnderSameID(t *testing.T) {
+	f := newFixture(t)
+	f.store.PutJSON("servers", "i-1", drainingEntry(1))
+	f.eventually(time.Second, "known", func() bool { return f.upstreams.Get("i-1") != nil })
+	f.is.True(f.isNotAccepting("i-1")())
+	f.store.PutJSON("servers", "i-1", readyEntry(2))
+	f.eventually(time.Second, "new start", f.isAccepting("i-1"))
 }
--- a/registry/relayed.go
+++ b/registry/relayed.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	// relayWait is how long a peer is asked to wait for a change, and
-	// relayTimeout when it counts as silent: a peer that is suspended must be
-	// given up, and the store asked, within the time in which a leaving replica
-	// is to be known.
+	// relayWait is how long a peer waits for a change, and relayTimeout bounds the
+	// whole call to it: if the peer is suspended, this node must give up and call
+	// the store within the time in which a leaving replica has to be known.
 	relayWait    = 700 * time.Millisecond
 	relayTimeout = 1100 * time.Millisecond
-	// relayShun is how long the store is asked directly after a peer has failed.
-	relayShun = 3 * time.Second
+	// readerBackoff is how long the store is called directly after a peer has failed.
+	readerBackoff = 3 * time.Second
 )
 
-// Peer is another node that follows the store.
+// Peer is another node that follows the store and answers on its behalf.
 type Peer interface {
+	// TellReplicas waits for changes of replicas after a position.
 	TellReplicas(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error)
+	// TellConfig waits for a change of the configuration after a position.
 	TellConfig(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error)
 }
 
-// RelayedConfig says where changes come from.
+// RelayedConfig configures a Relayed source.
 type RelayedConfig struct {
-	// Store is asked for whole lists, and for changes where there is no reader.
+	// Store provides full lists, and changes if there is no reader.
 	Store Source
-	// Reader returns the node of this failure domain that follows the store for
-	// the others; nil if that is this node, or none is known.
+	// Reader returns the node of this failure domain that follows the store on
+	// behalf of the others; nil if that is this node or none is known.
 	Reader func() Peer
 }
 
-// Relayed is a Source for many nodes: one node of each failure domain follows
-// the store, and the others follow that one.
+// Relayed is a Source for many nodes: one node of each failure domain, the reader,
+// follows the store, and the others follow that node.
 //
-// Load: each node that follows the store costs it a call a second and every
-// change once more; with a reader in each failure domain that is one node's part
-// of it a domain.
+// Each node that follows the store adds a call a second and one more transfer of
+// every change to the store's load. With readers the store serves only one node of
+// each failure domain.
 type Relayed struct {
 	config RelayedConfig
-	// Each loop of the follower has its own pace.
-	replicas pace
-	configs  pace
+	// Each of the follower's two loops has its own state.
+	replicas loopState
+	configs  loopState
 }
 
-// pace is how one loop asks.
-type pace struct {
-	// shunned is until when the store is asked instead of the reader.
-	shunned time.Time
-	// answered is when the store answered last.
-	answered time.Time
+// loopState holds the times that decide whether and when one loop calls the store.
+type loopState struct {
+	// readerBackoffUntil is the time until which the store is called instead of the
+	// reader.
+	readerBackoffUntil time.Time
+	// storeAnsweredAt is the time of the store's last answer.
+	storeAnsweredAt time.Time
 }
 
 var _ Source = (*Relayed)(nil)
@@ -62,31 +64,33 @@
 	}
 }
 
-// reader returns the peer to ask, or nil.
-func (r *Relayed) reader(p *pace) Peer {
-	if time.Now().Before(p.shunned) {
+// reader returns the peer to call, or nil if the store is to be called.
+func (r *Relayed) reader(l *loopState) Peer {
+	if time.Now().Before(l.readerBackoffUntil) {
 		return nil
 	}
 	return r.config.Reader()
 }
 
-// failed notes a peer's failure; a peer that is ahead of its own history is no failure.
-func (p *pace) failed(err error) {
+// recordReaderFailure records a peer's failure. ErrHistoryGone is not a failure of
+// the peer: it only lacks the history from the requested position.
+func (l *loopState) recordReaderFailure(err error) {
 	if !errors.Is(err, ErrHistoryGone) {
-		p.shunned = time.Now().Add(relayShun)
+		l.readerBackoffUntil = time.Now().Add(readerBackoff)
 	}
 }
 
 // feedSpacing is the time from one answer of the store's feed to the next call.
 //
-// Load: a feed answers as soon as one row has changed, and 94 replicas change
-// theirs each 1.2 s; a reader that asked again at once made some twenty calls a
-// second. Changes of a quarter of a second come in one answer.
+// A feed answers as soon as one row has changed, and 94 replicas change theirs
+// every 1.2 s, so a reader that calls again at once makes some twenty calls a
+// second. With this spacing the changes of a quarter of a second come in one
+// answer.
 const feedSpacing = 250 * time.Millisecond
 
-// space waits until the store may be asked again.
-func (p *pace) space(ctx context.Context) {
-	wait := time.Until(p.answered.Add(feedSpacing))
+// waitForSpacing waits until the store may be called again.
+func (l *loopState) waitForSpacing(ctx context.Context) {
+	wait := time.Until(l.storeAnsweredAt.Add(feedSpacing))
 	if wait <= 0 {
 		return
 	}
@@ -112,20 +116,20 @@
 	if peer == nil {
 		return r.storeReplicas(ctx, position, wait)
 	}
-	asked, cancel := context.WithTimeout(ctx, relayTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	changes, err := peer.TellReplicas(asked, position, min(wait, relayWait))
+	changes, err := peer.TellReplicas(callCtx, position, min(wait, relayWait))
 	if err == nil {
 		return changes, nil
 	}
-	r.replicas.failed(err)
+	r.replicas.recordReaderFailure(err)
 	return r.storeReplicas(ctx, position, wait)
 }
 
 func (r *Relayed) storeReplicas(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error) {
-	r.replicas.space(ctx)
+	r.replicas.waitForSpacing(ctx)
 	changes, err := r.config.Store.FollowReplicas(ctx, position, wait)
-	r.replicas.answered = time.Now()
+	r.replicas.storeAnsweredAt = time.Now()
 	return changes, err
 }
 
@@ -135,19 +139,19 @@
 	if peer == nil {
 		return r.storeConfig(ctx, position, wait)
 	}
-	asked, cancel := context.WithTimeout(ctx, relayTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	change, err := peer.TellConfig(asked, position, min(wait, relayWait))
+	change, err := peer.TellConfig(callCtx, position, min(wait, relayWait))
 	if err == nil {
 		return change, nil
 	}
-	r.configs.failed(err)
+	r.configs.recordReaderFailure(err)
 	return r.storeConfig(ctx, position, wait)
 }
 
 func (r *Relayed) storeConfig(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error) {
-	r.configs.space(ctx)
+	r.configs.waitForSpacing(ctx)
 	change, err := r.config.Store.FollowConfig(ctx, position, wait)
-	r.configs.answered = time.Now()
+	r.configs.storeAnsweredAt = time.Now()
 	return change, err
 }
--- a/registry/relayed_test.go
+++ b/registry/relayed_test.go
@@ -15,34 +15,35 @@
 	"zinniamast/standin/store"
 )
 
-// table is a Source and a Peer of fixed changes that counts how it is asked.
-type table struct {
-	asked atomic.Int64
-	// silent never answers; fails answers with an error.
-	silent bool
-	fails  error
+// fakeSource is a Source and a Peer with fixed answers that counts the calls to it.
+type fakeSource struct {
+	calls atomic.Int64
+	// hangs makes calls block until their context ends; fails is the error that
+	// the calls return.
+	hangs bool
+	err   error
 }
 
-func (s *table) ReadReplicas(context.Context) (registry.ReplicaChanges, error) {
-	return registry.ReplicaChanges{}, s.fails
+func (s *fakeSource) ReadReplicas(context.Context) (registry.ReplicaChanges, error) {
+	return registry.ReplicaChanges{}, s.err
 }
 
-func (s *table) ReadConfig(context.Context) (registry.ConfigChange, error) {
-	return registry.ConfigChange{}, s.fails
+func (s *fakeSource) ReadConfig(context.Context) (registry.ConfigChange, error) {
+	return registry.ConfigChange{}, s.err
 }
 
-func (s *table) FollowReplicas(ctx context.Context, position uint64, _ time.Duration) (registry.ReplicaChanges, error) {
-	s.asked.Add(1)
-	if s.silent {
+func (s *fakeSource) FollowReplicas(ctx context.Context, position uint64, _ time.Duration) (registry.ReplicaChanges, error) {
+	s.calls.Add(1)
+	if s.hangs {
 		<-ctx.Done()
 		return registry.ReplicaChanges{}, ctx.Err()
 	}
 	return registry.ReplicaChanges{
 		Position: position + 1,
-	}, s.fails
+	}, s.err
 }
 
-func (s *table) FollowConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+func (s *fakeSource) FollowConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	changes, err := s.FollowReplicas(ctx, position, wait)
 	return registry.ConfigChange{
 		Config:   &routes.Config{},
@@ -50,108 +51,109 @@
 	}, err
 }
 
-func (s *table) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+func (s *fakeSource) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
 	return s.FollowReplicas(ctx, position, wait)
 }
 
-func (s *table) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+func (s *fakeSource) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	return s.FollowConfig(ctx, position, wait)
 }
 
-// relayed asks a reader before a store.
-func relayed(store *table, reader registry.Peer) *registry.Relayed {
+// newRelayed returns a source that calls the reader before the store.
+func newRelayed(store *fakeSource, reader registry.Peer) *registry.Relayed {
 	return registry.NewRelayed(registry.RelayedConfig{
 		Store:  store,
 		Reader: func() registry.Peer { return reader },
 	})
 }
 
-// While a reader answers, the store is not asked; a node without one asks the store.
-func TestFollowsTheReader(t *testing.T) {
+// While a reader answers, the store is not called; a node without a reader calls
+// the store.
+func TestReaderIsCalledBeforeStore(t *testing.T) {
 	check := is.New(t)
-	store, reader := &table{}, &table{}
-	source := relayed(store, reader)
+	store, reader := &fakeSource{}, &fakeSource{}
+	source := newRelayed(store, reader)
 	for range 3 {
 		_, err := source.FollowReplicas(context.Background(), 1, time.Second)
 		check.NoErr(err)
 	}
-	check.Equal(reader.asked.Load(), int64(3))
-	check.Equal(store.asked.Load(), int64(0))
-	_, err := relayed(store, nil).FollowConfig(context.Background(), 1, time.Second)
+	check.Equal(reader.calls.Load(), int64(3))
+	check.Equal(store.calls.Load(), int64(0))
+	_, err := newRelayed(store, nil).FollowConfig(context.Background(), 1, time.Second)
 	check.NoErr(err)
-	check.Equal(store.asked.Load(), int64(1))
+	check.Equal(store.calls.Load(), int64(1))
 }
 
-// The reader is suspended or has lost the store. The node hears of changes from
-// the store itself, within the time in which a leaving replica must be known,
-// and leaves the reader alone for a while.
-func TestLeavesASilentReader(t *testing.T) {
-	for name, reader := range map[string]*table{
-		"suspended": {silent: true},
-		"stale":     {fails: registry.ErrStale},
+// The reader is suspended or has lost the store. The node receives changes from the
+// store itself, within the time in which a leaving replica must be known, and does
+// not call the reader for a while.
+func TestUnresponsiveReaderIsBypassed(t *testing.T) {
+	for name, reader := range map[string]*fakeSource{
+		"suspended": {hangs: true},
+		"stale":     {err: registry.ErrStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
-			store := &table{}
-			source := relayed(store, reader)
+			store := &fakeSource{}
+			source := newRelayed(store, reader)
 			began := time.Now()
 			_, err := source.FollowReplicas(context.Background(), 1, time.Second)
 			check.NoErr(err)
 			check.True(time.Since(began) < 1500*time.Millisecond)
 			_, err = source.FollowReplicas(context.Background(), 2, time.Second)
 			check.NoErr(err)
-			check.Equal(store.asked.Load(), int64(2))
-			check.Equal(reader.asked.Load(), int64(1))
+			check.Equal(store.calls.Load(), int64(2))
+			check.Equal(reader.calls.Load(), int64(1))
 		})
 	}
 }
 
-// A reader tells peers what it hears of the store, removals too; one that is
-// further back than the reader's own knowledge is told to read the whole list.
-func TestReaderTells(t *testing.T) {
-	b := newBed(t)
+// A reader passes the store's changes to its peers, removals included, and a call
+// from the current position returns only after its wait.
+func TestReaderAnswersPeers(t *testing.T) {
+	f := newFixture(t)
 	ctx := context.Background()
-	b.store.PutJSON("servers", "i-0", ready(1))
-	b.within(time.Second, "replica", b.takesWork("i-0"))
-	told, err := b.follower.TellReplicas(ctx, 1, time.Second)
-	b.is.NoErr(err)
-	position := told.Position
-	b.store.PutJSON("servers", "i-1", ready(1))
-	b.store.Remove("servers", "i-0")
-	b.within(time.Second, "gone", b.takesNone("i-0"))
-	told, err = b.follower.TellReplicas(ctx, position, time.Second)
-	b.is.NoErr(err)
-	b.is.Equal(len(told.Changes), 2)
-	for _, change := range told.Changes {
-		b.is.Equal(change.Replica == nil, change.ID == "i-0")
+	f.store.PutJSON("servers", "i-0", readyEntry(1))
+	f.eventually(time.Second, "replica", f.isAccepting("i-0"))
+	answer, err := f.follower.TellReplicas(ctx, 1, time.Second)
+	f.is.NoErr(err)
+	position := answer.Position
+	f.store.PutJSON("servers", "i-1", readyEntry(1))
+	f.store.Remove("servers", "i-0")
+	f.eventually(time.Second, "removed", f.isNotAccepting("i-0"))
+	answer, err = f.follower.TellReplicas(ctx, position, time.Second)
+	f.is.NoErr(err)
+	f.is.Equal(len(answer.Changes), 2)
+	for _, change := range answer.Changes {
+		f.is.Equal(change.Replica == nil, change.ID == "i-0")
 	}
 	began := time.Now()
-	_, err = b.follower.TellReplicas(ctx, told.Position, 100*time.Millisecond)
-	b.is.NoErr(err)
-	b.is.True(time.Since(began) >= 100*time.Millisecond)
+	_, err = f.follower.TellReplicas(ctx, answer.Position, 100*time.Millisecond)
+	f.is.NoErr(err)
+	f.is.True(time.Since(began) >= 100*time.Millisecond)
 }
 
-// The reader alone loses the store, which turns it away or is silent. It stops
-// speaking for the store before a replica that leaves meanwhile must be known:
-// the peer, which waits for news, is told to ask the store itself.
-func TestReaderThatLosesTheStoreStopsSpeaking(t *testing.T) {
+// Only the reader loses the store, which refuses its calls or does not answer. The
+// reader must report ErrStale to a waiting peer, so that the peer calls the store
+// itself, before a replica that leaves meanwhile has to be known.
+func TestReaderWithoutStoreReportsStale(t *testing.T) {
 	for name, fault := range map[string]store.Fault{
-		"turned away": {Status: http.StatusServiceUnavailable},
-		"silent":      {Hang: true},
+		"unavailable": {Status: http.StatusServiceUnavailable},
+		"hanging":     {Hang: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t)
-			b.store.PutJSON("servers", "i-0", ready(1))
-			b.within(time.Second, "replica", b.takesWork("i-0"))
-			told, err := b.follower.TellReplicas(context.Background(), 1, time.Second)
-			b.is.NoErr(err)
-			b.store.SetFault(fault)
+			f := newFixture(t)
+			f.store.PutJSON("servers", "i-0", readyEntry(1))
+			f.eventually(time.Second, "replica", f.isAccepting("i-0"))
+			answer, err := f.follower.TellReplicas(context.Background(), 1, time.Second)
+			f.is.NoErr(err)
+			f.store.SetFault(fault)
 			began := time.Now()
 			for err == nil && time.Since(began) < 5*time.Second {
-				_, err = b.follower.TellReplicas(context.Background(), told.Position, 700*time.Millisecond)
+				_, err = f.follower.TellReplicas(context.Background(), answer.Position, 700*time.Millisecond)
 			}
-			b.is.True(errors.Is(err, registry.ErrStale))
-			b.is.True(time.Since(began) < 1600*time.Millisecond)
+			f.is.True(errors.Is(err, registry.ErrStale))
+			f.is.True(time.Since(began) < 1600*time.Millisecond)
 		})
 	}
 }
--- a/registry/source.go
+++ b/registry/source.go
@@ -1,5 +1,5 @@
-// Package registry follows the platform's store and keeps what this node
-// believes of the configuration and the replicas.
+// Package registry follows the platform's store and keeps this node's view of the
+// configuration and the replicas up to date.
 package registry
 
 import (
@@ -10,62 +10,66 @@
 	"zinniamast/routes"
 )
 
-// ErrHistoryGone means that a feed cannot go on from a position; the table is
-// to be read whole.
+// ErrHistoryGone means that a feed cannot continue from a position and the full
+// table has to be read.
 var ErrHistoryGone = errors.New("history gone")
 
-// Source is the store's two tables that this node follows.
+// Source provides the two tables of the store that this node follows.
 type Source interface {
-	// ReadReplicas lists all replicas.
+	// ReadReplicas returns the full list of replicas.
 	ReadReplicas(ctx context.Context) (ReplicaChanges, error)
-	// FollowReplicas waits for changes after a position; no change in time is no error.
+	// FollowReplicas waits for changes after a position; it returns no error if
+	// there is none in time.
 	FollowReplicas(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error)
 	// ReadConfig returns the newest configuration; Config is nil if there is none.
 	ReadConfig(ctx context.Context) (ConfigChange, error)
-	// FollowConfig waits for a change after a position; no change in time is no error.
+	// FollowConfig waits for a change after a position; it returns no error if
+	// there is none in time.
 	FollowConfig(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error)
 }
 
-// ReplicaChanges are entries as they stand, or as they changed, in order.
+// ReplicaChanges is a full list of entries, or the changes after a position in
+// order.
 type ReplicaChanges struct {
 	Changes []ReplicaChange
-	// Position is where a feed goes on.
+	// Position is where a feed continues.
 	Position uint64
 }
 
-// ReplicaChange is one entry's state.
+// ReplicaChange is the state of one entry after a change.
 type ReplicaChange struct {
 	ID string
 	// Version rises with each change of any entry.
 	Version uint64
-	// Replica is nil where the entry is gone or names no replica to use.
+	// Replica is nil if the entry was removed or names no usable replica.
 	Replica *Replica
-	// Unreadable says why an entry that is there names no replica to use.
+	// Unreadable is the reason why an existing entry names no usable replica.
 	Unreadable string
 }
 
-// Replica is what an entry says of one start of a replica.
+// Replica is the description of one start of a replica in its entry.
 type Replica struct {
 	ID      string
 	Service string
 	// Address is host:port.
 	Address       string
 	FailureDomain string
-	// Started tells two starts under one ID apart.
+	// Started distinguishes two starts under the same ID.
 	Started time.Time
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the replica runs at once.
 	Slots    int
 	Draining bool
 	// LeavesIn is how long after the entry's change the replica goes away; zero if unknown.
 	LeavesIn time.Duration
-	// Reclaimable replicas may be taken away a failure domain at a time.
+	// Reclaimable means that the platform may reclaim the replica, a whole failure
+	// domain at a time.
 	Reclaimable bool
 }
 
 // ConfigChange is the newest configuration.
 type ConfigChange struct {
-	// Config is nil where nothing changed or nothing was written.
+	// Config is nil if nothing changed or no configuration was written.
 	Config *routes.Config
-	// Position is where a feed goes on.
+	// Position is where a feed continues.
 	Position uint64
 }
