--- a/blackboard/configuration.go
+++ b/blackboard/configuration.go
@@ -8,19 +8,19 @@
 	"zinniamast/config"
 )
 
-// Version is one accepted configuration with its place in the history.
+// Version is one accepted configuration and its number in the history.
 type Version struct {
 	// Number rises by one with each accepted change.
 	Number uint64
 	// Raw is the JSON as accepted.
 	Raw []byte
-	// Config is Raw, parsed.
+	// Config is the parsed form of Raw.
 	Config *config.Config
-	// Since is when the version came into force on this node.
+	// Since is the time at which the version came into force on this node.
 	Since time.Time
 }
 
-// Configuration holds the version in force. Readers never wait.
+// Configuration holds the version in force. Readers do not block.
 type Configuration struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Version]
@@ -37,9 +37,9 @@
 	return &config.Config{}
 }
 
-// Apply puts a newer version in force and reports whether it was newer. An
-// older one is refused whoever brings it: a store that comes back with an old
-// answer, or a peer that was cut off, must not revert an accepted change.
+// Apply puts a newer version in force and reports whether it was newer. An older
+// version is refused from any source: an old answer of a store that recovered, or
+// a peer that was partitioned, must not revert an accepted change.
 func (c *Configuration) Apply(version *Version) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/blackboard/members.go
+++ b/blackboard/members.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// Member is an entry instance as this node knows it.
+// Member is this node's view of an entry instance.
 type Member struct {
 	// ID is the instance's name.
 	ID string
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain in which it runs.
 	FailureDomain string
 	// Address is host:port of its peer listener.
 	Address string
-	// Incarnation rises with each start and each denial of a false death.
+	// Incarnation rises with each start and each time the instance refutes a false
+	// report of its failure.
 	Incarnation uint64
 	// Weight is its size relative to the others.
 	Weight float64
 	// Leaving means that it takes no new requests.
 	Leaving bool
-	// Dead means that it was not heard of for the failure timeout.
+	// Dead means that no sign of life was received for the failure timeout.
 	Dead bool
-	// Heard is when this node last had news of it.
+	// Heard is the time at which this node last received news of it.
 	Heard time.Time
 	// ConfigVersion is the configuration version it last reported.
 	ConfigVersion uint64
@@ -46,7 +47,8 @@
 	return m
 }
 
-// All returns every member, ordered by ID; the slice is shared and not written.
+// All returns every member, ordered by ID. The slice is shared and must not be
+// modified.
 func (m *Members) All() []Member { return *m.snapshot.Load() }
 
 // Get returns a member.
@@ -57,9 +59,10 @@
 	return member, ok
 }
 
-// Turn returns when a node's turn comes next at work that the living nodes of
-// its failure domain share, apart being the time between two turns of the
-// domain. It lies between the bounds, with jitter so that turns spread.
+// Turn returns the time until a node's next turn at periodic work that the live
+// nodes of its failure domain share. With apart as the time between two turns of
+// the whole domain, a node's interval grows with the number of live nodes, between
+// the bounds shortest and longest. Jitter is added so that turns are spread.
 func (m *Members) Turn(failureDomain string, apart, shortest, longest time.Duration) time.Duration {
 	nodes := 0
 	for _, member := range m.All() {
@@ -71,8 +74,9 @@
 	return interval*3/4 + rand.N(interval/2)
 }
 
-// Update changes one member under the table's lock. The change starts from
-// what is known, or from a zero member; returning false leaves it as it was.
+// Update changes one member under the table's lock and reports whether it changed.
+// The change function receives the known member or a zero one, and returns false to
+// leave the table unchanged.
 func (m *Members) Update(id string, change func(*Member) bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +90,7 @@
 	return true
 }
 
-// Remove forgets a member.
+// Remove removes a member from the table.
 func (m *Members) Remove(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +98,7 @@
 	m.publish()
 }
 
-// publish renews the readers' snapshot; the caller holds the lock.
+// publish replaces the readers' snapshot; the caller holds the lock.
 func (m *Members) publish() {
 	all := slices.SortedFunc(maps.Values(m.members), func(a, b Member) int {
 		return strings.Compare(a.ID, b.ID)
--- a/blackboard/requests.go
+++ b/blackboard/requests.go
@@ -8,28 +8,31 @@
 	"zinniamast/request"
 )
 
-// Requests is the table of requests this node answers for.
+// Requests is the table of requests for which this node is responsible.
 type Requests struct {
 	mu    sync.Mutex
 	byID  map[string]*request.Request
 	byKey map[string]*request.Request
-	// byPrint finds what a default client asks again without a key.
-	byPrint map[uint64][]*request.Request
+	// byFingerprint finds the original of a request that a client repeats without
+	// an idempotency key.
+	byFingerprint map[uint64][]*request.Request
 }
 
 // NewRequests returns an empty table.
 func NewRequests() *Requests {
 	return &Requests{
-		byID:    map[string]*request.Request{},
-		byKey:   map[string]*request.Request{},
-		byPrint: map[uint64][]*request.Request{},
+		byID:          map[string]*request.Request{},
+		byKey:         map[string]*request.Request{},
+		byFingerprint: map[uint64][]*request.Request{},
 	}
 }
 
-// keyName joins organisation and key, so that organisations cannot meet each other's requests.
+// keyName joins organisation and key, so that organisations cannot access each
+// other's requests.
 func keyName(organisation, key string) string { return organisation + "\x00" + key }
 
-// Add enters a request. If its key is taken it returns the request that holds it and false.
+// Add adds a request and returns it and true. If its ID or key is taken, it returns
+// the request that holds it and false.
 func (t *Requests) Add(r *request.Request) (*request.Request, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +48,7 @@
 		t.byKey[name] = r
 	}
 	t.byID[call.ID] = r
-	t.byPrint[call.Fingerprint] = append(t.byPrint[call.Fingerprint], r)
+	t.byFingerprint[call.Fingerprint] = append(t.byFingerprint[call.Fingerprint], r)
 	return r, true
 }
 
@@ -63,12 +66,12 @@
 	return t.byKey[keyName(organisation, key)]
 }
 
-// Orphan returns a request with this fingerprint that nobody is attached to
-// and whose answer nobody has, or nil.
+// Orphan returns a request with this fingerprint to which no caller is attached and
+// whose answer no caller has received, or nil.
 func (t *Requests) Orphan(fingerprint uint64) *request.Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.byPrint[fingerprint] {
+	for _, r := range t.byFingerprint[fingerprint] {
 		if r.Orphaned() {
 			return r
 		}
@@ -87,14 +90,14 @@
 	return all
 }
 
-// Len returns how many requests stand in the table.
+// Len returns the number of requests in the table.
 func (t *Requests) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.byID)
 }
 
-// Remove forgets a request.
+// Remove removes a request from the table.
 func (t *Requests) Remove(r *request.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,7 +114,7 @@
 	if t.byKey[name] == r {
 		delete(t.byKey, name)
 	}
-	same := t.byPrint[call.Fingerprint]
+	same := t.byFingerprint[call.Fingerprint]
 	for i, other := range same {
 		if other == r {
 			same = append(same[:i], same[i+1:]...)
@@ -119,29 +122,30 @@
 		}
 	}
 	if len(same) == 0 {
-		delete(t.byPrint, call.Fingerprint)
+		delete(t.byFingerprint, call.Fingerprint)
 		return
 	}
-	t.byPrint[call.Fingerprint] = same
+	t.byFingerprint[call.Fingerprint] = same
 }
 
-// ended is one request that the table still holds after its end.
-type ended struct {
+// endedRequest is a request that the table still holds after its end.
+type endedRequest struct {
 	request *request.Request
 	at      time.Time
 	bytes   int
 }
 
-// Sweep forgets requests that ended before the given time, those that nobody
-// can come for any more, and the oldest ones beyond so many bytes; it returns
-// how many. Without the last a minute of large prompts under keys would hold
-// more memory than admission counts, since a request's place is free at its end.
-func (t *Requests) Sweep(before time.Time, most int) int {
+// Sweep removes requests that ended before the given time, ended requests for which
+// no caller can return, and the oldest ended requests beyond a total of maxBytes.
+// It returns the number of removed requests. Without the bound on bytes, a minute
+// of large prompts with keys would hold more memory than admission accounts for,
+// since admission frees a request's place at its end.
+func (t *Requests) Sweep(before time.Time, maxBytes int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	swept := 0
 	bytes := 0
-	var kept []ended
+	var retained []endedRequest
 	for _, r := range t.byID {
 		at, wanted := r.Ended()
 		if at.IsZero() {
@@ -152,21 +156,21 @@
 			swept++
 			continue
 		}
-		one := ended{
+		candidate := endedRequest{
 			request: r,
 			at:      at,
 			bytes:   r.Bytes(),
 		}
-		bytes += one.bytes
-		kept = append(kept, one)
+		bytes += candidate.bytes
+		retained = append(retained, candidate)
 	}
-	slices.SortFunc(kept, func(a, b ended) int { return a.at.Compare(b.at) })
-	for _, one := range kept {
-		if bytes <= most {
+	slices.SortFunc(retained, func(a, b endedRequest) int { return a.at.Compare(b.at) })
+	for _, candidate := range retained {
+		if bytes <= maxBytes {
 			break
 		}
-		bytes -= one.bytes
-		t.remove(one.request)
+		bytes -= candidate.bytes
+		t.remove(candidate.request)
 		swept++
 	}
 	return swept
--- a/blackboard/upstreams.go
+++ b/blackboard/upstreams.go
@@ -8,18 +8,20 @@
 	"zinniamast"
 )
 
-// Upstream is one replica as this node knows it. The exported fields do not
-// change; what does change is behind methods and safe for concurrent use.
+// Upstream is this node's view of one replica. The exported fields do not change;
+// mutable state is accessed by methods, which are safe for concurrent use.
 type Upstream struct {
-	// Instance is what the platform says of it.
+	// Instance is the platform's description of the replica.
 	Instance zinniamast.Instance
-	// Engine speaks to it if it is a model replica.
+	// Engine is the client of a model replica.
 	Engine zinniamast.Engine
-	// Service speaks to it if it is a plain service's replica.
+	// Service is the client of a plain service's replica.
 	Service zinniamast.Service
-	// Replica takes requests as they are; nil where only Engine or Service is used.
+	// Replica is a client that forwards requests unchanged; nil if only Engine or
+	// Service is used.
 	Replica zinniamast.Replica
-	// Slots is how many requests it says it runs at once; zero if unknown.
+	// Slots is the number of requests that the replica reports to run at once; zero
+	// if unknown.
 	Slots int
 
 	leaving  atomic.Bool
@@ -27,10 +29,11 @@
 	inflight atomic.Int64
 }
 
-// Leaving says whether the replica takes no new work.
+// Leaving reports whether the replica takes no new requests because it leaves.
 func (u *Upstream) Leaving() bool { return u.leaving.Load() }
 
-// LeavesAt returns when it goes away, or the zero time if that is unknown.
+// LeavesAt returns the time at which the replica goes away, or the zero time if that
+// is unknown.
 func (u *Upstream) LeavesAt() time.Time {
 	nanos := u.leavesAt.Load()
 	if nanos == 0 {
@@ -39,38 +42,39 @@
 	return time.Unix(0, nanos)
 }
 
-// Inflight returns how many attempts of this node run there.
+// Inflight returns the number of this node's in-flight attempts on the replica.
 func (u *Upstream) Inflight() int64 { return u.inflight.Load() }
 
-// Enter counts an attempt in; Exit counts it out.
+// Enter adds an in-flight attempt; Exit removes it.
 func (u *Upstream) Enter() { u.inflight.Add(1) }
 
-// Exit counts an attempt out.
+// Exit removes an in-flight attempt that Enter added.
 func (u *Upstream) Exit() { u.inflight.Add(-1) }
 
-// Upstreams is the table of replicas. Readers of a service's replicas never wait.
+// Upstreams is the table of replicas. Readers of a service's replicas do not block.
 type Upstreams struct {
 	mu sync.Mutex
 	// byID holds every replica in use.
 	byID map[string]*Upstream
-	// left holds, per ID, the start of the incarnation that left.
-	left     map[string]time.Time
-	services atomic.Pointer[map[string][]*Upstream]
-	watchers []func(*Upstream)
+	// barredStarts holds, for each ID, the latest start of a replica that left. It and
+	// earlier starts are not added again.
+	barredStarts map[string]time.Time
+	services     atomic.Pointer[map[string][]*Upstream]
+	onLeaving    []func(*Upstream)
 }
 
 // NewUpstreams returns an empty table.
 func NewUpstreams() *Upstreams {
 	u := &Upstreams{
-		byID: map[string]*Upstream{},
-		left: map[string]time.Time{},
+		byID:         map[string]*Upstream{},
+		barredStarts: map[string]time.Time{},
 	}
 	u.publish()
 	return u
 }
 
-// Of returns the replicas of a model deployment or plain service, leaving
-// ones included; the slice is shared and not written.
+// Of returns the replicas of a model deployment or plain service, leaving ones
+// included. The slice is shared and must not be modified.
 func (u *Upstreams) Of(service string) []*Upstream { return (*u.services.Load())[service] }
 
 // All returns every replica.
@@ -91,21 +95,22 @@
 	return u.byID[id]
 }
 
-// OnLeaving registers a function that hears of each replica once when it begins to leave.
+// OnLeaving registers a function that is called once for each replica when it begins
+// to leave.
 func (u *Upstreams) OnLeaving(f func(*Upstream)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.watchers = append(u.watchers, f)
+	u.onLeaving = append(u.onLeaving, f)
 }
 
-// Add puts a replica into the table and reports whether it is new. What has
-// left is refused under the same start: an old list that still shows it alive
-// would send new work to an instance that is going away.
+// Add adds a replica to the table and reports whether it is new. A replica that has
+// left is not added again with the same start: otherwise an outdated list that still
+// contains it would send new requests to an instance that is going away.
 func (u *Upstreams) Add(upstream *Upstream) bool { return len(u.AddAll([]*Upstream{upstream})) == 1 }
 
-// AddAll puts replicas into the table as Add does and returns those that are
-// new. The readers' snapshot is renewed once: its cost grows with the table,
-// and a node that starts adds the whole fleet.
+// AddAll adds replicas to the table as Add does and returns those that are new. The
+// readers' snapshot is replaced only once, since its cost grows with the table and
+// a node that starts adds the whole fleet.
 func (u *Upstreams) AddAll(upstreams []*Upstream) []*Upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -122,18 +127,19 @@
 	return added
 }
 
-// isNew says whether this life of a replica may enter; the caller holds the lock.
+// isNew reports whether this start of a replica may be added; the caller holds the
+// lock.
 func (u *Upstreams) isNew(upstream *Upstream) bool {
 	id := upstream.Instance.ID
-	if left, ok := u.left[id]; ok && !upstream.Instance.Started.After(left) {
+	if barred, ok := u.barredStarts[id]; ok && !upstream.Instance.Started.After(barred) {
 		return false
 	}
 	known, ok := u.byID[id]
 	return !ok || upstream.Instance.Started.After(known.Instance.Started)
 }
 
-// MarkLeaving records the first sign that a replica leaves and reports
-// whether it was the first. A zero time means that the moment is unknown.
+// MarkLeaving marks a replica as leaving and reports whether it was not marked
+// before. A zero time means that the time at which it goes away is unknown.
 func (u *Upstreams) MarkLeaving(id string, at time.Time) bool {
 	u.mu.Lock()
 	upstream, ok := u.byID[id]
@@ -144,40 +150,40 @@
 	if !at.IsZero() {
 		upstream.leavesAt.Store(at.UnixNano())
 	}
-	u.left[id] = upstream.Instance.Started
-	watchers := u.watchers
+	u.barredStarts[id] = upstream.Instance.Started
+	onLeaving := u.onLeaving
 	u.mu.Unlock()
-	for _, watch := range watchers {
+	for _, watch := range onLeaving {
 		watch(upstream)
 	}
 	return true
 }
 
-// Readmit takes back a replica's present life after it was removed from the
-// list by mistake: its entry lapsed while the platform's store was away, and
-// came back. A replica that announced its leaving itself is not readmitted.
+// Readmit allows the present start of a replica again after it was marked as leaving
+// by mistake, because its entry lapsed during an outage of the platform's store and
+// came back. Callers do not readmit a replica that announced itself that it leaves.
 func (u *Upstreams) Readmit(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.left, id)
+	delete(u.barredStarts, id)
 	if upstream, ok := u.byID[id]; ok {
 		upstream.leaving.Store(false)
 		upstream.leavesAt.Store(0)
 	}
 }
 
-// Bar refuses a replica's life that began at the given time or before, also if
-// it is not in the table yet: news that it leaves can overtake the list that
-// first shows it.
+// Bar prevents a start of a replica at the given time or before from being added,
+// even if the replica is not in the table yet: the report that it leaves can
+// arrive before the list that first contains it.
 func (u *Upstreams) Bar(id string, started time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if left, ok := u.left[id]; !ok || started.After(left) {
-		u.left[id] = started
+	if barred, ok := u.barredStarts[id]; !ok || started.After(barred) {
+		u.barredStarts[id] = started
 	}
 }
 
-// Remove forgets a replica that is gone; its incarnation stays barred.
+// Remove removes a replica that has left; its start stays barred.
 func (u *Upstreams) Remove(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -185,12 +191,12 @@
 	if !ok {
 		return
 	}
-	u.left[id] = upstream.Instance.Started
+	u.barredStarts[id] = upstream.Instance.Started
 	delete(u.byID, id)
 	u.publish()
 }
 
-// publish renews the readers' snapshot; the caller holds the lock.
+// publish replaces the readers' snapshot; the caller holds the lock.
 func (u *Upstreams) publish() {
 	services := map[string][]*Upstream{}
 	for _, upstream := range u.byID {
--- a/roster/retire.go
+++ b/roster/retire.go
@@ -9,27 +9,29 @@
 )
 
 // retireAfter is how long an instance must have been silent before its entry is
-// removed: ten times as long as failure domains are cut off or an instance takes
-// to be replaced.
+// removed. It is ten times as long as failure domains are partitioned or as the
+// replacement of an instance takes.
 const retireAfter = 15 * time.Minute
 
 // Retire removes the entries of this failure domain whose instances have been
-// silent for long. One node of each failure domain calls it after each Read.
+// silent for retireAfter. One node of each failure domain calls it after each Read.
 //
-// Failure: replaced instances stay on the roster for good. Allowances are divided
-// by all that stand there, so that after a day with 400 replaced ones of 370 half
-// of each allowance is nobody's, and pools are looked for at nodes that are gone.
-// An instance that is retired while it lives enters itself again with its next list.
+// Otherwise replaced instances would stay on the roster indefinitely. Allowances
+// are divided by the number of entries, so after a day in which 400 instances of a
+// fleet of 370 were replaced half of each allowance would be assigned to instances
+// that no longer exist, and pools would be requested from such instances. An
+// instance that is retired while it is alive announces itself again after its next
+// read of the roster.
 func (r *Roster) Retire(ctx context.Context, alive func(id string) bool) {
 	now := r.config.Now()
 	for _, entry := range r.Entries() {
 		if entry.FailureDomain != r.config.FailureDomain || entry.ID == r.config.ID || alive(entry.ID) {
-			delete(r.silent, entry.ID)
+			delete(r.silentSince, entry.ID)
 			continue
 		}
-		since, known := r.silent[entry.ID]
+		since, known := r.silentSince[entry.ID]
 		if !known {
-			r.silent[entry.ID] = now
+			r.silentSince[entry.ID] = now
 			continue
 		}
 		if now.Sub(since) >= retireAfter {
@@ -49,15 +51,15 @@
 		Expect: entry.Revision,
 	}})
 	if err != nil && !errors.Is(err, zinniamast.ErrConflict) {
-		r.config.Logger.Debug("instance not retired", "instance", entry.ID, "cause", err)
+		r.config.Logger.Debug("retiring instance failed", "instance", entry.ID, "cause", err)
 		return
 	}
-	delete(r.silent, entry.ID)
+	delete(r.silentSince, entry.ID)
 	r.config.Logger.Info("instance retired", "instance", entry.ID, "silent_for", retireAfter)
 }
 
-// Missing says whether this instance has announced itself and stands on the
-// list no more.
+// Missing reports whether this instance has announced itself and is no longer on
+// the roster.
 func (r *Roster) Missing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,5 +1,5 @@
 // Package roster lists the entry instances in the platform's table, so that a
-// node finds others, and counts them.
+// node can find and count the others.
 package roster
 
 import (
@@ -15,20 +15,21 @@
 	"zinniamast"
 )
 
-// Partition is where the instances stand in the table.
+// Partition is the table partition that holds the instances.
 const Partition = "entry"
 
 const (
-	// listLimit is how many instances are read: ten times as many as the largest
-	// fleet has, for those that are gone and not retired yet.
+	// listLimit bounds the number of instances read. It is ten times the size of
+	// the largest fleet, to include instances that no longer exist and are not
+	// retired yet.
 	listLimit = 4000
-	// callTimeout bounds one call.
+	// callTimeout bounds one call to the table.
 	callTimeout = 2 * time.Second
-	// againAfter is the pause after a failed announcement.
-	againAfter = 500 * time.Millisecond
+	// retryDelay is the pause after a failed announcement.
+	retryDelay = 500 * time.Millisecond
 )
 
-// Config says who announces itself and where.
+// Config describes this instance and how it reads the roster.
 type Config struct {
 	Table zinniamast.Table
 	// ID, FailureDomain and Address describe this instance; Address is
@@ -36,30 +37,31 @@
 	ID            string
 	FailureDomain string
 	Address       string
-	// Offset returns how far this instance found its time of day ahead of the
-	// store's clock; false while it does not know.
+	// Offset returns this instance's time of day minus the store's clock; false
+	// while that is not known.
 	Offset func() (time.Duration, bool)
-	// OnOffsets hears what all instances found, with each list.
+	// OnOffsets, if set, is called with the offsets of all instances for each new
+	// roster.
 	OnOffsets func(offsets []time.Duration)
-	// Logger hears of failures; nil means slog's default.
+	// Logger logs failures and retired instances; nil means slog's default.
 	Logger *slog.Logger
-	// Now tells the time; nil is time.Now.
+	// Now returns the time; nil means time.Now.
 	Now func() time.Time
 }
 
 // Roster implements zinniamast.InstanceList.
 type Roster struct {
 	config Config
-	// instances are those of the last list.
+	// instances are those of the latest roster.
 	instances atomic.Pointer[[]zinniamast.Instance]
 
 	mu        sync.Mutex
 	announced bool
 	entries   []Entry
 
-	// silent holds since when instances of this failure domain have been silent;
-	// it belongs to Retire.
-	silent map[string]time.Time
+	// silentSince holds the time since which each silent instance of this failure
+	// domain has been silent; only Retire uses it.
+	silentSince map[string]time.Time
 }
 
 var _ zinniamast.InstanceList = (*Roster)(nil)
@@ -68,11 +70,11 @@
 type record struct {
 	FailureDomain string `json:"failure_domain"`
 	Address       string `json:"address"`
-	// OffsetMS is the time of day less the store's clock at the start.
+	// OffsetMS is the instance's time of day minus the store's clock at its start.
 	OffsetMS int64 `json:"offset_ms"`
 }
 
-// New returns a roster on which this instance does not stand yet.
+// New returns an empty roster; Announce adds this instance.
 func New(config Config) *Roster {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
@@ -81,28 +83,29 @@
 		config.Now = time.Now
 	}
 	return &Roster{
-		config: config,
-		silent: map[string]time.Time{},
+		config:      config,
+		silentSince: map[string]time.Time{},
 	}
 }
 
-// Instances returns those of the last list; none before the first. The slice
-// is shared and not written.
+// Instances returns the instances of the latest roster; none before the first one.
+// The slice is shared and must not be modified.
 func (r *Roster) Instances() []zinniamast.Instance {
-	if known := r.instances.Load(); known != nil {
-		return *known
+	if instances := r.instances.Load(); instances != nil {
+		return *instances
 	}
 	return nil
 }
 
-// Announced says whether this instance stands on the roster.
+// Announced reports whether this instance has added itself to the roster.
 func (r *Roster) Announced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.announced
 }
 
-// Announce enters this instance, trying until it stands or ctx ends.
+// Announce adds this instance to the roster, and retries until that succeeds or
+// ctx ends.
 func (r *Roster) Announce(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.announce(ctx)
@@ -112,9 +115,9 @@
 			r.mu.Unlock()
 			return
 		}
-		r.config.Logger.Debug("not announced yet", "cause", err)
+		r.config.Logger.Debug("announcing instance failed, retrying", "cause", err)
 		select {
-		case <-time.After(againAfter):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -132,7 +135,7 @@
 	defer cancel()
 	offset, ok := r.config.Offset()
 	if !ok {
-		return errors.New("roster: the store's clock is not known")
+		return errors.New("roster: store's clock is not known yet")
 	}
 	value, err := json.Marshal(record{
 		FailureDomain: r.config.FailureDomain,
@@ -163,7 +166,8 @@
 	}})
 }
 
-// revision is that of this instance's item on the last list; zero if it stood on none.
+// revision returns the revision of this instance's item in the latest roster, or
+// zero if it is not listed.
 func (r *Roster) revision() uint64 {
 	for _, entry := range r.Entries() {
 		if entry.ID == r.config.ID {
@@ -178,13 +182,13 @@
 	ID            string
 	FailureDomain string
 	Address       string
-	// Offset is how far it found its time of day ahead of the store's clock.
+	// Offset is its time of day minus the store's clock at its start.
 	Offset time.Duration
-	// Revision is that of its item in the table.
+	// Revision is the revision of its item in the table.
 	Revision uint64
 }
 
-// Read reads the roster from the table and keeps it.
+// Read reads the roster from the table and stores it.
 func (r *Roster) Read(ctx context.Context) ([]Entry, error) {
 	items, err := r.config.Table.Query(ctx, Partition, "", listLimit)
 	if err != nil {
@@ -194,7 +198,7 @@
 	for _, item := range items {
 		var known record
 		if err := json.Unmarshal(item.Value, &known); err != nil {
-			r.config.Logger.Warn("unreadable instance", "instance", item.Key.Sort, "cause", err)
+			r.config.Logger.Warn("roster entry unreadable", "instance", item.Key.Sort, "cause", err)
 			continue
 		}
 		entries = append(entries, Entry{
@@ -209,7 +213,7 @@
 	return entries, nil
 }
 
-// Keep takes in the roster as it was read here or by another node.
+// Keep stores a roster that was read by this or another node.
 func (r *Roster) Keep(entries []Entry) {
 	instances := make([]zinniamast.Instance, 0, len(entries))
 	offsets := make([]time.Duration, 0, len(entries))
@@ -231,14 +235,15 @@
 	}
 }
 
-// Entries returns the roster as it was kept last.
+// Entries returns the entries of the latest roster.
 func (r *Roster) Entries() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entries
 }
 
-// List implements zinniamast.InstanceList by what was kept last, without a call.
+// List implements zinniamast.InstanceList with the latest roster, without a call to
+// the table.
 func (r *Roster) List(context.Context) ([]zinniamast.Instance, error) {
 	return r.Instances(), nil
 }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes holds which requests go to which service and for whom: the
-// configuration of a deployment whose requests are routed by host and path.
+// Package routes holds the configuration of a deployment whose requests are routed
+// by host and path: its routes, services, organisations and limits.
 package routes
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether a request may be repeated.
 type Kind string
 
 // The kinds of request.
@@ -19,12 +19,12 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Stream requests are answered by events and run at most once unless the
-	// route is resumable.
+	// Stream requests are answered by a stream of events and run at most once
+	// unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Config is one accepted version.
+// Config is one accepted version of the configuration.
 type Config struct {
 	Version       int64
 	Routes        []Route
@@ -42,73 +42,76 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is how long a caller is kept waiting at most; zero means no bound.
+	// Timeout bounds how long a caller waits for the answer; zero means no bound.
 	Timeout time.Duration
-	// Target is the time within which an answer, or a stream's first event, is on time.
+	// Target is the latency up to which an answer, or the first event of a stream,
+	// is on time.
 	Target time.Duration
-	// PauseTarget is the longest pause between events of a stream that is on time.
+	// PauseTarget is the pause between two events up to which a stream is on time.
 	PauseTarget time.Duration
-	// Priority ranks requests; 0 is first.
+	// Priority ranks requests; 0 is the highest priority.
 	Priority int
 	// Split divides requests between services by weight.
 	Split []Share
-	// MaxAttempts is how many replicas one request may be sent to; at least 1.
+	// MaxAttempts is the number of replicas to which one request may be sent; at
+	// least 1.
 	MaxAttempts int
-	// Anonymous routes ask for no key.
+	// Anonymous routes require no API key.
 	Anonymous bool
-	// Resumable streams may go on at another replica after the last event.
+	// Resumable streams may continue on another replica after the last event.
 	Resumable bool
-	// Prompted requests carry a prompt whose parts replicas keep.
+	// Prompted requests carry a prompt whose parts replicas cache.
 	Prompted bool
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is what replicas run.
+// Service is a service whose requests are sent to replicas.
 type Service struct {
 	Name string
-	// MaxConns is how many connections a replica takes from all nodes together.
+	// MaxConns is the number of connections that a replica accepts from all nodes
+	// together.
 	MaxConns int
 	// Engine is set for model services.
 	Engine *Engine
-	// Scaling is set for services whose replicas can be ordered.
+	// Scaling is set for services whose replicas can be ordered from the platform.
 	Scaling *Scaling
 }
 
 // Engine describes the replicas of a model service.
 type Engine struct {
-	// Slots is how many requests a replica runs at once.
+	// Slots is the number of requests that a replica runs at once.
 	Slots int
-	// KVTokens is how many tokens a replica's memory holds.
+	// KVTokens is the number of tokens that a replica's KV cache holds.
 	KVTokens int
-	// FetchTime is how long a replica takes to fetch one token that another one
-	// keeps; zero where it is not known.
+	// FetchTime is the time in which a replica fetches one token from the KV cache
+	// of another; zero if it is not known.
 	FetchTime time.Duration
 }
 
-// Scaling says what may be ordered, per failure domain.
+// Scaling bounds and prices the replicas that may be ordered, per failure domain.
 type Scaling struct {
 	Min int
 	Max int
-	// BootTime is how long a new replica takes to serve.
+	// BootTime is the time until a new replica serves requests.
 	BootTime time.Duration
-	// SpotPrice is what a reclaimable replica costs, as a part of the other's
-	// price; zero means that there are none.
+	// SpotPrice is the price of a reclaimable replica as a fraction of the price of
+	// an on-demand one; zero means that there are no reclaimable replicas.
 	SpotPrice float64
-	// Prices are by failure domain, of a replica's second.
+	// Prices are the prices of one replica for a second, by failure domain.
 	Prices map[string]float64
 }
 
-// Limits bound what callers may send.
+// Limits bounds the size and timing of callers' requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -116,23 +119,24 @@
 	IdleTimeout    time.Duration
 }
 
-// Organisation is a party that may call.
+// Organisation is a caller that is identified by its API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's where it is set.
+	// Priority overrides the route's priority if it is set.
 	Priority *int
 	// ByTokens means that Rate and Burst count tokens instead of requests.
 	ByTokens bool
-	// UncountedTokens is what a request counts that does not state its tokens.
+	// UncountedTokens is the number of tokens counted for a request that does not
+	// state its tokens.
 	UncountedTokens int
-	// Rate per second and Burst bound the organisation over all nodes; a zero
-	// Rate means no bound.
+	// Rate per second and Burst limit the organisation over all nodes; a zero Rate
+	// means no limit.
 	Rate  float64
 	Burst float64
 }
 
-// Index prepares the lookups; it is called once, before the first use.
+// Index builds the lookup tables; it is called once, before the first use.
 func (c *Config) Index() {
 	c.byHost = map[string][]*Route{}
 	c.byKey = map[string]*Organisation{}
@@ -150,7 +154,7 @@
 	}
 }
 
-// Match returns the route with the longest prefix of the path, or nil.
+// Match returns the host's route with the longest prefix of the path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -160,10 +164,10 @@
 	return nil
 }
 
-// Organisation returns the holder of a key, or nil.
+// Organisation returns the organisation that holds an API key, or nil.
 func (c *Config) Organisation(key string) *Organisation { return c.byKey[key] }
 
-// Table holds the configuration in force. Readers never wait.
+// Table holds the configuration in force. Readers do not block.
 type Table struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Config]
@@ -172,9 +176,9 @@
 // Current returns the configuration in force, or nil before the first.
 func (t *Table) Current() *Config { return t.current.Load() }
 
-// Apply puts a newer version in force and reports whether it was newer. An
-// older one is refused whoever brings it: a late answer of the store, or a peer
-// that was cut off, must not revert an accepted change.
+// Apply puts a newer version in force and reports whether it was newer. An older
+// version is refused from any source: a late answer of the store, or a peer that
+// was partitioned, must not revert an accepted change.
 func (t *Table) Apply(c *Config) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
