--- a/rollout/difference.go
+++ b/rollout/difference.go
@@ -6,24 +6,28 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Difference makes a version out of the one before it. A change is a few
-// lines; sent whole to every node, thousands of changes a day would cost the
-// node asked and the contacts several times their part.
+// Difference describes a version as a change to the version before it. Most
+// changes are a few lines; if every version were sent whole to every node,
+// thousands of changes a day would cost the sending node and the contacts
+// several times their traffic budget.
 type Difference struct {
-	// Base and Token name the version that it starts from.
+	// Base and Token identify the version that the difference applies to.
 	Base  uint64
 	Token string
-	// Prefix and Suffix are how many bytes of the base stay at its ends.
+	// Prefix and Suffix are the numbers of bytes kept from the start and the
+	// end of the base.
 	Prefix, Suffix int
-	// Middle stands between them.
+	// Middle replaces the bytes between them.
 	Middle []byte
-	// Sum is the xxh3 hash of the whole result: a base that differs in spite of
-	// its name must not bring an unaccepted configuration into force.
+	// Sum is the xxh3 hash of the whole result. It keeps a base with the
+	// expected number and token but other content from producing a
+	// configuration that was never accepted.
 	Sum uint64
 }
 
-// differ returns what turns one entry into another, nil where nothing is gained.
-func differ(before, after *Entry) *Difference {
+// newDifference returns the difference between two entries, or nil if it is not
+// smaller than the compressed entry.
+func newDifference(before, after *Entry) *Difference {
 	if before == nil || after == nil {
 		return nil
 	}
@@ -57,8 +61,8 @@
 	}
 }
 
-// apply returns the configuration that the difference makes of a base, or nil
-// if this is not its base.
+// apply returns the configuration that results from applying the difference to
+// base, or nil if base is not the version it was made from.
 func (d *Difference) apply(base *Entry) []byte {
 	if base == nil || base.Number != d.Base || base.Token != d.Token {
 		return nil
@@ -74,67 +78,69 @@
 	return to
 }
 
-// push is one entry as it is sent: short to who has the version before, whole
-// to the rest.
+// push is one entry in the two forms in which it is sent: as a delta to nodes
+// that have the previous version, in full to the others.
 type push struct {
-	whole Spread
-	short Spread
+	full  Spread
+	delta Spread
 }
 
-// number is the version that the push brings, zero if it only asks.
-func (p push) number() uint64 {
-	if p.whole.Entry == nil {
+// version returns the version number that the push delivers, zero if the push
+// is only a query.
+func (p push) version() uint64 {
+	if p.full.Entry == nil {
 		return 0
 	}
-	return p.whole.Entry.Number
+	return p.full.Entry.Number
 }
 
-// relayed is the push as a contact gets it.
-func (p push) relayed() push {
-	p.whole.Relay = true
-	p.short.Relay = true
+// forRelay returns the push as it is sent to a contact, which relays it to its
+// failure domain.
+func (p push) forRelay() push {
+	p.full.Relay = true
+	p.delta.Relay = true
 	return p
 }
 
-// pushOf returns how an entry that this node has put in force is sent.
-func (r *Rollout) pushOf(entry *Entry) push {
+// preparePush returns both forms of an entry that is in force on this node.
+func (r *Rollout) preparePush(entry *Entry) push {
 	p := push{
-		whole: Spread{
+		full: Spread{
 			Entry: entry,
 		},
 	}
 	r.mu.Lock()
-	before := r.before
+	previous := r.previous
 	r.mu.Unlock()
-	difference := differ(before, entry)
+	difference := newDifference(previous, entry)
 	if difference == nil {
-		p.short = p.whole
+		p.delta = p.full
 		return p
 	}
-	bare := *entry
-	bare.Packed = nil
-	p.short = Spread{
-		Entry:      &bare,
+	header := *entry
+	header.Packed = nil
+	p.delta = Spread{
+		Entry:      &header,
 		Difference: difference,
 	}
 	return p
 }
 
-// entryOf returns the entry that a peer sent, nil if it is a difference from a
-// version that is not in force here.
-func (r *Rollout) entryOf(args Spread) *Entry {
+// resolveEntry returns the entry that a peer sent, or nil if it is a difference
+// from a version that this node does not have.
+func (r *Rollout) resolveEntry(args Spread) *Entry {
 	if args.Difference == nil || args.Entry == nil {
 		return args.Entry
 	}
 	r.mu.Lock()
-	base, standing := r.before, r.entry
+	previous, inForce := r.previous, r.entry
 	r.mu.Unlock()
-	if standing != nil && standing.Number == args.Entry.Number && standing.Token == args.Entry.Token {
-		return standing
+	if inForce != nil && inForce.Number == args.Entry.Number && inForce.Token == args.Entry.Token {
+		return inForce
 	}
-	raw := args.Difference.apply(standing)
+	raw := args.Difference.apply(inForce)
 	if raw == nil {
-		raw = args.Difference.apply(base)
+		raw = args.Difference.apply(previous)
 	}
 	if raw == nil {
 		return nil
--- a/rollout/difference_test.go
+++ b/rollout/difference_test.go
@@ -16,8 +16,9 @@
 	"zinniamast/rollout"
 )
 
-// large returns a valid configuration of 500 organisations, whose keys' hashes hardly pack.
-func large(seconds int) []byte {
+// largeDocument returns a valid configuration of 500 organisations; the key
+// hashes hardly compress.
+func largeDocument(seconds int) []byte {
 	organisations := make([]string, 500)
 	for i := range organisations {
 		organisations[i] = fmt.Sprintf(`{"name": "organisation-%d", "key_hashes": ["%x"]}`, i, sha256.Sum256(fmt.Append(nil, i)))
@@ -26,15 +27,16 @@
 		seconds, strings.Join(organisations, ",\n"))
 }
 
-// size returns what a message takes on the wire.
-func size(check *is.I, message rollout.Spread) int {
+// wireSize returns the encoded size of a message in bytes.
+func wireSize(check *is.I, message rollout.Spread) int {
 	var wire bytes.Buffer
 	check.NoErr(gob.NewEncoder(&wire).Encode(message))
 	return wire.Len()
 }
 
-// single is a node of which nobody knows, with a version in force or none.
-func single(check *is.I, entry *rollout.Entry) (*rollout.Rollout, *blackboard.Board) {
+// newSingleNode returns a node without peers, with the given version in force
+// or none.
+func newSingleNode(check *is.I, entry *rollout.Entry) (*rollout.Rollout, *blackboard.Board) {
 	board := blackboard.New()
 	r, err := rollout.New(rollout.Config{
 		Node:  "single",
@@ -49,53 +51,54 @@
 	return r, board
 }
 
-// A change of one line goes to nodes that have the version before. It must
-// arrive as that line. A node that has another version, or one that only bears
-// the same name, must put nothing in force and say so, so that it gets the
-// version whole; else it would serve with what nobody accepted.
-func TestChangesGoAsDifferences(t *testing.T) {
+// A change of one line goes to nodes that have the previous version and must be
+// sent as a difference. A node that has another version, or other content under
+// the same number and token, must apply nothing and report its lower number, so
+// that it is sent the full version; otherwise it would serve with a
+// configuration that was never accepted.
+func TestChangesAreSentAsDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFleet(t, 2, 2)
 		put := change(0, 0)
-		put.Raw = large(60)
+		put.Raw = largeDocument(60)
 		check.Equal(f.nodes["a0"].Put(t.Context(), put).Outcome, rollout.InForce)
 		first := f.spreads[0]
 		f.spreads = nil
 		put = change(1, 0)
-		put.Raw = large(75)
+		put.Raw = largeDocument(75)
 		check.Equal(f.nodes["b1"].Put(t.Context(), put).Outcome, rollout.InForce)
 		check.Equal(len(f.spreads), 3)
-		short := f.spreads[0]
+		delta := f.spreads[0]
 		for _, spread := range f.spreads {
 			check.True(spread.Difference != nil)
-			check.True(size(check, spread) < 1000)
+			check.True(wireSize(check, spread) < 1000)
 		}
-		t.Logf("a version of %d bytes: whole %d bytes, as a difference %d", len(put.Raw), size(check, first), size(check, short))
+		t.Logf("a version of %d bytes: whole %d bytes, as a difference %d", len(put.Raw), wireSize(check, first), wireSize(check, delta))
 		for _, n := range f.nodes {
 			check.Equal(n.board.Configuration.Current().Raw, put.Raw)
 		}
 
 		var packed bytes.Buffer
 		w := gzip.NewWriter(&packed)
-		_, err := w.Write(bytes.Replace(large(60), []byte("drafts"), []byte("labels"), 1))
+		_, err := w.Write(bytes.Replace(largeDocument(60), []byte("drafts"), []byte("labels"), 1))
 		check.NoErr(err)
 		check.NoErr(w.Close())
 		another := *first.Entry
 		another.Packed = packed.Bytes()
 		for _, has := range []*rollout.Entry{nil, &another} {
-			r, board := single(check, has)
+			r, board := newSingleNode(check, has)
 			before := board.Configuration.Current()
 			var reply rollout.SpreadReply
-			check.NoErr(r.Receiver().Spread(short, &reply))
+			check.NoErr(r.Receiver().Spread(delta, &reply))
 			check.True(reply.Nodes[0].Number < 2)
 			check.Equal(board.Configuration.Current(), before)
 		}
-		r, board := single(check, first.Entry)
+		r, board := newSingleNode(check, first.Entry)
 		var reply rollout.SpreadReply
-		check.NoErr(r.Receiver().Spread(short, &reply))
+		check.NoErr(r.Receiver().Spread(delta, &reply))
 		check.Equal(reply.Nodes[0].Number, uint64(2))
 		check.Equal(board.Configuration.Current().Raw, put.Raw)
-		f.forwards()
+		f.checkVersionsIncrease()
 	})
 }
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,7 +1,7 @@
-// Package rollout brings one fleet-wide configuration into force on every node.
+// Package rollout distributes one fleet-wide configuration to every node.
 //
 // A version is accepted by one conditional write to the platform's table. It
-// is pushed through peers at once; the versions in heartbeats and a small read
-// of the table now and then repair what a push has missed. A node only ever
-// moves to a higher number, whoever offers it.
+// is then pushed to all nodes through their peers. The version numbers in
+// heartbeats and periodic reads of the table's small head repair missed pushes.
+// A node only ever moves to a higher version number, whichever peer sends it.
 package rollout
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -11,32 +11,33 @@
 	"zinniamast/config"
 )
 
-// Bounds of what an entry keeps.
+// Bounds on the size of an entry.
 const (
-	maxRaw        = 4 << 20
-	maxChanges    = 50
-	maxChangeText = 200
-	maxWhyText    = 1000
+	maxRawBytes        = 4 << 20
+	maxChanges         = 50
+	maxChangeTextBytes = 200
+	maxWhyTextBytes    = 1000
 )
 
-// Entry is one accepted version with its place in the history.
+// Entry is one accepted version of the configuration and its record in the
+// history.
 type Entry struct {
-	// Number rises by one with each accepted change.
+	// Number increases by one with each accepted change.
 	Number uint64 `json:"number"`
-	// Token tells two writers of the same number apart.
+	// Token distinguishes two writers that claim the same number.
 	Token string `json:"token"`
-	// Who, Why and When are the operator's.
+	// Who and Why are given by the operator; When is the time of the change.
 	Who  string    `json:"who"`
 	Why  string    `json:"why"`
 	When time.Time `json:"when"`
-	// Changes are the differences from the version before, at most 50.
+	// Changes are the differences from the previous version, at most 50.
 	Changes []config.Change `json:"changes,omitempty"`
-	// Omitted is how many more changes there were.
+	// Omitted is the number of changes beyond that limit.
 	Omitted int `json:"omitted,omitempty"`
-	// Exceptions are the exceptions in force with their written reasons.
+	// Exceptions are the configured exceptions with their reasons.
 	Exceptions []string `json:"exceptions,omitempty"`
-	// Packed is the configuration as the operator wrote it, compressed; the
-	// history leaves it out.
+	// Packed is the gzip-compressed configuration as the operator wrote it;
+	// history items omit it.
 	Packed []byte `json:"packed,omitempty"`
 }
 
@@ -46,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", e.Number, err)
 	}
-	raw, err := io.ReadAll(io.LimitReader(reader, maxRaw))
+	raw, err := io.ReadAll(io.LimitReader(reader, maxRawBytes))
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", e.Number, err)
 	}
@@ -61,21 +62,21 @@
 	return packed.Bytes()
 }
 
-// describe fills in what the history shows.
+// describe sets the fields that the history shows.
 func (e *Entry) describe(before, after *config.Config) {
 	changes := config.Diff(before, after)
 	e.Omitted = max(0, len(changes)-maxChanges)
 	for _, change := range changes[:min(len(changes), maxChanges)] {
-		change.Before = shorten(change.Before, maxChangeText)
-		change.After = shorten(change.After, maxChangeText)
+		change.Before = truncate(change.Before, maxChangeTextBytes)
+		change.After = truncate(change.After, maxChangeTextBytes)
 		e.Changes = append(e.Changes, change)
 	}
 	for _, exception := range after.Exceptions[:min(len(after.Exceptions), maxChanges)] {
-		e.Exceptions = append(e.Exceptions, matchText(exception.Match)+": "+shorten(exception.Reason, maxChangeText))
+		e.Exceptions = append(e.Exceptions, matchText(exception.Match)+": "+truncate(exception.Reason, maxChangeTextBytes))
 	}
 }
 
-func shorten(text string, limit int) string {
+func truncate(text string, limit int) string {
 	if len(text) <= limit {
 		return text
 	}
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -20,50 +20,51 @@
 
 var errDown = errors.New("down")
 
-// table is the platform's table with faults.
+// table is the platform's table with injected faults.
 type table struct {
 	mu    sync.Mutex
 	items map[zinniamast.Key]zinniamast.Item
-	// old answers reads while it is set.
-	old map[zinniamast.Key]zinniamast.Item
-	// cut holds nodes that cannot reach it.
-	cut   map[string]bool
-	delay time.Duration
-	// loseAnswers lets writes take effect and then fail.
-	loseAnswers int
-	// afterWrite runs after a write that took effect.
+	// stale, if set, is returned to reads instead of items.
+	stale map[zinniamast.Key]zinniamast.Item
+	// unreachableFrom holds the nodes that cannot reach the table; "all" means
+	// every node.
+	unreachableFrom map[string]bool
+	delay           time.Duration
+	// lostReplies is the number of writes that take effect but return an error.
+	lostReplies int
+	// afterWrite runs after each write that takes effect.
 	afterWrite func()
 }
 
-// view is one node's access to the table.
-type view struct {
+// tableClient is one node's access to the table.
+type tableClient struct {
 	*table
 	node string
 }
 
-func (v view) reach(ctx context.Context) error {
-	v.mu.Lock()
-	delay, cut := v.delay, v.cut[v.node] || v.cut["all"]
-	v.mu.Unlock()
+func (c tableClient) reach(ctx context.Context) error {
+	c.mu.Lock()
+	delay, isUnreachable := c.delay, c.unreachableFrom[c.node] || c.unreachableFrom["all"]
+	c.mu.Unlock()
 	time.Sleep(delay)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if cut {
+	if isUnreachable {
 		return errDown
 	}
 	return nil
 }
 
-func (v view) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
-	if err := v.reach(ctx); err != nil {
+func (c tableClient) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
+	if err := c.reach(ctx); err != nil {
 		return zinniamast.Item{}, err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	items := v.items
-	if v.old != nil {
-		items = v.old
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	items := c.items
+	if c.stale != nil {
+		items = c.stale
 	}
 	item, ok := items[key]
 	if !ok {
@@ -72,31 +73,31 @@
 	return item, nil
 }
 
-func (v view) Query(ctx context.Context, partition, after string, limit int) ([]zinniamast.Item, error) {
-	if err := v.reach(ctx); err != nil {
+func (c tableClient) Query(ctx context.Context, partition, after string, limit int) ([]zinniamast.Item, error) {
+	if err := c.reach(ctx); err != nil {
 		return nil, err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var found []zinniamast.Item
 	for number := range uint64(100) {
 		sort := fmt.Sprintf("%020d", number)
-		if item, ok := v.items[zinniamast.Key{Partition: partition, Sort: sort}]; ok && sort > after && len(found) < limit {
+		if item, ok := c.items[zinniamast.Key{Partition: partition, Sort: sort}]; ok && sort > after && len(found) < limit {
 			found = append(found, item)
 		}
 	}
 	return found, nil
 }
 
-func (v view) Write(ctx context.Context, writes []zinniamast.Write) error {
-	if err := v.reach(ctx); err != nil {
+func (c tableClient) Write(ctx context.Context, writes []zinniamast.Write) error {
+	if err := c.reach(ctx); err != nil {
 		return err
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var conflict zinniamast.ConflictError
 	for i, write := range writes {
-		if v.items[write.Item.Key].Revision != write.Expect {
+		if c.items[write.Item.Key].Revision != write.Expect {
 			conflict.Failed = append(conflict.Failed, i)
 		}
 	}
@@ -105,19 +106,20 @@
 	}
 	for _, write := range writes {
 		write.Item.Revision = write.Expect + 1
-		v.items[write.Item.Key] = write.Item
+		c.items[write.Item.Key] = write.Item
 	}
-	if v.afterWrite != nil {
-		v.afterWrite()
+	if c.afterWrite != nil {
+		c.afterWrite()
 	}
-	if v.loseAnswers > 0 {
-		v.loseAnswers--
+	if c.lostReplies > 0 {
+		c.lostReplies--
 		return errDown
 	}
 	return nil
 }
 
-// fleet is a set of nodes in one process; links and the table can fail.
+// fleet is a set of nodes in one process, with injected faults of the network
+// and the table.
 type fleet struct {
 	t     *testing.T
 	table *table
@@ -135,16 +137,16 @@
 	board      *blackboard.Board
 	members    *membership.Membership
 	stop       func()
-	// numbers are the versions in force, in the order seen.
-	numbers []uint64
+	// versionsSeen are the versions in force, in the order observed.
+	versionsSeen []uint64
 }
 
 func newFleet(t *testing.T, domains, perDomain int) *fleet {
 	f := &fleet{
 		t: t,
 		table: &table{
-			items: map[zinniamast.Key]zinniamast.Item{},
-			cut:   map[string]bool{},
+			items:           map[zinniamast.Key]zinniamast.Item{},
+			unreachableFrom: map[string]bool{},
 		},
 		nodes: map[string]*node{},
 		cut:   map[[2]string]bool{},
@@ -172,7 +174,7 @@
 		Weight:        1,
 		Seeds:         []string{"a0", "b0"},
 		Members:       n.board.Members,
-		Transport:     link{fleet: f, from: id},
+		Transport:     transport{fleet: f, from: id},
 		Logger:        logger,
 		ConfigVersion: func() uint64 { return n.Number() },
 		OnNewerConfig: func(address string, number uint64) { n.Newer(address, number) },
@@ -182,8 +184,8 @@
 		Node:          id,
 		FailureDomain: domain,
 		Board:         n.board,
-		Table:         view{table: f.table, node: id},
-		Transport:     link{fleet: f, from: id},
+		Table:         tableClient{table: f.table, node: id},
+		Transport:     transport{fleet: f, from: id},
 		Joined:        n.members.Joined,
 		Logger:        logger,
 	})
@@ -192,7 +194,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { n.members.Run(ctx) })
 	running.Go(func() { n.Run(ctx) })
-	running.Go(func() { n.watch(ctx) })
+	running.Go(func() { n.recordVersions(ctx) })
 	stopped := sync.Once{}
 	n.stop = func() {
 		stopped.Do(func() {
@@ -212,19 +214,20 @@
 	return n
 }
 
-// watch fails the test if the version in force ever goes back.
-func (n *node) watch(ctx context.Context) {
+// recordVersions records each change of the version in force;
+// checkVersionsIncrease checks the order.
+func (n *node) recordVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		number := n.Number()
-		if len(n.numbers) == 0 || number != n.numbers[len(n.numbers)-1] {
-			n.numbers = append(n.numbers, number)
+		if len(n.versionsSeen) == 0 || number != n.versionsSeen[len(n.versionsSeen)-1] {
+			n.versionsSeen = append(n.versionsSeen, number)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// split cuts what goes from one set of nodes to another.
-func (f *fleet) split(from, to []string) {
+// cutOneWay drops messages from one set of nodes to another.
+func (f *fleet) cutOneWay(from, to []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range from {
@@ -234,15 +237,15 @@
 	}
 }
 
-// set changes the table's faults under its lock.
-func (t *table) set(change func()) {
+// update changes the injected faults while holding the lock.
+func (t *table) update(change func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change()
 }
 
-// separate cuts a domain off from the others, or joins it again.
-func (f *fleet) separate(domain string, cut bool) {
+// setIsolated isolates a failure domain from the others, or reconnects it.
+func (f *fleet) setIsolated(domain string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for a, first := range f.nodes {
@@ -254,7 +257,7 @@
 	}
 }
 
-func (f *fleet) all(number uint64, except string) bool {
+func (f *fleet) allInForce(number uint64, except string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -265,17 +268,17 @@
 	return true
 }
 
-// link is one node's calls to the others.
-type link struct {
+// transport carries the calls of one node to the others.
+type transport struct {
 	fleet *fleet
 	from  string
 }
 
-// reach waits a millisecond and a half and finds the other end.
-func (l link) reach(ctx context.Context, to string) (*node, error) {
-	l.fleet.mu.Lock()
-	cut, n := l.fleet.cut[[2]string{l.from, to}], l.fleet.nodes[to]
-	l.fleet.mu.Unlock()
+// reach waits 1.5 ms and returns the destination node.
+func (t transport) reach(ctx context.Context, to string) (*node, error) {
+	t.fleet.mu.Lock()
+	cut, n := t.fleet.cut[[2]string{t.from, to}], t.fleet.nodes[to]
+	t.fleet.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -288,19 +291,19 @@
 }
 
 // Exchange implements membership.Transport.
-func (l link) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
-	n, err := l.reach(ctx, address)
+func (t transport) Exchange(ctx context.Context, address string, message *membership.Exchange) (*membership.Exchange, error) {
+	n, err := t.reach(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	answer := n.members.Receive(message)
-	_, err = link{fleet: l.fleet, from: address}.reach(ctx, l.from)
+	_, err = transport{fleet: t.fleet, from: address}.reach(ctx, t.from)
 	return answer, err
 }
 
 // Probe implements membership.Transport.
-func (l link) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
-	n, err := l.reach(ctx, address)
+func (t transport) Probe(ctx context.Context, address string, probe membership.Probe) (membership.ProbeResult, error) {
+	n, err := t.reach(ctx, address)
 	if err != nil {
 		return membership.ProbeResult{}, err
 	}
@@ -308,8 +311,8 @@
 }
 
 // Call implements rollout.Transport.
-func (l link) Call(ctx context.Context, address, method string, args, reply any) error {
-	n, err := l.reach(ctx, address)
+func (t transport) Call(ctx context.Context, address, method string, args, reply any) error {
+	n, err := t.reach(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -317,14 +320,14 @@
 	case rollout.ServiceName + ".Fetch":
 		err = n.Receiver().Fetch(args.(rollout.Fetch), reply.(*rollout.FetchReply))
 	case rollout.ServiceName + ".Spread":
-		l.fleet.mu.Lock()
-		l.fleet.spreads = append(l.fleet.spreads, args.(rollout.Spread))
-		l.fleet.mu.Unlock()
+		t.fleet.mu.Lock()
+		t.fleet.spreads = append(t.fleet.spreads, args.(rollout.Spread))
+		t.fleet.mu.Unlock()
 		err = n.Receiver().Spread(args.(rollout.Spread), reply.(*rollout.SpreadReply))
 	}
 	if err != nil {
 		return err
 	}
-	_, err = link{fleet: l.fleet, from: address}.reach(ctx, l.from)
+	_, err = transport{fleet: t.fleet, from: address}.reach(ctx, t.from)
 	return err
 }
--- a/rollout/put.go
+++ b/rollout/put.go
@@ -10,64 +10,75 @@
 	"zinniamast/config"
 )
 
-// confirmWait is how long a put waits for every node's confirmation. Delivery
-// goes on afterwards.
-const confirmWait = 6 * time.Second
+// confirmTimeout is how long a put waits for confirmations from all nodes.
+// Nodes that have not confirmed by then still receive the version through
+// heartbeats and table reads.
+const confirmTimeout = 6 * time.Second
 
-// Put is an operator's change.
+// Put is a configuration change requested by an operator.
 type Put struct {
-	// Raw is the configuration as written.
+	// Raw is the configuration as the operator wrote it.
 	Raw []byte
-	// Base is the version that the change was made from; zero for the first.
+	// Base is the number of the version that the change was made from; zero for
+	// the first version.
 	Base uint64
-	// Who and Why go into the history.
+	// Who and Why are recorded in the history.
 	Who string
 	Why string
-	// Force accepts a change in spite of its warnings.
+	// Force accepts the change despite warnings.
 	Force bool
 }
 
-// Outcome says what became of a change.
+// Outcome is the result of a put.
 type Outcome string
 
 // The outcomes of a put.
 const (
-	// InForce means accepted, and confirmed by each node that is known.
+	// InForce means that the change was accepted and every known node has
+	// confirmed it.
 	InForce Outcome = "in_force"
-	// Pending means accepted, but not every node has confirmed yet; delivery goes on.
+	// Pending means that the change was accepted but some nodes have not
+	// confirmed it yet; delivery continues.
 	Pending Outcome = "pending"
-	// Unchanged means that the configuration is in force already.
+	// Unchanged means that the same configuration is already in force.
 	Unchanged Outcome = "unchanged"
-	// Invalid means that the check found mistakes; nothing was written.
+	// Invalid means that validation failed; nothing was written.
 	Invalid Outcome = "invalid"
-	// Warned means that the change needs Force; nothing was written.
+	// Warned means that the change has warnings and needs Force; nothing was
+	// written.
 	Warned Outcome = "warned"
-	// Conflicted means that it was made from another version than the newest; nothing was written.
+	// Conflicted means that the base of the change is not the newest version;
+	// nothing was written.
 	Conflicted Outcome = "conflict"
-	// Unavailable means that the table does not answer; nothing was written.
+	// Unavailable means that the table could not be reached; nothing was
+	// written.
 	Unavailable Outcome = "unavailable"
-	// Uncertain means that the table's answer was lost; the change may be accepted.
+	// Uncertain means that the table's reply was lost; the change may have been
+	// accepted.
 	Uncertain Outcome = "uncertain"
 )
 
-// PutReply is the outcome with what the operator needs to go on.
+// PutReply is the outcome of a put, with the details the operator needs for the
+// next step.
 type PutReply struct {
 	Outcome Outcome `json:"outcome"`
 	// Number is the accepted version, or the newest one on a conflict.
 	Number uint64 `json:"number"`
-	// Messages are mistakes or warnings.
+	// Messages are validation errors or warnings.
 	Messages []string `json:"messages,omitempty"`
-	// Newest tells who accepted the version that conflicts.
+	// Newest is the entry of the conflicting version, without its
+	// configuration.
 	Newest *Entry `json:"newest,omitempty"`
 	// Changes are the differences between the base and the newest version on a conflict.
 	Changes []config.Change `json:"changes,omitempty"`
-	// Accepted is when the table had taken the change.
+	// Accepted is when the table accepted the change.
 	Accepted time.Time `json:"accepted"`
 	// Nodes are the confirmations; After counts from the acceptance.
 	Nodes []NodeVersion `json:"nodes,omitempty"`
 }
 
-// Put checks a change, has it accepted and waits until it is in force.
+// Put validates a change, writes it to the table and waits for the nodes to
+// confirm it.
 func (r *Rollout) Put(ctx context.Context, put Put) PutReply {
 	parsed, err := config.Parse(put.Raw)
 	if err != nil {
@@ -83,14 +94,14 @@
 			Messages: []string{err.Error()},
 		}
 	}
-	if reply, done := r.weigh(ctx, put, parsed, newest); done {
+	if reply, done := r.preflight(ctx, put, parsed, newest); done {
 		return reply
 	}
 	entry := &Entry{
 		Number: from.Number + 1,
 		Token:  rand.Text(),
-		Who:    shorten(put.Who, maxChangeText),
-		Why:    shorten(put.Why, maxWhyText),
+		Who:    truncate(put.Who, maxChangeTextBytes),
+		Why:    truncate(put.Why, maxWhyTextBytes),
 		When:   time.Now().UTC(),
 		Packed: pack(put.Raw),
 	}
@@ -100,13 +111,14 @@
 	}
 	accepted := time.Now()
 	_ = r.apply(entry, "put")
-	r.confirm(accepted)
+	r.markConfirmed(accepted)
 	return r.deliver(ctx, entry, accepted)
 }
 
-// newest returns the newest accepted version and where the table stands. A
-// table that has gone back does not take the fleet back: the next number is
-// above the one in force here.
+// newest returns the newest accepted version and the state of the table's head.
+// If the table has been restored to an older state, the returned number is
+// still at least the one in force on this node, so that the next version is
+// numbered above it.
 func (r *Rollout) newest(ctx context.Context) (*Entry, head, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -120,14 +132,14 @@
 	}
 	from.current = revision
 	from.Number = max(from.Number, r.Number())
-	if here := r.here(); here != nil && (stored == nil || here.Number > stored.Number) {
-		return here, from, nil
+	if local := r.localEntry(); local != nil && (stored == nil || local.Number > stored.Number) {
+		return local, from, nil
 	}
 	return stored, from, nil
 }
 
-// weigh finds what stops a change before anything is written.
-func (r *Rollout) weigh(ctx context.Context, put Put, parsed *config.Config, newest *Entry) (PutReply, bool) {
+// preflight returns a reply and true if the change must not be written.
+func (r *Rollout) preflight(ctx context.Context, put Put, parsed *config.Config, newest *Entry) (PutReply, bool) {
 	number := uint64(0)
 	if newest != nil {
 		number = newest.Number
@@ -152,7 +164,8 @@
 	return PutReply{}, false
 }
 
-// conflict shows what was changed since the operator's base.
+// conflict returns a reply that lists the changes made since the operator's
+// base version.
 func (r *Rollout) conflict(ctx context.Context, put Put, newest *Entry) PutReply {
 	reply := PutReply{
 		Outcome: Conflicted,
@@ -162,26 +175,27 @@
 		return reply
 	}
 	reply.Number = newest.Number
-	brief := *newest
-	brief.Packed = nil
-	reply.Newest = &brief
+	summary := *newest
+	summary.Packed = nil
+	reply.Newest = &summary
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	base, err := r.store.version(ctx, put.Base)
 	if err != nil {
 		reply.Messages = []string{"the base is not in the table any more; the differences are those to your change"}
-		mine, _ := config.Parse(put.Raw)
-		reply.Changes = config.Diff(mine, parse(newest))
+		proposed, _ := config.Parse(put.Raw)
+		reply.Changes = config.Diff(proposed, parse(newest))
 		return reply
 	}
 	reply.Changes = config.Diff(parse(base), parse(newest))
 	return reply
 }
 
-// accept writes the entry; an answer that is lost is resolved by reading the
-// head, where the token tells our write from another's.
+// accept writes the entry to the table and retries until the context ends. If a
+// reply was lost, reading the head back resolves whether the write took effect:
+// the token distinguishes it from a write by another node.
 func (r *Rollout) accept(ctx context.Context, put Put, entry *Entry, from head) (PutReply, bool) {
-	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	uncertain := false
 	for {
@@ -190,17 +204,18 @@
 			return PutReply{}, false
 		}
 		if errors.Is(err, zinniamast.ErrConflict) {
-			return r.lost(ctx, put, entry, from, err)
+			return r.resolveConflict(ctx, put, entry, from, err)
 		}
 		uncertain = uncertain || !errors.Is(err, zinniamast.ErrThrottled)
-		// The same write may be sent again: its condition lets it happen once.
-		if !wait(ctx) {
-			return unwritten(entry, uncertain, err), true
+		// Repeating the same write is safe: its condition lets it take effect
+		// only once.
+		if !waitRetry(ctx) {
+			return acceptFailure(entry, uncertain, err), true
 		}
 	}
 }
 
-func unwritten(entry *Entry, uncertain bool, err error) PutReply {
+func acceptFailure(entry *Entry, uncertain bool, err error) PutReply {
 	reply := PutReply{
 		Outcome:  Unavailable,
 		Messages: []string{err.Error()},
@@ -212,24 +227,26 @@
 	return reply
 }
 
-// lost tells a lost race from our own write whose first answer was lost.
-func (r *Rollout) lost(ctx context.Context, put Put, entry *Entry, from head, cause error) (PutReply, bool) {
+// resolveConflict distinguishes a conflict with another writer from this node's
+// own write whose reply was lost.
+func (r *Rollout) resolveConflict(ctx context.Context, put Put, entry *Entry, from head, cause error) (PutReply, bool) {
 	for {
-		newest, now, err := r.newest(ctx)
+		newest, current, err := r.newest(ctx)
 		if err != nil {
-			if !wait(ctx) {
-				return unwritten(entry, true, err), true
+			if !waitRetry(ctx) {
+				return acceptFailure(entry, true, err), true
 			}
 			continue
 		}
-		if now.Token == entry.Token {
+		if current.Token == entry.Token {
 			return PutReply{}, false
 		}
 		if stored, err := r.store.version(ctx, entry.Number); err == nil && stored.Token == entry.Token {
 			return PutReply{}, false
 		}
-		if now.revision == from.revision && now.current == from.current && pastHead(cause) {
-			// The number is taken by a version that the head has forgotten.
+		if current.revision == from.revision && current.current == from.current && isHeadUnchanged(cause) {
+			// A version that the head no longer records already uses the
+			// number.
 			entry.Number++
 			return r.accept(ctx, put, entry, from)
 		}
@@ -237,8 +254,9 @@
 	}
 }
 
-// pastHead says whether only writes after the head's failed.
-func pastHead(err error) bool {
+// isHeadUnchanged reports whether only the writes that do not depend on the
+// head failed.
+func isHeadUnchanged(err error) bool {
 	var conflict *zinniamast.ConflictError
 	if !errors.As(err, &conflict) || len(conflict.Failed) == 0 {
 		return false
@@ -251,9 +269,9 @@
 	return true
 }
 
-// deliver pushes an accepted entry and says where it is in force.
+// deliver pushes an accepted entry and reports which nodes have it in force.
 func (r *Rollout) deliver(ctx context.Context, entry *Entry, accepted time.Time) PutReply {
-	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	reply := PutReply{
 		Outcome:  InForce,
@@ -261,13 +279,14 @@
 		Accepted: accepted,
 		Nodes:    r.spread(ctx, entry),
 	}
-	if !allHave(reply.Nodes, entry.Number) {
+	if !allHaveVersion(reply.Nodes, entry.Number) {
 		reply.Outcome = Pending
 	}
 	return reply
 }
 
-// fleet returns what a change is weighed against.
+// fleet returns the upstreams and failure domains that warnings about a change
+// are based on.
 func (r *Rollout) fleet() config.Fleet {
 	fleet := config.Fleet{
 		Upstreams: map[string]int{},
@@ -287,7 +306,8 @@
 	return fleet
 }
 
-// parse returns an entry's configuration, nil if there is none or it cannot be read.
+// parse returns the parsed configuration of an entry, or nil if there is no
+// entry or it cannot be parsed.
 func parse(entry *Entry) *config.Config {
 	if entry == nil {
 		return nil
--- a/rollout/read.go
+++ b/rollout/read.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// statusWait bounds how long a status waits for nodes.
-const statusWait = 3 * time.Second
+// statusTimeout bounds how long Versions waits for the nodes to answer.
+const statusTimeout = 3 * time.Second
 
-// Versions asks every living node what it has in force.
+// Versions queries every live node for the version it has in force.
 func (r *Rollout) Versions(ctx context.Context) []NodeVersion {
-	ctx, cancel := context.WithTimeout(ctx, statusWait)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return r.spread(ctx, nil)
 }
 
-// here returns the version in force at this node, nil if there is none. One
-// that was put on the board at the start, as a demo does, has no history.
-func (r *Rollout) here() *Entry {
+// localEntry returns the version in force on this node, or nil if there is
+// none. A version that was set on the board directly at startup, as the demo
+// does, has no history.
+func (r *Rollout) localEntry() *Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	version := r.config.Board.Configuration.Current()
@@ -31,27 +32,29 @@
 	}
 }
 
-// Get returns a version whole, the newest known for number zero; nil if there is none.
+// Get returns a version with its configuration. Number zero selects the newest
+// known version; the entry is nil if there is none.
 func (r *Rollout) Get(ctx context.Context, number uint64) (*Entry, error) {
 	if number != 0 {
-		if here := r.here(); here != nil && here.Number == number {
-			return here, nil
+		if local := r.localEntry(); local != nil && local.Number == number {
+			return local, nil
 		}
 		return r.store.version(ctx, number)
 	}
 	newest, _, err := r.newest(ctx)
 	if err != nil {
-		// With the table away the version in force here is the best answer.
-		if here := r.here(); here != nil {
-			return here, nil
+		// While the table is unavailable, the version in force on this node is
+		// the best answer.
+		if local := r.localEntry(); local != nil {
+			return local, nil
 		}
 		return nil, err
 	}
 	return newest, nil
 }
 
-// History returns at most limit entries, newest last, up to a number; zero
-// means the newest.
+// History returns at most limit entries up to the given number, newest last.
+// Number zero means up to the newest version.
 func (r *Rollout) History(ctx context.Context, upTo uint64, limit int) ([]Entry, error) {
 	if upTo == 0 {
 		newest, err := r.store.head(ctx)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -15,28 +15,29 @@
 	"zinniamast/config"
 )
 
-// Timing of reads and repairs.
+// Intervals and timeouts of table reads and of fetches from peers.
 const (
-	pollInterval  = 5 * time.Second
-	startInterval = 250 * time.Millisecond
-	// startWait is how long a starting node holds back what the table says
-	// until it has heard peers: the table's answer may be old.
-	startWait    = 3 * time.Second
-	readTimeout  = 3 * time.Second
-	fetchTimeout = 3 * time.Second
-	// staleAfter is how long a node may go without confirmation that its
-	// version is the newest before it says so.
+	pollInterval      = 5 * time.Second
+	startPollInterval = 250 * time.Millisecond
+	// startPeerWait is how long a starting node defers reading the table while
+	// it has had no contact with peers: a table restored from a backup may
+	// return an old version.
+	startPeerWait = 3 * time.Second
+	readTimeout   = 3 * time.Second
+	fetchTimeout  = 3 * time.Second
+	// staleAfter is how long after the last confirmation from the table a node
+	// reports that its version may not be the newest.
 	staleAfter = 30 * time.Second
 )
 
-// Transport calls peers; *peer.Pool is one.
+// Transport calls peers; *peer.Pool implements it.
 type Transport interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Config configures a node's part in rollouts.
+// Config configures a Rollout.
 type Config struct {
-	// Node and FailureDomain are this node's.
+	// Node and FailureDomain identify this node.
 	Node          string
 	FailureDomain string
 	// Board holds the version in force, the members and the upstreams.
@@ -45,35 +46,38 @@
 	Table zinniamast.Table
 	// Transport calls peers.
 	Transport Transport
-	// Joined says whether peers have been heard; nil means always.
+	// Joined reports whether this node has received messages from peers; nil
+	// means always.
 	Joined func() bool
-	// Logger hears of versions; nil means slog's default.
+	// Logger receives version changes and failures; nil means slog.Default.
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// Rollout is one node's part in bringing configuration into force.
+// Rollout distributes and applies configuration versions on one node.
 type Rollout struct {
 	config  Config
 	store   store
 	applied *prometheus.CounterVec
 
 	mu sync.Mutex
-	// entry is the version in force here; nil before the first.
+	// entry is the version in force on this node; nil before the first.
 	entry *Entry
-	// before is the version that was in force before it.
-	before *Entry
-	// confirmed is when the table last agreed that nothing newer is accepted.
-	confirmed time.Time
-	// failure is why the newest version could not be put in force here.
-	failure  string
-	fetching bool
-	behind   uint64
-	started  time.Time
+	// previous is the version that was in force before entry.
+	previous *Entry
+	// confirmedAt is when the table last confirmed that no newer version was
+	// accepted.
+	confirmedAt time.Time
+	// failure is the error that kept the newest version from being applied on
+	// this node.
+	failure        string
+	isFetching     bool
+	reportedBehind uint64
+	started        time.Time
 }
 
-// New returns a node's rollout; Run starts it.
+// New returns a Rollout for one node; Run starts it.
 func New(config Config) (*Rollout, error) {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
@@ -100,7 +104,7 @@
 	factory.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "zinniamast_config_unconfirmed_seconds",
 		Help: "Time since the table confirmed that no newer version is accepted.",
-	}, func() float64 { return r.unconfirmed().Seconds() })
+	}, func() float64 { return r.sinceConfirmed().Seconds() })
 	return r, nil
 }
 
@@ -112,47 +116,49 @@
 	return 0
 }
 
-// Current says whether this node has confirmed within 30 s that no newer
-// version is accepted. A node that has not goes on serving with what it has;
-// what acts on the fleet's behalf (orders to engines, buying) should wait.
-func (r *Rollout) Current() bool { return r.unconfirmed() < staleAfter }
+// Current reports whether the table has confirmed within the last 30 s that no
+// newer version is accepted. A node without that confirmation continues to
+// serve with its version, but work on behalf of the whole fleet (orders to
+// engines, buying instances) should wait.
+func (r *Rollout) Current() bool { return r.sinceConfirmed() < staleAfter }
 
-func (r *Rollout) unconfirmed() time.Duration {
+func (r *Rollout) sinceConfirmed() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.confirmed.IsZero() {
+	if r.confirmedAt.IsZero() {
 		return time.Since(r.started)
 	}
-	return time.Since(r.confirmed)
+	return time.Since(r.confirmedAt)
 }
 
-// Run learns the version in force and keeps it current until the context ends.
+// Run loads the version in force and keeps it up to date until the context
+// ends.
 func (r *Rollout) Run(ctx context.Context) {
-	stale := false
+	wasStale := false
 	for ctx.Err() == nil {
 		r.poll(ctx)
-		if now := !r.Current(); now != stale {
-			stale = now
-			r.config.Logger.Warn("config_currency_changed", "current", !now, "version", r.Number())
+		if isStale := !r.Current(); isStale != wasStale {
+			wasStale = isStale
+			r.config.Logger.Warn("config_currency_changed", "current", !isStale, "version", r.Number())
 		}
 		interval := pollInterval*3/4 + rand.N(pollInterval/2)
 		if r.Number() == 0 {
-			interval = startInterval
+			interval = startPollInterval
 		}
-		pause(ctx, interval)
+		sleep(ctx, interval)
 	}
 }
 
-// poll compares with the table.
+// poll compares the version in force with the table and applies a newer one.
 func (r *Rollout) poll(ctx context.Context) {
-	// What the table says may be old after it was restored. A starting node
-	// knows nothing newer itself, so it hears its peers first.
-	if r.Number() == 0 && !r.config.Joined() && time.Since(r.started) < startWait {
+	// A table restored from a backup may return an old version. A starting node
+	// has no newer version to compare with, so it waits for its peers first.
+	if r.Number() == 0 && !r.config.Joined() && time.Since(r.started) < startPeerWait {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	newest, err := r.store.head(ctx)
 	if err != nil {
 		r.config.Logger.Debug("config_read_failed", "error", err)
@@ -160,7 +166,7 @@
 	}
 	number := r.Number()
 	if newest.Number < number {
-		r.noteBehind(newest.Number, number)
+		r.reportTableBehind(newest.Number, number)
 		return
 	}
 	if newest.Number > number {
@@ -173,44 +179,45 @@
 			return
 		}
 	}
-	r.confirm(began)
+	r.markConfirmed(start)
 }
 
-func (r *Rollout) confirm(at time.Time) {
+func (r *Rollout) markConfirmed(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.behind = 0
-	if at.After(r.confirmed) {
-		r.confirmed = at
+	r.reportedBehind = 0
+	if at.After(r.confirmedAt) {
+		r.confirmedAt = at
 	}
 }
 
-// noteBehind tells once that the table has forgotten an accepted version. The
-// node stays where it is; the next put goes on from the higher number.
-func (r *Rollout) noteBehind(table, here uint64) {
+// reportTableBehind logs once that the table has lost an accepted version. The
+// node keeps its version; the next put continues from the higher number.
+func (r *Rollout) reportTableBehind(tableNumber, localNumber uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.behind != here {
-		r.behind = here
-		r.config.Logger.Error("config_table_behind", "table", table, "in_force", here)
+	if r.reportedBehind != localNumber {
+		r.reportedBehind = localNumber
+		r.config.Logger.Error("config_table_behind", "table", tableNumber, "in_force", localNumber)
 	}
 }
 
-// apply puts an entry in force if it is newer than what is; older ones are no error.
+// apply puts an entry in force if it is newer than the current version; an
+// older entry is ignored without an error.
 func (r *Rollout) apply(entry *Entry, source string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.entry != nil && entry.Number <= r.entry.Number {
-		r.noteFork(entry)
+		r.reportFork(entry)
 		return nil
 	}
 	raw, err := entry.Raw()
 	if err != nil {
-		return r.failed(entry, err)
+		return r.recordFailure(entry, err)
 	}
 	parsed, err := config.Parse(raw)
 	if err != nil {
-		return r.failed(entry, err)
+		return r.recordFailure(entry, err)
 	}
 	version := &blackboard.Version{
 		Number: entry.Number,
@@ -221,37 +228,40 @@
 	if !r.config.Board.Configuration.Apply(version) {
 		return nil
 	}
-	r.before, r.entry = r.entry, entry
+	r.previous, r.entry = r.entry, entry
 	r.failure = ""
 	r.applied.WithLabelValues(source).Inc()
 	r.config.Logger.Info("config_in_force", "version", entry.Number, "source", source, "who", entry.Who, "why", entry.Why)
 	return nil
 }
 
-// noteFork tells of two versions with one number, which only a table that
-// lost accepted writes can cause; the next put, above both, ends it.
-func (r *Rollout) noteFork(entry *Entry) {
+// reportFork logs two versions with the same number, which only a table that
+// lost accepted writes can cause. The next put is numbered above both and
+// resolves the fork.
+func (r *Rollout) reportFork(entry *Entry) {
 	if entry.Number == r.entry.Number && entry.Token != r.entry.Token {
 		r.config.Logger.Error("config_fork", "version", entry.Number, "in_force", r.entry.When, "other", entry.When)
 	}
 }
 
-// failed notes a version that this program cannot read, as when a newer
-// program wrote it; the node keeps what it has and shows why.
-func (r *Rollout) failed(entry *Entry, err error) error {
+// recordFailure records a version that this program cannot parse, for example
+// because a newer release wrote it. The node keeps its version and reports the
+// error.
+func (r *Rollout) recordFailure(entry *Entry, err error) error {
 	r.failure = err.Error()
 	r.config.Logger.Error("config_not_applied", "version", entry.Number, "error", err)
 	return err
 }
 
-// Newer hears that a peer has a newer version, and fetches it. It does not block.
+// Newer handles a peer's report of a newer version and starts fetching it. It
+// does not block.
 func (r *Rollout) Newer(address string, number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.fetching || number <= r.Number() {
+	if r.isFetching || number <= r.Number() {
 		return
 	}
-	r.fetching = true
+	r.isFetching = true
 	go r.fetch(address)
 }
 
@@ -263,7 +273,7 @@
 		After: r.Number(),
 	}, &reply)
 	r.mu.Lock()
-	r.fetching = false
+	r.isFetching = false
 	r.mu.Unlock()
 	if err != nil {
 		r.config.Logger.Warn("config_fetch_failed", "address", address, "error", err)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -15,7 +15,7 @@
 	"zinniamast/rollout"
 )
 
-// document returns a valid configuration whose deadline tells versions apart.
+// document returns a valid configuration whose deadline identifies the version.
 func document(seconds int) []byte {
 	return fmt.Appendf(nil, `{
 		"defaults": {"deadline": "%ds"},
@@ -34,7 +34,7 @@
 	}
 }
 
-func until(limit time.Duration, condition func() bool) time.Duration {
+func waitFor(limit time.Duration, condition func() bool) time.Duration {
 	start := time.Now()
 	for time.Since(start) < limit {
 		if condition() {
@@ -45,63 +45,67 @@
 	return -1
 }
 
-// forwards checks that no node ever went back.
-func (f *fleet) forwards() {
+// checkVersionsIncrease stops all nodes and checks that none returned to an
+// older version.
+func (f *fleet) checkVersionsIncrease() {
 	f.mu.Lock()
 	nodes := maps.Clone(f.nodes)
 	f.mu.Unlock()
 	for _, n := range nodes {
 		n.stop()
-		for i := 1; i < len(n.numbers); i++ {
-			is.New(f.t).True(n.numbers[i] > n.numbers[i-1])
+		for i := 1; i < len(n.versionsSeen); i++ {
+			is.New(f.t).True(n.versionsSeen[i] > n.versionsSeen[i-1])
 		}
 	}
 }
 
-// An operator puts a change while parts of the fleet cannot reach each other
-// or the table. The reply must say truly where it is in force, what is cut off
-// must go on with what it has, and must have the change soon after it is
-// joined again; nobody ever goes back to an older version.
+// An operator puts a change while parts of the fleet cannot reach each other or
+// the table. The reply must report correctly which nodes have the change in
+// force. Nodes that are partitioned must keep their version and receive the
+// change soon after they are reconnected; no node may return to an older
+// version.
 func TestPartitionMatrix(t *testing.T) {
 	cases := []struct {
 		name   string
-		strike func(f *fleet)
+		inject func(f *fleet)
 		want   rollout.Outcome
-		// behind is the domain that may lack the change until the fault ends.
-		behind string
-		// stale says that the domain must have said that it may not be current.
+		// lagging is the failure domain that may lack the change until the
+		// fault ends.
+		lagging string
+		// stale reports that the domain must have reported that it may not be
+		// current.
 		stale bool
 	}{
 		{
 			name:   "no fault",
-			strike: func(*fleet) {},
+			inject: func(*fleet) {},
 			want:   rollout.InForce,
 		},
 		{
 			name:   "table slow",
-			strike: func(f *fleet) { f.table.set(func() { f.table.delay = time.Second }) },
+			inject: func(f *fleet) { f.table.update(func() { f.table.delay = time.Second }) },
 			want:   rollout.InForce,
 		},
 		{
 			name: "table down right after acceptance",
-			strike: func(f *fleet) {
-				f.table.set(func() { f.table.afterWrite = func() { f.table.cut["all"] = true } })
+			inject: func(f *fleet) {
+				f.table.update(func() { f.table.afterWrite = func() { f.table.unreachableFrom["all"] = true } })
 			},
 			want: rollout.InForce,
 		},
 		{
 			name: "domain cut off from the others",
-			strike: func(f *fleet) {
-				f.separate("domain-c", true)
+			inject: func(f *fleet) {
+				f.setIsolated("domain-c", true)
 			},
 			want: rollout.Pending,
 		},
 		{
 			name: "domain cut off from the table",
-			strike: func(f *fleet) {
-				f.table.set(func() {
+			inject: func(f *fleet) {
+				f.table.update(func() {
 					for _, id := range []string{"c0", "c1", "c2"} {
-						f.table.cut[id] = true
+						f.table.unreachableFrom[id] = true
 					}
 				})
 			},
@@ -109,30 +113,30 @@
 		},
 		{
 			name: "domain cut off from the others and the table",
-			strike: func(f *fleet) {
-				f.separate("domain-c", true)
-				f.table.set(func() {
+			inject: func(f *fleet) {
+				f.setIsolated("domain-c", true)
+				f.table.update(func() {
 					for _, id := range []string{"c0", "c1", "c2"} {
-						f.table.cut[id] = true
+						f.table.unreachableFrom[id] = true
 					}
 				})
 			},
-			want:   rollout.Pending,
-			behind: "domain-c",
-			stale:  true,
+			want:    rollout.Pending,
+			lagging: "domain-c",
+			stale:   true,
 		},
 		{
 			name: "one way from the domain cut",
-			strike: func(f *fleet) {
-				f.split([]string{"c0", "c1", "c2"}, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
+			inject: func(f *fleet) {
+				f.cutOneWay([]string{"c0", "c1", "c2"}, []string{"a0", "a1", "a2", "b0", "b1", "b2"})
 			},
 			want: rollout.Pending,
 		},
 		{
-			name:   "table down",
-			strike: func(f *fleet) { f.table.set(func() { f.table.cut["all"] = true }) },
-			want:   rollout.Unavailable,
-			behind: "all",
+			name:    "table down",
+			inject:  func(f *fleet) { f.table.update(func() { f.table.unreachableFrom["all"] = true }) },
+			want:    rollout.Unavailable,
+			lagging: "all",
 		},
 	}
 	for _, c := range cases {
@@ -140,17 +144,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				check := is.New(t)
 				f := newFleet(t, 3, 3)
-				operated := f.nodes["a1"]
-				check.Equal(operated.Put(t.Context(), change(0, 60)).Outcome, rollout.InForce)
-				c.strike(f)
-				reply := operated.Put(t.Context(), change(1, 61))
+				origin := f.nodes["a1"]
+				check.Equal(origin.Put(t.Context(), change(0, 60)).Outcome, rollout.InForce)
+				c.inject(f)
+				reply := origin.Put(t.Context(), change(1, 61))
 				check.Equal(reply.Outcome, c.want)
-				if c.behind != "all" {
-					took := until(20*time.Second, func() bool { return f.all(2, c.behind) })
-					t.Logf("in force where it can be %v after the put returned", took)
+				if c.lagging != "all" {
+					took := waitFor(20*time.Second, func() bool { return f.allInForce(2, c.lagging) })
+					t.Logf("in force on all reachable nodes %v after the put returned", took)
 					check.True(took >= 0)
 				}
-				// The reply's confirmations are true.
+				// Nodes that the reply lists as confirmed have the version in
+				// force.
 				for _, confirmed := range reply.Nodes {
 					if confirmed.Number == 2 {
 						check.True(f.nodes[confirmed.Node].Number() == 2)
@@ -160,28 +165,29 @@
 				check.Equal(!f.nodes["c1"].Current(), c.stale || c.want == rollout.Unavailable ||
 					strings.Contains(c.name, "table down") || c.name == "domain cut off from the table")
 				check.True(f.nodes["c1"].Number() >= 1)
-				f.separate("domain-c", false)
-				f.table.set(func() {
-					clear(f.table.cut)
+				f.setIsolated("domain-c", false)
+				f.table.update(func() {
+					clear(f.table.unreachableFrom)
 					f.table.delay = 0
 					f.table.afterWrite = nil
 				})
 				if c.want != rollout.Unavailable {
-					took := until(time.Minute, func() bool { return f.all(2, "") })
+					took := waitFor(time.Minute, func() bool { return f.allInForce(2, "") })
 					t.Logf("in force everywhere %v after the fault", took)
 					check.True(took >= 0)
 				}
 				time.Sleep(10 * time.Second)
 				check.True(f.nodes["c1"].Current())
-				f.forwards()
+				f.checkVersionsIncrease()
 			})
 		})
 	}
 }
 
-// Two operators start from the same version. One wins; the other must get the
-// difference, and no change may be lost without a word.
-func TestRacingOperators(t *testing.T) {
+// Two operators change the same version at once. One put must succeed; the
+// other must return a conflict with the differences, so that no change is lost
+// silently.
+func TestConcurrentPuts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFleet(t, 2, 2)
@@ -204,67 +210,69 @@
 		check.NoErr(err)
 		check.Equal(len(history), 2)
 		check.Equal(history[1].Changes[0].Before, `"1m0s"`)
-		f.forwards()
+		f.checkVersionsIncrease()
 	})
 }
 
-// The table takes the write but its answer is lost. The operator must learn
-// that the change is in force, not that it failed or conflicts with itself.
-func TestLostAnswerOfAcceptance(t *testing.T) {
+// The table accepts the write but its reply is lost. The operator must be
+// informed that the change is in force, not that it failed or conflicts with
+// itself.
+func TestLostTableReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFleet(t, 1, 3)
-		f.table.set(func() { f.table.loseAnswers = 1 })
+		f.table.update(func() { f.table.lostReplies = 1 })
 		reply := f.nodes["a1"].Put(t.Context(), change(0, 60))
 		check.Equal(reply.Outcome, rollout.InForce)
 		check.Equal(reply.Number, uint64(1))
-		// Lost, and the table stays away: nobody can know, and the reply says so.
-		f.table.set(func() {
-			f.table.loseAnswers = 1
-			f.table.afterWrite = func() { f.table.cut["all"] = true }
+		// If the table is unavailable afterwards, the result cannot be known
+		// and the reply must say so.
+		f.table.update(func() {
+			f.table.lostReplies = 1
+			f.table.afterWrite = func() { f.table.unreachableFrom["all"] = true }
 		})
 		reply = f.nodes["a1"].Put(t.Context(), change(1, 61))
 		check.Equal(reply.Outcome, rollout.Uncertain)
-		f.table.set(func() {
+		f.table.update(func() {
 			f.table.afterWrite = nil
-			clear(f.table.cut)
+			clear(f.table.unreachableFrom)
 		})
-		check.True(until(10*time.Second, func() bool { return f.all(2, "") }) >= 0)
-		f.forwards()
+		check.True(waitFor(10*time.Second, func() bool { return f.allInForce(2, "") }) >= 0)
+		f.checkVersionsIncrease()
 	})
 }
 
-// The table comes back from a backup with an old answer, and a node restarts
-// meanwhile. Neither the nodes that know better nor the new one may go back,
-// and the next change must get a number above the lost one.
-func TestTableComesBackOld(t *testing.T) {
+// The table is restored from an old backup while a node restarts. Neither the
+// nodes with newer versions nor the restarted one may return to an older
+// version, and the next change must be numbered above the lost one.
+func TestTableRestoredFromBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFleet(t, 2, 3)
 		check.Equal(f.nodes["a0"].Put(t.Context(), change(0, 60)).Outcome, rollout.InForce)
 		var backup map[zinniamast.Key]zinniamast.Item
-		f.table.set(func() { backup = maps.Clone(f.table.items) })
+		f.table.update(func() { backup = maps.Clone(f.table.items) })
 		check.Equal(f.nodes["a0"].Put(t.Context(), change(1, 61)).Outcome, rollout.InForce)
 		check.Equal(f.nodes["a0"].Put(t.Context(), change(2, 62)).Outcome, rollout.InForce)
-		f.table.set(func() { f.table.items = backup })
+		f.table.update(func() { f.table.items = backup })
 		f.nodes["b1"].stop()
 		time.Sleep(5 * time.Second)
-		again := f.start("b1", "domain-b")
-		check.True(until(10*time.Second, func() bool { return again.Number() == 3 }) >= 0)
+		restarted := f.start("b1", "domain-b")
+		check.True(waitFor(10*time.Second, func() bool { return restarted.Number() == 3 }) >= 0)
 		time.Sleep(30 * time.Second)
-		check.True(f.all(3, ""))
+		check.True(f.allInForce(3, ""))
 		check.Equal(f.nodes["b2"].Put(t.Context(), change(3, 63)).Outcome, rollout.InForce)
-		check.True(f.all(4, ""))
+		check.True(f.allInForce(4, ""))
 		time.Sleep(30 * time.Second)
 		check.True(f.nodes["a2"].Current())
-		f.forwards()
-		check.Equal(again.numbers[1], uint64(3))
+		f.checkVersionsIncrease()
+		check.Equal(restarted.versionsSeen[1], uint64(3))
 	})
 }
 
-// A change that is wrong, made without knowing its base, or that would refuse
-// all traffic, must not be written.
-func TestPutRefuses(t *testing.T) {
+// A change that is invalid, that is based on an outdated version, or that would
+// refuse all traffic must not be written.
+func TestPutRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFleet(t, 1, 1)
--- a/rollout/spread.go
+++ b/rollout/spread.go
@@ -12,98 +12,102 @@
 	"zinniamast/blackboard"
 )
 
-// Timing of pushes.
+// Timeouts and concurrency of pushes.
 const (
-	pushAttempt = 2 * time.Second
-	pushAgain   = 250 * time.Millisecond
-	// relayTimeout leaves time for three more contacts of a domain within
-	// confirmWait if the first ones do not answer.
-	relayTimeout = 1500 * time.Millisecond
-	pushesAtOnce = 16
+	pushTimeout       = 2 * time.Second
+	pushRetryInterval = 250 * time.Millisecond
+	// relayTimeout leaves time within confirmTimeout to try three more contacts
+	// of a failure domain if the first ones do not answer.
+	relayTimeout        = 1500 * time.Millisecond
+	maxConcurrentPushes = 16
 )
 
-// NodeVersion is what one node has in force.
+// NodeVersion is the version that one node has in force.
 type NodeVersion struct {
 	Node          string `json:"node"`
 	FailureDomain string `json:"failure_domain"`
 	// Number is the version in force; zero if the node did not answer.
 	Number uint64 `json:"number"`
-	// Since is when it came into force, by the node's clock.
+	// Since is when it came into force, by the node's own clock.
 	Since time.Time `json:"since"`
-	// After is how long after the push began the answer was there.
+	// After is the time from the start of the push to the node's answer.
 	After time.Duration `json:"after"`
-	// Current says that the node has lately confirmed it with the table.
+	// Current reports whether the node has recently confirmed with the table
+	// that its version is the newest.
 	Current bool `json:"current"`
-	// Dead says that the node was declared dead before it was asked, so that
-	// nobody waits for it. One that is only cut off still serves an older version.
+	// Dead reports that the node was declared dead before the push, so that a
+	// put does not wait for it. A node that is only partitioned still serves an
+	// older version.
 	Dead bool `json:"dead,omitempty"`
-	// Error is why the node has no newer one, or did not answer.
+	// Error says why the node has no newer version or did not answer.
 	Error string `json:"error,omitempty"`
 }
 
-// spread asks every living node for its version, and gives it the entry if
-// there is one. Nodes that do not answer are tried until the context ends.
+// spread queries every live node for its version and delivers the entry if
+// there is one. Nodes that do not answer are retried until the context ends.
 func (r *Rollout) spread(ctx context.Context, entry *Entry) []NodeVersion {
-	began := time.Now()
+	start := time.Now()
 	p := push{}
 	if entry != nil {
-		p = r.pushOf(entry)
+		p = r.preparePush(entry)
 	}
 	var mu sync.Mutex
-	all := []NodeVersion{r.own()}
+	all := []NodeVersion{r.localVersion()}
 	add := func(answers []NodeVersion) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, answer := range answers {
-			answer.After += time.Since(began)
+			answer.After += time.Since(start)
 			all = append(all, answer)
 		}
 	}
-	var asked sync.WaitGroup
-	asked.Add(1)
+	var pending sync.WaitGroup
+	pending.Add(1)
 	go func() {
-		defer asked.Done()
-		add(r.spreadHere(ctx, p))
+		defer pending.Done()
+		add(r.spreadLocalDomain(ctx, p))
 	}()
-	for domain, contacts := range r.otherDomains() {
-		asked.Add(1)
+	for domain, contacts := range r.remoteContacts() {
+		pending.Add(1)
 		go func() {
-			defer asked.Done()
-			add(r.spreadThere(ctx, p.relayed(), domain, contacts))
+			defer pending.Done()
+			add(r.spreadRemoteDomain(ctx, p.forRelay(), domain, contacts))
 		}()
 	}
-	asked.Wait()
+	pending.Wait()
 	slices.SortFunc(all, func(a, b NodeVersion) int {
 		return cmp.Or(cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.Node, b.Node))
 	})
 	return all
 }
 
-// spreadHere asks the living members of this domain and names the dead ones.
-func (r *Rollout) spreadHere(ctx context.Context, p push) []NodeVersion {
-	members := r.membersHere()
+// spreadLocalDomain pushes to the live members of this failure domain and lists
+// the dead ones.
+func (r *Rollout) spreadLocalDomain(ctx context.Context, p push) []NodeVersion {
+	members := r.localMembers()
 	answers := make([]NodeVersion, len(members))
-	places := make(chan struct{}, pushesAtOnce)
-	var asked sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentPushes)
+	var pending sync.WaitGroup
 	for i, member := range members {
 		if member.Dead {
 			answers[i] = declaredDead(member)
 			continue
 		}
-		asked.Add(1)
+		pending.Add(1)
 		go func() {
-			defer asked.Done()
-			places <- struct{}{}
-			defer func() { <-places }()
-			answers[i] = r.ask(ctx, p, member)
+			defer pending.Done()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			answers[i] = r.pushToMember(ctx, p, member)
 		}()
 	}
-	asked.Wait()
+	pending.Wait()
 	return answers
 }
 
-// membersHere returns the other members of this domain that have not left.
-func (r *Rollout) membersHere() []blackboard.Member {
+// localMembers returns the other members of this failure domain that have not
+// left.
+func (r *Rollout) localMembers() []blackboard.Member {
 	var members []blackboard.Member
 	for _, member := range r.config.Board.Members.All() {
 		if member.FailureDomain == r.config.FailureDomain && member.ID != r.config.Node {
@@ -113,10 +117,11 @@
 	return members
 }
 
-// ask asks one member until it answers, dies or the context ends.
-func (r *Rollout) ask(ctx context.Context, p push, member blackboard.Member) NodeVersion {
+// pushToMember pushes to one member until it answers, is declared dead or the
+// context ends.
+func (r *Rollout) pushToMember(ctx context.Context, p push, member blackboard.Member) NodeVersion {
 	reply, err := r.send(ctx, p, member.Address)
-	for err != nil && wait(ctx) {
+	for err != nil && waitRetry(ctx) {
 		if known, ok := r.config.Board.Members.Get(member.ID); !ok || known.Dead {
 			break
 		}
@@ -128,27 +133,30 @@
 	return reply.Nodes[0]
 }
 
-// send sends a push short, and whole if the node asked had another version before.
+// send sends the delta form of a push, and then the full form if the node turns
+// out not to have the base version.
 func (r *Rollout) send(ctx context.Context, p push, address string) (SpreadReply, error) {
 	var reply SpreadReply
-	err := r.call(ctx, address, p.short, &reply)
-	if err != nil || p.short.Difference == nil || len(reply.Nodes) > 0 && reply.Nodes[0].Number >= p.number() {
+	err := r.call(ctx, address, p.delta, &reply)
+	if err != nil || p.delta.Difference == nil || len(reply.Nodes) > 0 && reply.Nodes[0].Number >= p.version() {
 		return reply, err
 	}
 	reply = SpreadReply{}
-	err = r.call(ctx, address, p.whole, &reply)
+	err = r.call(ctx, address, p.full, &reply)
 	return reply, err
 }
 
-// spreadThere asks another domain through one of its contacts, which take
-// turns with the versions: each sends to its whole domain.
-func (r *Rollout) spreadThere(ctx context.Context, p push, domain string, contacts []blackboard.Member) []NodeVersion {
+// spreadRemoteDomain pushes to another failure domain through one of its
+// contacts, which relays to all members. The contacts rotate with the version
+// number and with each attempt.
+func (r *Rollout) spreadRemoteDomain(ctx context.Context, p push, domain string, contacts []blackboard.Member) []NodeVersion {
 	var last []NodeVersion
 	var tried []string
-	for i := p.number(); ; i++ {
-		// A node that has just joined knows one contact of a domain, which may be
-		// the one that does not answer; it learns the others within seconds.
-		if known := r.otherDomains()[domain]; len(known) > 0 {
+	for i := p.version(); ; i++ {
+		// A node that has just joined knows only one contact of a domain, which
+		// may be the one that does not answer; it learns of the others within
+		// seconds.
+		if known := r.remoteContacts()[domain]; len(known) > 0 {
 			contacts = known
 		}
 		contact := contacts[i%uint64(len(contacts))]
@@ -157,37 +165,38 @@
 		}
 		reply, err := r.send(ctx, p, contact.Address)
 		if err == nil {
-			done := allHave(reply.Nodes, p.number())
+			done := allHaveVersion(reply.Nodes, p.version())
 			last = keepPending(last, reply.Nodes)
 			if done {
 				return last
 			}
 		}
-		if wait(ctx) {
+		if waitRetry(ctx) {
 			continue
 		}
 		if last != nil {
-			// The contact that was asked last may be the one that is cut off;
-			// what another one answered for the domain still stands.
+			// The last contact may be the one that is partitioned; the answer
+			// of an earlier contact for the domain is still valid.
 			return last
 		}
 		return []NodeVersion{unanswered("", domain, fmt.Errorf("%w; asked %s", err, strings.Join(tried, ", ")))}
 	}
 }
 
-// keepPending returns the newer answers. A node that was asked in vain and was
-// then declared dead stays pending: it may only be cut off, and would serve the
-// old version while the operator reads "in force".
-func keepPending(before, now []NodeVersion) []NodeVersion {
-	for i := range now {
-		asked := func(n NodeVersion) bool { return n.Node == now[i].Node && !n.Dead }
-		now[i].Dead = now[i].Dead && !slices.ContainsFunc(before, asked)
+// keepPending returns the newer answers. A node that did not answer and was
+// then declared dead stays pending: it may only be partitioned, and would serve
+// the old version while the operator reads "in force".
+func keepPending(earlier, latest []NodeVersion) []NodeVersion {
+	for i := range latest {
+		wasPending := func(n NodeVersion) bool { return n.Node == latest[i].Node && !n.Dead }
+		latest[i].Dead = latest[i].Dead && !slices.ContainsFunc(earlier, wasPending)
 	}
-	return now
+	return latest
 }
 
-// allHave says whether every node that is not declared dead has a version.
-func allHave(nodes []NodeVersion, number uint64) bool {
+// allHaveVersion reports whether every node that is not declared dead has at
+// least the given version.
+func allHaveVersion(nodes []NodeVersion, number uint64) bool {
 	return !slices.ContainsFunc(nodes, func(n NodeVersion) bool { return n.Number < number && !n.Dead })
 }
 
@@ -213,7 +222,7 @@
 }
 
 func (r *Rollout) call(ctx context.Context, address string, message Spread, reply *SpreadReply) error {
-	timeout := pushAttempt
+	timeout := pushTimeout
 	if message.Relay {
 		timeout = relayTimeout
 	}
@@ -222,21 +231,23 @@
 	return r.config.Transport.Call(ctx, address, ServiceName+".Spread", message, reply)
 }
 
-// wait pauses before the next attempt and says whether there is time for it.
-func wait(ctx context.Context) bool {
-	return pause(ctx, pushAgain)
+// waitRetry waits before the next attempt and reports whether the context is
+// still active.
+func waitRetry(ctx context.Context) bool {
+	return sleep(ctx, pushRetryInterval)
 }
 
-// pause waits and says whether the context still stands.
-func pause(ctx context.Context, length time.Duration) bool {
-	over, cancel := context.WithTimeout(ctx, length)
+// sleep waits for a duration and reports whether the context is still active.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timeout, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
-	<-over.Done()
+	<-timeout.Done()
 	return ctx.Err() == nil
 }
 
-// otherDomains groups the known contacts in other domains.
-func (r *Rollout) otherDomains() map[string][]blackboard.Member {
+// remoteContacts returns the known contacts in other failure domains, by
+// domain.
+func (r *Rollout) remoteContacts() map[string][]blackboard.Member {
 	domains := map[string][]blackboard.Member{}
 	for _, member := range r.config.Board.Members.All() {
 		if member.FailureDomain != r.config.FailureDomain {
@@ -246,8 +257,8 @@
 	return domains
 }
 
-// own returns what this node has in force.
-func (r *Rollout) own() NodeVersion {
+// localVersion returns the version that this node has in force.
+func (r *Rollout) localVersion() NodeVersion {
 	current := r.Current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/store.go
+++ b/rollout/store.go
@@ -10,8 +10,8 @@
 	"zinniamast"
 )
 
-// Where configuration stands in the table. The head is small, since every node
-// reads it now and then; the versions are read only when needed.
+// Keys of the configuration in the table. The head is small because every node
+// polls it; whole versions are read only when needed.
 const (
 	headPartition    = "config"
 	headSort         = "head"
@@ -20,18 +20,19 @@
 	versionPartition = "config_version"
 )
 
-// The table drops old items itself, so its size is bounded by the rate of changes.
+// The table deletes expired items itself, so its size is bounded by the rate of
+// changes.
 const (
-	keepHistory  = 90 * 24 * time.Hour
-	keepVersions = 7 * 24 * time.Hour
+	historyRetention = 90 * 24 * time.Hour
+	versionRetention = 7 * 24 * time.Hour
 )
 
-// head is the newest accepted version's number.
+// head records the newest accepted version.
 type head struct {
 	Number uint64 `json:"number"`
 	Token  string `json:"token"`
-	// revision and current are the revisions of the head and of the newest
-	// version in the table; zero if there is none.
+	// revision and current are the table revisions of the head and of the
+	// newest version; zero if there is none.
 	revision uint64
 	current  uint64
 }
@@ -48,7 +49,8 @@
 	}
 }
 
-// head returns the newest version's number; number zero if there is none.
+// head returns the head of the table; its number is zero if there is no
+// version.
 func (s store) head(ctx context.Context) (head, error) {
 	item, err := s.table.Get(ctx, zinniamast.Key{
 		Partition: headPartition,
@@ -68,7 +70,8 @@
 	return h, nil
 }
 
-// current returns the newest version whole, with its revision; nil if there is none.
+// current returns the newest version with its configuration and its table
+// revision, or nil if there is none.
 func (s store) current(ctx context.Context) (*Entry, uint64, error) {
 	entry, revision, err := s.read(ctx, zinniamast.Key{
 		Partition: headPartition,
@@ -80,7 +83,8 @@
 	return entry, revision, err
 }
 
-// version returns a version of the last days whole.
+// version returns a version with its configuration; versions are retained for a
+// few days.
 func (s store) version(ctx context.Context, number uint64) (*Entry, error) {
 	entry, _, err := s.read(ctx, versionKey(versionPartition, number))
 	return entry, err
@@ -98,7 +102,7 @@
 	return entry, item.Revision, nil
 }
 
-// history returns at most limit entries up to a number, newest last.
+// history returns at most limit entries up to the given number, newest last.
 func (s store) history(ctx context.Context, upTo uint64, limit int) ([]Entry, error) {
 	after := upTo - min(upTo, uint64(limit))
 	items, err := s.table.Query(ctx, historyPartition, versionKey(historyPartition, after).Sort, limit)
@@ -118,26 +122,28 @@
 	return entries, nil
 }
 
-// headWrites is how many of accept's writes are conditional on the head.
+// headWrites is the number of writes in accept that are conditional on the
+// head; they come first.
 const headWrites = 2
 
-// accept writes a version if the head is still the one given: all of it in one
-// transaction, so that of two operators one wins whole.
+// accept writes a version if the head is still the given one. All items are
+// written in one transaction, so that one of two concurrent changes is written
+// as a whole and the other not at all.
 func (s store) accept(ctx context.Context, entry *Entry, from head) error {
-	brief := *entry
-	brief.Packed = nil
-	newest, err := json.Marshal(head{
+	summary := *entry
+	summary.Packed = nil
+	headValue, err := json.Marshal(head{
 		Number: entry.Number,
 		Token:  entry.Token,
 	})
 	if err != nil {
 		return err
 	}
-	short, err := json.Marshal(brief)
+	historyValue, err := json.Marshal(summary)
 	if err != nil {
 		return err
 	}
-	whole, err := json.Marshal(entry)
+	versionValue, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
@@ -148,7 +154,7 @@
 					Partition: headPartition,
 					Sort:      headSort,
 				},
-				Value: newest,
+				Value: headValue,
 			},
 			Expect: from.revision,
 		},
@@ -158,22 +164,22 @@
 					Partition: headPartition,
 					Sort:      currentSort,
 				},
-				Value: whole,
+				Value: versionValue,
 			},
 			Expect: from.current,
 		},
 		{
 			Item: zinniamast.Item{
 				Key:     versionKey(historyPartition, entry.Number),
-				Value:   short,
-				Expires: entry.When.Add(keepHistory),
+				Value:   historyValue,
+				Expires: entry.When.Add(historyRetention),
 			},
 		},
 		{
 			Item: zinniamast.Item{
 				Key:     versionKey(versionPartition, entry.Number),
-				Value:   whole,
-				Expires: entry.When.Add(keepVersions),
+				Value:   versionValue,
+				Expires: entry.When.Add(versionRetention),
 			},
 		},
 	})
