--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -11,96 +11,106 @@
 	"zinniamast/blackboard"
 )
 
-// The nodes of a domain read the list in turns: each sign found by one is news
-// to all, so the reads per domain stay the same however many nodes it has.
+// The nodes of a failure domain take turns to read the list. Each shares what
+// it finds, so the number of reads per domain does not depend on its number of
+// nodes.
 const (
-	readsApart      = 500 * time.Millisecond
+	readSpacing     = 500 * time.Millisecond
 	minReadInterval = time.Second
 	maxReadInterval = 15 * time.Second
 	readTimeout     = 5 * time.Second
 )
 
 const (
-	// maxJoinsTold bounds the joins that one read tells others: beyond that
-	// the fleet starts or a partition ends, and everybody reads for itself.
-	maxJoinsTold = 20
-	// newsLife is how long a sign is repeated to nodes that missed it.
-	newsLife = 5 * time.Minute
+	// maxJoinsPublished bounds the joins that are published after one read. If
+	// more join at once, the fleet is starting or a partition has ended; none
+	// are published then, and each node finds them in its own list.
+	maxJoinsPublished = 20
+	// newsTTL is how long a report is repeated to nodes that missed it.
+	newsTTL = 5 * time.Minute
 )
 
-// TopicJoined tells of an upstream that a list has shown; the key is its ID.
+// TopicJoined announces an upstream found in an instance list; the key is its
+// ID.
 const TopicJoined zinniamast.Topic = "upstream_joined"
 
-// An upstream that a list leaves out is gone only after several lists and some
-// time; much longer if the list lost most upstreams at once, since a list cut
-// short is likelier than that, and health checks take a dead one out anyway.
+// An upstream missing from the list is removed only after several lists and
+// some time. If the list lacks most upstreams at once, the wait is much longer:
+// a truncated list is likelier than such a loss, and health checks take dead
+// upstreams out of use anyway.
 const (
-	missesUntilGone = 3
-	goneAfter       = 10 * time.Second
-	doubtfulAfter   = time.Minute
-	fewUpstreams    = 4
+	missesUntilRemoval   = 3
+	removeAfter          = 10 * time.Second
+	removeAfterMassLoss  = time.Minute
+	massLossMinUpstreams = 4
 )
 
 // Config configures a controller.
 type Config struct {
-	// Upstreams is the table to keep.
+	// Upstreams is the table to maintain.
 	Upstreams *blackboard.Upstreams
-	// Members tells how many nodes share the reading.
+	// Members determines how many nodes share the reads.
 	Members *blackboard.Members
-	// FailureDomain is this node's.
+	// FailureDomain is the failure domain of this node.
 	FailureDomain string
-	// List is the platform's instance list, read no oftener than its size allows.
+	// List is the platform's instance list, read no more often than its size
+	// allows.
 	List *PacedList
-	// Gossip carries signs between nodes.
+	// Gossip carries reports between nodes.
 	Gossip zinniamast.Gossip
-	// Build returns a replica with its client, or nil for what is no upstream.
+	// Build returns an upstream with its client, or nil if the instance is not
+	// an upstream.
 	Build func(zinniamast.Instance) *blackboard.Upstream
-	// Logger hears of upstreams that come and go; nil means slog's default.
+	// Logger receives the upstreams that join and leave; nil means
+	// slog.Default.
 	Logger *slog.Logger
 }
 
-// Controller keeps the table of upstreams.
+// Controller maintains the table of upstreams.
 type Controller struct {
 	config Config
 
 	mu sync.Mutex
-	// told holds the upstreams whose leaving came as news, which is not news again.
-	told map[string]bool
-	// missing holds upstreams that the latest lists left out.
-	missing map[string]miss
-	// read says that a list has been taken in before.
-	read bool
+	// reportedByPeers holds the upstreams that other nodes reported as leaving,
+	// which are not published again.
+	reportedByPeers map[string]bool
+	// absences holds the upstreams missing from the latest lists.
+	absences map[string]absence
+	// hasRead reports whether a list has been read before.
+	hasRead bool
 }
 
-type miss struct {
+type absence struct {
 	count int
 	since time.Time
 }
 
-// sign is the value of news about an upstream.
-type sign struct {
-	// Started tells the instance's lives apart.
+// leavingReport is the value published about an upstream that leaves or is
+// gone.
+type leavingReport struct {
+	// Started distinguishes successive starts of the same instance.
 	Started time.Time `json:"started"`
-	// LeavesAt is when it goes away, if known.
+	// LeavesAt is when the instance goes away, if known.
 	LeavesAt time.Time `json:"leaves_at,omitzero"`
 }
 
-// New returns a controller that hears news at once; Run starts reading the list.
+// New returns a controller that receives reports from other nodes at once; Run
+// starts reading the list.
 func New(config Config) *Controller {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
 	}
 	c := &Controller{
-		config:  config,
-		told:    map[string]bool{},
-		missing: map[string]miss{},
+		config:          config,
+		reportedByPeers: map[string]bool{},
+		absences:        map[string]absence{},
 	}
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(news zinniamast.News) { c.hear(news, false) })
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(news zinniamast.News) { c.hear(news, true) })
-	config.Gossip.Subscribe(TopicJoined, c.hearJoined)
-	// The request path marks an upstream that refuses because it leaves; whoever
-	// sees that first tells the others.
-	config.Upstreams.OnLeaving(c.leaves)
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(news zinniamast.News) { c.receiveLeaving(news, false) })
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(news zinniamast.News) { c.receiveLeaving(news, true) })
+	config.Gossip.Subscribe(TopicJoined, c.receiveJoined)
+	// The request path marks an upstream that refuses requests because it is
+	// leaving; the first node to see that informs the others.
+	config.Upstreams.OnLeaving(c.onLeaving)
 	return c
 }
 
@@ -111,20 +121,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(c.turn()):
+		case <-time.After(c.nextReadDelay()):
 		}
 	}
 }
 
-// turn is when this node reads next. A list of thousands costs more than all
-// else that nodes exchange; then the turns are rarer, and what one node finds
-// is news to all.
-func (c *Controller) turn() time.Duration {
-	pace := c.config.List.Pace()
-	return c.config.Members.Turn(c.config.FailureDomain, readsApart, max(minReadInterval, pace), max(maxReadInterval, pace))
+// nextReadDelay returns the time until the next read by this node. Reading a
+// list of thousands of entries costs more than all other traffic between nodes,
+// so reads become rarer as the list grows and nodes rely on what the others
+// find.
+func (c *Controller) nextReadDelay() time.Duration {
+	interval := c.config.List.Interval()
+	return c.config.Members.Turn(c.config.FailureDomain, readSpacing, max(minReadInterval, interval), max(maxReadInterval, interval))
 }
 
-// Read takes one list in. A list that cannot be read changes nothing.
+// Read reads the list once and updates the table. If the read fails, the table
+// stays as it is.
 func (c *Controller) Read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -137,21 +149,22 @@
 	for _, instance := range instances {
 		listed[instance.ID] = true
 	}
-	joined := c.enter(instances)
+	joined := c.addInstances(instances)
 	c.mu.Lock()
-	first := !c.read
-	c.read = true
+	first := !c.hasRead
+	c.hasRead = true
 	c.mu.Unlock()
-	if !first && len(joined) <= maxJoinsTold {
+	if !first && len(joined) <= maxJoinsPublished {
 		for _, upstream := range joined {
-			c.tell(TopicJoined, upstream.Instance.ID, upstream.Instance)
+			c.broadcast(TopicJoined, upstream.Instance.ID, upstream.Instance)
 		}
 	}
-	c.miss(listed, time.Now())
+	c.removeAbsent(listed, time.Now())
 }
 
-// enter takes instances in as the platform shows them and returns the new upstreams.
-func (c *Controller) enter(instances []zinniamast.Instance) []*blackboard.Upstream {
+// addInstances adds and updates instances as listed and returns the new
+// upstreams.
+func (c *Controller) addInstances(instances []zinniamast.Instance) []*blackboard.Upstream {
 	var built []*blackboard.Upstream
 	for _, instance := range instances {
 		known := c.config.Upstreams.Get(instance.ID)
@@ -172,15 +185,16 @@
 	for _, upstream := range joined {
 		instance := &upstream.Instance
 		c.mu.Lock()
-		delete(c.told, instance.ID)
+		delete(c.reportedByPeers, instance.ID)
 		c.mu.Unlock()
 		c.config.Logger.Info("upstream_joined", "upstream", instance.ID, "service", instance.Service, "failure_domain", instance.FailureDomain)
 	}
 	return joined
 }
 
-// miss counts the upstreams that a list left out and removes those gone.
-func (c *Controller) miss(listed map[string]bool, now time.Time) {
+// removeAbsent records the upstreams missing from a list and removes those that
+// have been missing for long enough.
+func (c *Controller) removeAbsent(listed map[string]bool, now time.Time) {
 	if len(listed) == 0 {
 		return
 	}
@@ -189,18 +203,18 @@
 	c.mu.Lock()
 	for _, upstream := range all {
 		if listed[upstream.Instance.ID] {
-			delete(c.missing, upstream.Instance.ID)
+			delete(c.absences, upstream.Instance.ID)
 			continue
 		}
 		absent = append(absent, upstream)
 	}
 	c.mu.Unlock()
-	wait := goneAfter
-	if len(all) >= fewUpstreams && 2*len(absent) > len(all) {
-		wait = doubtfulAfter
+	wait := removeAfter
+	if len(all) >= massLossMinUpstreams && 2*len(absent) > len(all) {
+		wait = removeAfterMassLoss
 	}
 	for _, upstream := range absent {
-		if c.gone(upstream.Instance.ID, now, wait) {
+		if c.countAbsence(upstream.Instance.ID, now, wait) {
 			c.config.Upstreams.MarkLeaving(upstream.Instance.ID, now)
 			c.config.Upstreams.Remove(upstream.Instance.ID)
 			c.config.Logger.Info("upstream_gone", "upstream", upstream.Instance.ID)
@@ -208,57 +222,58 @@
 	}
 }
 
-// gone counts a miss and says whether it was the last.
-func (c *Controller) gone(id string, now time.Time, wait time.Duration) bool {
+// countAbsence records that a list lacks an upstream and reports whether the
+// upstream is to be removed.
+func (c *Controller) countAbsence(id string, now time.Time, wait time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	missed := c.missing[id]
-	if missed.count == 0 {
-		missed.since = now
+	missing := c.absences[id]
+	if missing.count == 0 {
+		missing.since = now
 	}
-	missed.count++
-	c.missing[id] = missed
-	if missed.count < missesUntilGone || now.Sub(missed.since) < wait {
+	missing.count++
+	c.absences[id] = missing
+	if missing.count < missesUntilRemoval || now.Sub(missing.since) < wait {
 		return false
 	}
-	delete(c.missing, id)
+	delete(c.absences, id)
 	return true
 }
 
-// leaves hears of the first sign in this node's table and tells the others,
-// unless they told it.
-func (c *Controller) leaves(upstream *blackboard.Upstream) {
+// onLeaving publishes that an upstream is leaving when it is first marked in
+// this node's table, unless another node reported it.
+func (c *Controller) onLeaving(upstream *blackboard.Upstream) {
 	id := upstream.Instance.ID
 	c.mu.Lock()
-	told := c.told[id]
+	reported := c.reportedByPeers[id]
 	c.mu.Unlock()
-	c.config.Logger.Info("upstream_leaving", "upstream", id, "told", told)
-	if told {
+	c.config.Logger.Info("upstream_leaving", "upstream", id, "told", reported)
+	if reported {
 		return
 	}
-	c.publish(zinniamast.TopicUpstreamLeaving, upstream)
+	c.publishLeaving(zinniamast.TopicUpstreamLeaving, upstream)
 }
 
-// ReportGone tells all nodes that an upstream no longer exists.
+// ReportGone removes an upstream that no longer exists and informs all nodes.
 func (c *Controller) ReportGone(id string) {
 	upstream := c.config.Upstreams.Get(id)
 	if upstream == nil {
 		return
 	}
-	c.publish(zinniamast.TopicUpstreamGone, upstream)
+	c.publishLeaving(zinniamast.TopicUpstreamGone, upstream)
 	c.config.Upstreams.MarkLeaving(id, time.Now())
 	c.config.Upstreams.Remove(id)
 }
 
-func (c *Controller) publish(topic zinniamast.Topic, upstream *blackboard.Upstream) {
-	c.tell(topic, upstream.Instance.ID, sign{
+func (c *Controller) publishLeaving(topic zinniamast.Topic, upstream *blackboard.Upstream) {
+	c.broadcast(topic, upstream.Instance.ID, leavingReport{
 		Started:  upstream.Instance.Started,
 		LeavesAt: upstream.LeavesAt(),
 	})
 }
 
-// tell tells every node something of an upstream.
-func (c *Controller) tell(topic zinniamast.Topic, upstream string, content any) {
+// broadcast publishes a value about an upstream to every node.
+func (c *Controller) broadcast(topic zinniamast.Topic, upstream string, content any) {
 	value, err := json.Marshal(content)
 	if err != nil {
 		c.config.Logger.Error("sign_not_encoded", "upstream", upstream, "error", err)
@@ -268,28 +283,29 @@
 		Topic:   topic,
 		Key:     upstream,
 		Value:   value,
-		Expires: time.Now().Add(newsLife),
+		Expires: time.Now().Add(newsTTL),
 		Wide:    true,
 	})
 }
 
-// hear takes another node's sign in. It bars this life of the instance also
-// where it is not known here yet: the list may show it later, still as alive.
-func (c *Controller) hear(news zinniamast.News, gone bool) {
-	var s sign
-	if err := json.Unmarshal(news.Value, &s); err != nil {
+// receiveLeaving handles a report from another node. It bars the reported start
+// of the instance even if the instance is not known here yet, because a lagging
+// list may still show it as running.
+func (c *Controller) receiveLeaving(news zinniamast.News, gone bool) {
+	var report leavingReport
+	if err := json.Unmarshal(news.Value, &report); err != nil {
 		c.config.Logger.Warn("sign_not_read", "upstream", news.Key, "origin", news.Origin, "error", err)
 		return
 	}
 	known := c.config.Upstreams.Get(news.Key)
-	if known != nil && known.Instance.Started.After(s.Started) {
+	if known != nil && known.Instance.Started.After(report.Started) {
 		return
 	}
 	c.mu.Lock()
-	c.told[news.Key] = true
+	c.reportedByPeers[news.Key] = true
 	c.mu.Unlock()
-	c.config.Upstreams.Bar(news.Key, s.Started)
-	c.config.Upstreams.MarkLeaving(news.Key, s.LeavesAt)
+	c.config.Upstreams.Bar(news.Key, report.Started)
+	c.config.Upstreams.MarkLeaving(news.Key, report.LeavesAt)
 	if gone {
 		c.config.Upstreams.Remove(news.Key)
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -17,68 +17,70 @@
 	"zinniamast/discovery"
 )
 
-// list is the platform's list with faults.
-type list struct {
+// listStub is an instance list that can return partial lists and errors.
+type listStub struct {
 	instances []zinniamast.Instance
 	err       error
 	reads     int
 }
 
-func (l *list) List(context.Context) ([]zinniamast.Instance, error) {
+func (l *listStub) List(context.Context) ([]zinniamast.Instance, error) {
 	l.reads++
 	return l.instances, l.err
 }
 
-// packed is a list whose client tells its size on the wire.
-type packed struct {
-	list
+// sizedListStub is a list whose client reports its size on the wire.
+type sizedListStub struct {
+	listStub
 	bytes int64
 }
 
-func (p *packed) ListBytes() int64 { return p.bytes }
+func (p *sizedListStub) ListBytes() int64 { return p.bytes }
 
-// gossip delivers to all nodes but the origin at once.
-type gossip struct {
-	id    string
-	peers *[]*gossip
-	subs  map[zinniamast.Topic]func(zinniamast.News)
-	sent  int
+// gossipStub delivers at once to all nodes but the origin.
+type gossipStub struct {
+	id          string
+	peers       *[]*gossipStub
+	subscribers map[zinniamast.Topic]func(zinniamast.News)
+	published   int
 }
 
-func (g *gossip) Publish(news zinniamast.News) {
-	g.sent++
+func (g *gossipStub) Publish(news zinniamast.News) {
+	g.published++
 	for _, peer := range *g.peers {
-		if f := peer.subs[news.Topic]; peer != g && f != nil {
+		if f := peer.subscribers[news.Topic]; peer != g && f != nil {
 			f(news)
 		}
 	}
 }
 
-func (g *gossip) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) { g.subs[topic] = f }
+func (g *gossipStub) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
+	g.subscribers[topic] = f
+}
 
 type fixture struct {
 	*discovery.Controller
-	table  *blackboard.Upstreams
-	list   *list
-	gossip *gossip
+	upstreams *blackboard.Upstreams
+	list      *listStub
+	gossip    *gossipStub
 }
 
-func fixtures(count int) []*fixture {
-	var peers []*gossip
+func newFixtures(count int) []*fixture {
+	var peers []*gossipStub
 	var all []*fixture
 	for i := range count {
 		f := &fixture{
-			table: blackboard.NewUpstreams(),
-			list:  &list{},
-			gossip: &gossip{
-				id:    fmt.Sprint(i),
-				peers: &peers,
-				subs:  map[zinniamast.Topic]func(zinniamast.News){},
+			upstreams: blackboard.NewUpstreams(),
+			list:      &listStub{},
+			gossip: &gossipStub{
+				id:          fmt.Sprint(i),
+				peers:       &peers,
+				subscribers: map[zinniamast.Topic]func(zinniamast.News){},
 			},
 		}
 		peers = append(peers, f.gossip)
 		f.Controller = discovery.New(discovery.Config{
-			Upstreams: f.table,
+			Upstreams: f.upstreams,
 			Members:   blackboard.NewMembers(),
 			List:      discovery.NewPacedList(f.list),
 			Gossip:    f.gossip,
@@ -107,59 +109,61 @@
 	return all
 }
 
-// The request path of one node meets a replica that refuses because it leaves.
-// All nodes must mark it, told once by the one that saw it; lists that still
-// show it alive must not bring it back, not even at a node that knew nothing
-// of it before, while a new life under the same name is welcome.
-func TestLeavingCountsAtOnceAndStays(t *testing.T) {
+// The request path of one node finds that a replica refuses requests because it
+// is leaving. All nodes must mark it, and the report is published once. Lists
+// that still show the replica as running must not bring it back, not even on a
+// node that did not know it before. A later start of the same instance must be
+// added.
+func TestLeavingIsSharedAndPersists(t *testing.T) {
 	check := is.New(t)
-	nodes := fixtures(3)
+	nodes := newFixtures(3)
 	start := time.Unix(1000, 0)
 	for _, node := range nodes {
 		node.list.instances = instances(start, "a", "b")
 	}
 	nodes[0].Read(t.Context())
 	nodes[1].Read(t.Context())
-	nodes[0].table.MarkLeaving("a", time.Unix(2000, 0))
-	check.True(nodes[1].table.Get("a").Leaving())
-	check.Equal(nodes[1].table.Get("a").LeavesAt().Unix(), int64(2000))
-	check.Equal(nodes[0].gossip.sent+nodes[1].gossip.sent+nodes[2].gossip.sent, 1)
+	nodes[0].upstreams.MarkLeaving("a", time.Unix(2000, 0))
+	check.True(nodes[1].upstreams.Get("a").Leaving())
+	check.Equal(nodes[1].upstreams.Get("a").LeavesAt().Unix(), int64(2000))
+	check.Equal(nodes[0].gossip.published+nodes[1].gossip.published+nodes[2].gossip.published, 1)
 	for _, node := range nodes {
 		node.Read(t.Context())
 	}
-	check.True(nodes[0].table.Get("a").Leaving())
-	check.True(nodes[2].table.Get("a") == nil)
-	check.True(nodes[2].table.Get("b") != nil)
+	check.True(nodes[0].upstreams.Get("a").Leaving())
+	check.True(nodes[2].upstreams.Get("a") == nil)
+	check.True(nodes[2].upstreams.Get("b") != nil)
 	nodes[1].ReportGone("a")
 	for _, node := range nodes {
 		node.Read(t.Context())
-		check.True(node.table.Get("a") == nil)
+		check.True(node.upstreams.Get("a") == nil)
 	}
-	// Whoever reads the new life first tells the others; their older lists
-	// neither take it away nor bring the old one back.
-	again := start.Add(time.Hour)
+	// The first node to list the new start informs the others; their older
+	// lists must neither remove it nor restore the previous start.
+	restarted := start.Add(time.Hour)
 	for _, node := range nodes {
-		node.list.instances = instances(again, "a", "b")
+		node.list.instances = instances(restarted, "a", "b")
 		node.Read(t.Context())
 		for _, other := range nodes {
-			check.True(!other.table.Get("a").Leaving())
-			check.True(other.table.Get("a").Instance.Started.Equal(again))
+			check.True(!other.upstreams.Get("a").Leaving())
+			check.True(other.upstreams.Get("a").Instance.Started.Equal(restarted))
 		}
 	}
 	for _, node := range nodes {
 		node.list.instances = instances(start, "a", "b")
 		node.Read(t.Context())
-		check.True(node.table.Get("a").Instance.Started.Equal(again))
+		check.True(node.upstreams.Get("a").Instance.Started.Equal(restarted))
 	}
 }
 
-// The list is cut short, comes back empty or fails for minutes. The table must
-// not empty: requests would be refused that the replicas could serve. One
-// replica that stays out of full lists is gone after some seconds.
-func TestListsThatLie(t *testing.T) {
+// The list is truncated, empty or unavailable for minutes. The table must not
+// become empty, or requests would be refused that the replicas could serve. One
+// replica missing from otherwise complete lists must be removed after some
+// seconds.
+func TestIncompleteLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
-		node := fixtures(1)[0]
+		node := newFixtures(1)[0]
 		full := instances(time.Unix(1000, 0), "a", "b", "c", "d", "e", "f")
 		read := func(instances []zinniamast.Instance, err error, times int) {
 			node.list.instances, node.list.err = instances, err
@@ -172,35 +176,35 @@
 		read(nil, nil, 300)
 		read(nil, errors.New("down"), 300)
 		read(full[:1], nil, 50)
-		check.Equal(len(node.table.All()), 6)
+		check.Equal(len(node.upstreams.All()), 6)
 		read(full, nil, 1)
 		read(full[:5], nil, 9)
-		check.Equal(len(node.table.All()), 6)
+		check.Equal(len(node.upstreams.All()), 6)
 		read(full[:5], nil, 3)
-		check.Equal(len(node.table.All()), 5)
+		check.Equal(len(node.upstreams.All()), 5)
 		read(full, nil, 1)
-		check.Equal(len(node.table.All()), 5)
+		check.Equal(len(node.upstreams.All()), 5)
 	})
 }
 
-// A new replica shows in one node's list while the others' turns to read are
-// minutes away. They must take it in from the news, as one told once; but a
-// life that left stays out, and a node that starts tells nobody of the fleet
-// that it finds.
-func TestOneNodeFindsWhatJoins(t *testing.T) {
+// A new replica appears in the list of one node while the next reads of the
+// others are minutes away. They must add it from a report published once. A
+// replica barred after leaving must not be added, and a node that starts must
+// not publish the fleet that it finds.
+func TestJoinsAreSharedByNews(t *testing.T) {
 	check := is.New(t)
-	nodes := fixtures(3)
+	nodes := newFixtures(3)
 	start := time.Unix(1000, 0)
 	nodes[0].list.instances = instances(start, "a", "b")
 	nodes[0].Read(t.Context())
-	check.Equal(nodes[0].gossip.sent, 0)
-	nodes[2].table.Bar("c", start)
+	check.Equal(nodes[0].gossip.published, 0)
+	nodes[2].upstreams.Bar("c", start)
 	nodes[0].list.instances = instances(start, "a", "b", "c")
 	nodes[0].Read(t.Context())
-	check.Equal(nodes[0].gossip.sent, 1)
-	check.True(nodes[1].table.Get("c") != nil)
-	check.True(nodes[2].table.Get("c") == nil)
-	check.Equal(nodes[1].gossip.sent, 0)
+	check.Equal(nodes[0].gossip.published, 1)
+	check.True(nodes[1].upstreams.Get("c") != nil)
+	check.True(nodes[2].upstreams.Get("c") == nil)
+	check.Equal(nodes[1].gossip.published, 0)
 
 	var many []string
 	for i := range 100 {
@@ -208,15 +212,15 @@
 	}
 	nodes[0].list.instances = instances(start, many...)
 	nodes[0].Read(t.Context())
-	check.Equal(nodes[0].gossip.sent, 1)
-	check.Equal(len(nodes[0].table.All()), 103)
+	check.Equal(nodes[0].gossip.published, 1)
+	check.Equal(len(nodes[0].upstreams.All()), 103)
 }
 
-// At 5,700 entries each reading is over a megabyte, or a tenth of that
-// compressed. Read every few seconds it would cost a node many times what it
-// may spend on control, so readings must grow apart with their size, for all
-// that need the list together.
-func TestReadingsGrowApartWithTheList(t *testing.T) {
+// At 5,700 entries each read is over a megabyte, or a tenth of that compressed.
+// Reads every few seconds would exceed a node's budget for control traffic many
+// times over, so the interval between reads must grow with the size, for all
+// users of the list together.
+func TestReadIntervalGrowsWithListSize(t *testing.T) {
 	cases := []struct {
 		entries int
 		bytes   int64
@@ -233,15 +237,15 @@
 			for i := range c.entries {
 				ids = append(ids, fmt.Sprint(i))
 			}
-			platform := &packed{
-				list: list{
+			platform := &sizedListStub{
+				listStub: listStub{
 					instances: instances(time.Unix(1000, 0), ids...),
 				},
 				bytes: c.bytes,
 			}
 			var source zinniamast.InstanceList = platform
 			if c.bytes == 0 {
-				source = &platform.list
+				source = &platform.listStub
 			}
 			paced := discovery.NewPacedList(source)
 			for range 600 {
@@ -255,7 +259,7 @@
 			check.True(platform.reads <= c.reads)
 			check.True(2*platform.reads >= c.reads)
 			paced.Read(t.Context())
-			check.True(paced.Pace() > 4*time.Second)
+			check.True(paced.Interval() > 4*time.Second)
 		})
 	}
 }
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,5 +1,5 @@
-// Package discovery decides which upstreams stand in the shared table. It
-// merges the platform's lagging instance list, the news of other nodes and
-// what this node itself saw; a sign that an upstream leaves counts at once,
-// from wherever it comes, and no older list takes it back.
+// Package discovery maintains the shared table of upstreams. It merges the
+// platform's lagging instance list, reports from other nodes and what this node
+// observes itself. A report that an upstream is leaving takes effect at once,
+// whatever its source, and no older list reverts it.
 package discovery
--- a/discovery/join.go
+++ b/discovery/join.go
@@ -6,13 +6,14 @@
 	"zinniamast"
 )
 
-// hearJoined takes in what another node's list showed. It counts no more than
-// a list of one's own: a life of the instance that left stays barred.
-func (c *Controller) hearJoined(news zinniamast.News) {
+// receiveJoined adds an upstream that another node found in its list. It is
+// treated like an entry of this node's own list: an instance that has left
+// stays barred until it is started again.
+func (c *Controller) receiveJoined(news zinniamast.News) {
 	var instance zinniamast.Instance
 	if err := json.Unmarshal(news.Value, &instance); err != nil || instance.ID != news.Key {
 		c.config.Logger.Warn("sign_not_read", "upstream", news.Key, "origin", news.Origin, "error", err)
 		return
 	}
-	c.enter([]zinniamast.Instance{instance})
+	c.addInstances([]zinniamast.Instance{instance})
 }
--- a/discovery/paced.go
+++ b/discovery/paced.go
@@ -8,64 +8,68 @@
 )
 
 const (
-	// listBytesASecond is what one node spends on reading the list, on average.
-	listBytesASecond = 1000
-	// entryBytes stands for an entry where the client cannot tell what it read.
-	entryBytes = 300
-	// maxPace bounds the age of a list, whatever its size.
-	maxPace = 5 * time.Minute
+	// listBytesPerSecond is the average traffic that one node may spend on
+	// reading the list.
+	listBytesPerSecond = 1000
+	// estimatedEntryBytes is the assumed size of an entry if the client does
+	// not report the size of its response.
+	estimatedEntryBytes = 300
+	// maxListInterval bounds the age of a list, whatever its size.
+	maxListInterval = 5 * time.Minute
 )
 
-// Measured is an instance list that knows how large its last answer was on
+// SizedList is an instance list that reports the size of its last response on
 // the wire, in bytes.
-type Measured interface {
+type SizedList interface {
 	ListBytes() int64
 }
 
-// PacedList shares one node's readings of the instance list among all that
-// need it, so that the bytes do not grow with the fleet.
+// PacedList shares the reads of the instance list among all users on one node
+// and limits their rate, so that the traffic does not grow with the fleet.
 type PacedList struct {
 	list zinniamast.InstanceList
-	// reading is held by the one that reads; the rest waits for its answer.
-	reading chan struct{}
-	last    []zinniamast.Instance
-	at      time.Time
-	pace    time.Duration
+	// readLock is held during a read; other callers wait and share the result.
+	readLock chan struct{}
+	last     []zinniamast.Instance
+	readAt   time.Time
+	interval time.Duration
 }
 
-// NewPacedList returns a list that reads the platform's.
+// NewPacedList returns a PacedList that reads from list.
 func NewPacedList(list zinniamast.InstanceList) *PacedList {
 	return &PacedList{
-		list:    list,
-		reading: make(chan struct{}, 1),
+		list:     list,
+		readLock: make(chan struct{}, 1),
 	}
 }
 
-// Read asks the platform.
+// Read reads the list from the platform, regardless of the interval.
 func (p *PacedList) Read(ctx context.Context) ([]zinniamast.Instance, error) {
 	return p.get(ctx, func() bool { return true })
 }
 
-// List implements zinniamast.InstanceList by the last answer while asking
-// again would be beyond the node's part. The slice is shared and not written.
+// List implements zinniamast.InstanceList. It returns the last list until
+// another read fits the traffic budget of the node. The slice is shared and
+// must not be modified.
 func (p *PacedList) List(ctx context.Context) ([]zinniamast.Instance, error) {
-	return p.get(ctx, func() bool { return len(p.last) == 0 || time.Since(p.at) >= p.pace })
+	return p.get(ctx, func() bool { return len(p.last) == 0 || time.Since(p.readAt) >= p.interval })
 }
 
-// Pace is how far apart readings stay within the node's part.
-func (p *PacedList) Pace() time.Duration {
-	p.reading <- struct{}{}
-	defer func() { <-p.reading }()
-	return p.pace
+// Interval returns the time between reads that keeps within the traffic budget
+// of the node.
+func (p *PacedList) Interval() time.Duration {
+	p.readLock <- struct{}{}
+	defer func() { <-p.readLock }()
+	return p.interval
 }
 
 func (p *PacedList) get(ctx context.Context, due func() bool) ([]zinniamast.Instance, error) {
 	select {
-	case p.reading <- struct{}{}:
+	case p.readLock <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	defer func() { <-p.reading }()
+	defer func() { <-p.readLock }()
 	if !due() {
 		return p.last, nil
 	}
@@ -73,14 +77,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p.last, p.at, p.pace = instances, time.Now(), p.paceOf(len(instances))
+	p.last, p.readAt, p.interval = instances, time.Now(), p.intervalFor(len(instances))
 	return instances, nil
 }
 
-func (p *PacedList) paceOf(entries int) time.Duration {
-	size := int64(entries) * entryBytes
-	if measured, ok := p.list.(Measured); ok {
+func (p *PacedList) intervalFor(entries int) time.Duration {
+	size := int64(entries) * estimatedEntryBytes
+	if measured, ok := p.list.(SizedList); ok {
 		size = measured.ListBytes()
 	}
-	return min(time.Duration(size)*time.Second/listBytesASecond, maxPace)
+	return min(time.Duration(size)*time.Second/listBytesPerSecond, maxListInterval)
 }
