--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,5 +1,5 @@
-// Package notice reads the cloud's reclaim notices and acts on each at once:
-// upstreams are marked as leaving, entry instances are told to leave.
+// Package notice reads the cloud's reclaim notices and acts on each at once: it
+// marks upstreams as leaving and starts the departure of this node's instance.
 package notice
 
 import (
@@ -15,81 +15,85 @@
 )
 
 const (
-	// readsApart is how far apart the reads of one failure domain are: each
-	// sign that one node finds is news to all, so the calls on the cloud's API
-	// stay the same however many nodes a domain has.
-	readsApart = 250 * time.Millisecond
-	// minInterval and maxInterval bound one node's turn.
-	minInterval = 500 * time.Millisecond
-	maxInterval = 10 * time.Second
-	readTimeout = 2 * time.Second
-	// newsLife is how long a notice is repeated to nodes that missed it.
-	newsLife = 2 * time.Minute
+	// readSpacing is the time between the reads of one failure domain. Nodes
+	// share each notice they find, so the rate of calls to the cloud API does
+	// not depend on the number of nodes.
+	readSpacing = 250 * time.Millisecond
+	// minReadInterval and maxReadInterval bound the time between the reads of
+	// one node.
+	minReadInterval = 500 * time.Millisecond
+	maxReadInterval = 10 * time.Second
+	readTimeout     = 2 * time.Second
+	// newsTTL is how long a notice is repeated to nodes that missed it.
+	newsTTL = 2 * time.Minute
 )
 
-// TopicNotice tells that an instance is reclaimed; the key is its ID.
+// TopicNotice announces that an instance is to be reclaimed; the key is its ID.
 const TopicNotice zinniamast.Topic = "notice"
 
-// Config says what a controller works with.
+// Config configures a Controller.
 type Config struct {
 	Cloud     zinniamast.Cloud
 	Upstreams *blackboard.Upstreams
 	Members   *blackboard.Members
 	Gossip    zinniamast.Gossip
-	// Instance and FailureDomain are this node's own.
+	// Instance and FailureDomain identify this node.
 	Instance      string
 	FailureDomain string
-	// OnOwn hears once that this instance is reclaimed, and when.
+	// OnOwn is called once when this instance is to be reclaimed, with the
+	// time.
 	OnOwn  func(at time.Time)
 	Logger *slog.Logger
 }
 
-// Controller acts on notices.
+// Controller reads notices, shares them with other nodes and acts on them.
 type Controller struct {
 	config Config
 
-	mu    sync.Mutex
-	known map[string]time.Time
-	// failing says that the last read failed; only a change is worth a line.
-	failing bool
+	mu        sync.Mutex
+	announced map[string]time.Time
+	// isFailing reports whether the last read failed; only changes are logged.
+	isFailing bool
 }
 
-// New returns a controller that hears peers at once; Run reads the cloud's notices.
+// New returns a controller that receives notices from peers at once; Run starts
+// reading the cloud's notices.
 func New(config Config) *Controller {
 	c := &Controller{
-		config: config,
-		known:  map[string]time.Time{},
+		config:    config,
+		announced: map[string]time.Time{},
 	}
-	config.Gossip.Subscribe(TopicNotice, c.hear)
+	config.Gossip.Subscribe(TopicNotice, c.receive)
 	return c
 }
 
-// Run reads notices in turn with the other nodes until the context ends.
+// Run reads notices, taking turns with the other nodes, until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	for {
 		c.Read(ctx)
-		c.apply()
+		c.remarkLeaving()
 		select {
-		case <-time.After(c.config.Members.Turn(c.config.FailureDomain, readsApart, minInterval, maxInterval)):
+		case <-time.After(c.config.Members.Turn(c.config.FailureDomain, readSpacing, minReadInterval, maxReadInterval)):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Read takes the notices in. Where the cloud does not answer nothing changes.
+// Read reads the notices once and acts on them. If the read fails, nothing
+// changes.
 func (c *Controller) Read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	notices, err := c.config.Cloud.Notices(ctx)
-	if c.changed(err != nil) {
-		c.config.Logger.Warn("cloud's notices", "available", err == nil, "cause", err)
+	if c.setFailing(err != nil) {
+		c.config.Logger.Warn("availability of reclaim notices changed", "available", err == nil, "cause", err)
 	}
 	if err != nil {
 		return
 	}
-	// This instance's own notice comes last, when the upstreams that leave with
-	// it are known to.
+	// This instance's own notice is handled last, so that upstreams reclaimed
+	// with it are already marked as leaving.
 	slices.SortStableFunc(notices, func(a, b zinniamast.Notice) int {
 		if a.Instance == b.Instance || a.Instance != c.config.Instance && b.Instance != c.config.Instance {
 			return 0
@@ -100,7 +104,7 @@
 		return -1
 	})
 	for _, n := range notices {
-		if !c.learn(n) {
+		if !c.record(n) {
 			continue
 		}
 		value, err := json.Marshal(n)
@@ -111,40 +115,40 @@
 			Topic:   TopicNotice,
 			Key:     n.Instance,
 			Value:   value,
-			Expires: time.Now().Add(newsLife),
+			Expires: time.Now().Add(newsTTL),
 			Wide:    true,
 		})
 	}
 }
 
-// changed records whether reads fail and reports whether that is new.
-func (c *Controller) changed(failing bool) bool {
+// setFailing records whether reads fail and reports whether that changed.
+func (c *Controller) setFailing(failing bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changed := c.failing != failing
-	c.failing = failing
+	changed := c.isFailing != failing
+	c.isFailing = failing
 	return changed
 }
 
-// hear takes a peer's notice in.
-func (c *Controller) hear(news zinniamast.News) {
+// receive handles a notice from a peer.
+func (c *Controller) receive(news zinniamast.News) {
 	var n zinniamast.Notice
 	if err := json.Unmarshal(news.Value, &n); err != nil {
-		c.config.Logger.Warn("notice not read", "origin", news.Origin, "cause", err)
+		c.config.Logger.Warn("failed to decode reclaim notice", "origin", news.Origin, "cause", err)
 		return
 	}
-	c.learn(n)
+	c.record(n)
 }
 
-// learn acts on a notice and reports whether it was new.
-func (c *Controller) learn(n zinniamast.Notice) bool {
+// record stores a notice, acts on it if it is new, and reports whether it was.
+func (c *Controller) record(n zinniamast.Notice) bool {
 	c.mu.Lock()
-	at, known := c.known[n.Instance]
-	fresh := !known || !at.Equal(n.At)
-	c.known[n.Instance] = n.At
-	c.forget()
+	at, isKnown := c.announced[n.Instance]
+	isNew := !isKnown || !at.Equal(n.At)
+	c.announced[n.Instance] = n.At
+	c.dropExpired()
 	c.mu.Unlock()
-	if !fresh {
+	if !isNew {
 		return false
 	}
 	c.config.Logger.Info("reclaim announced", "reclaimed", n.Instance, "at", n.At)
@@ -156,28 +160,29 @@
 	return true
 }
 
-// apply marks again what is announced and not yet carried out. A notice may
-// come before the lagging list has shown its upstream; without this the list
-// would bring it in as one that takes new work.
-func (c *Controller) apply() {
+// remarkLeaving marks the upstreams of all pending notices again. A notice may
+// arrive before the lagging list shows its upstream, which would otherwise be
+// added as available for new work.
+func (c *Controller) remarkLeaving() {
 	c.mu.Lock()
-	ahead := map[string]time.Time{}
-	for id, at := range c.known {
+	pending := map[string]time.Time{}
+	for id, at := range c.announced {
 		if time.Until(at) > 0 {
-			ahead[id] = at
+			pending[id] = at
 		}
 	}
 	c.mu.Unlock()
-	for id, at := range ahead {
+	for id, at := range pending {
 		c.config.Upstreams.MarkLeaving(id, at)
 	}
 }
 
-// forget drops notices long carried out; the caller holds the lock.
-func (c *Controller) forget() {
-	for id, at := range c.known {
-		if time.Since(at) > newsLife {
-			delete(c.known, id)
+// dropExpired removes notices whose time has passed by more than newsTTL; the
+// caller holds the lock.
+func (c *Controller) dropExpired() {
+	for id, at := range c.announced {
+		if time.Since(at) > newsTTL {
+			delete(c.announced, id)
 		}
 	}
 }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -17,36 +17,36 @@
 	"zinniamast/notice"
 )
 
-// bus carries news at once to all subscribers of other nodes.
+// bus delivers news at once to all subscribers on other nodes.
 type bus struct {
 	mu          sync.Mutex
 	subscribers map[string][]func(zinniamast.News)
 	published   int
 }
 
-type port struct {
+type busClient struct {
 	bus  *bus
-	name string
+	node string
 }
 
-func (p port) Publish(news zinniamast.News) {
+func (p busClient) Publish(news zinniamast.News) {
 	p.bus.mu.Lock()
 	defer p.bus.mu.Unlock()
 	p.bus.published++
 	for name, subscribers := range p.bus.subscribers {
 		for _, f := range subscribers {
-			if name != p.name {
+			if name != p.node {
 				f(news)
 			}
 		}
 	}
 }
 
-func (p port) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) {
-	p.bus.subscribers[p.name] = append(p.bus.subscribers[p.name], f)
+func (p busClient) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) {
+	p.bus.subscribers[p.node] = append(p.bus.subscribers[p.node], f)
 }
 
-// cloud answers with notices, or not at all.
+// cloud returns a list of notices, or an error while it is down.
 type cloud struct {
 	zinniamast.Cloud
 	notices []zinniamast.Notice
@@ -62,21 +62,22 @@
 	return c.notices, nil
 }
 
-// An upstream and an entry instance are reclaimed. One node can read the
-// cloud's API, the other cannot. Both stop sending work to the upstream, and
-// the entry instance hears of its own end, each once, whoever read it.
-func TestNoticeReachesWhomItConcerns(t *testing.T) {
+// An upstream and an entry instance are reclaimed while one node can read the
+// cloud API and the other cannot. Both nodes must stop sending work to the
+// upstream, and the entry instance must be informed of its own notice once,
+// whichever node reads it.
+func TestNoticeIsSharedAndActedOnOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		shared := &bus{subscribers: map[string][]func(zinniamast.News){}}
+		newsBus := &bus{subscribers: map[string][]func(zinniamast.News){}}
 		at := time.Now().Add(30 * time.Second)
-		seeing := &cloud{notices: []zinniamast.Notice{{Instance: "engine", At: at}, {Instance: "blind", At: at}, {Instance: "late", At: at}}}
-		blind := &cloud{down: true}
-		var told atomic.Int32
+		online := &cloud{notices: []zinniamast.Notice{{Instance: "engine", At: at}, {Instance: "offline", At: at}, {Instance: "late", At: at}}}
+		offline := &cloud{down: true}
+		var reclaimed atomic.Int32
 		var controllers []*notice.Controller
-		tables := map[string]*blackboard.Board{}
-		for name, c := range map[string]*cloud{"seeing": seeing, "blind": blind} {
+		boards := map[string]*blackboard.Board{}
+		for name, c := range map[string]*cloud{"online": online, "offline": offline} {
 			board := blackboard.New()
 			board.Upstreams.Add(&blackboard.Upstream{
 				Instance: zinniamast.Instance{
@@ -84,15 +85,15 @@
 					Started: time.Now(),
 				},
 			})
-			tables[name] = board
+			boards[name] = board
 			controller := notice.New(notice.Config{
 				Cloud:         c,
 				Upstreams:     board.Upstreams,
 				Members:       board.Members,
-				Gossip:        port{bus: shared, name: name},
+				Gossip:        busClient{bus: newsBus, node: name},
 				Instance:      name,
 				FailureDomain: "a",
-				OnOwn:         func(time.Time) { told.Add(1) },
+				OnOwn:         func(time.Time) { reclaimed.Add(1) },
 				Logger:        slog.New(slog.DiscardHandler),
 			})
 			controllers = append(controllers, controller)
@@ -102,7 +103,7 @@
 		}
 		time.Sleep(time.Second)
 		// The lagging list shows an upstream only after its notice.
-		for _, board := range tables {
+		for _, board := range boards {
 			board.Upstreams.Add(&blackboard.Upstream{
 				Instance: zinniamast.Instance{
 					ID:      "late",
@@ -111,17 +112,17 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		for _, board := range tables {
+		for _, board := range boards {
 			is.True(board.Upstreams.Get("late").Leaving())
 		}
-		for _, board := range tables {
+		for _, board := range boards {
 			upstream := board.Upstreams.Get("engine")
 			is.True(upstream.Leaving())
 			is.True(upstream.LeavesAt().Equal(at))
 		}
 		time.Sleep(20 * time.Second)
-		is.Equal(told.Load(), int32(1))
-		is.Equal(shared.published, 3) // each notice is news once
+		is.Equal(reclaimed.Load(), int32(1))
+		is.Equal(newsBus.published, 3) // each notice is published once
 		cancel()
 		synctest.Wait()
 	})
