--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -105,8 +105,8 @@
 		reportedByPeers: map[string]bool{},
 		absences:        map[string]absence{},
 	}
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(news zinniamast.News) { c.receiveLeaving(news, false) })
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(news zinniamast.News) { c.receiveLeaving(news, true) })
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(news zinniamast.GossipItem) { c.receiveLeaving(news, false) })
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(news zinniamast.GossipItem) { c.receiveLeaving(news, true) })
 	config.Gossip.Subscribe(TopicJoined, c.receiveJoined)
 	// The request path marks an upstream that refuses requests because it is
 	// leaving; the first node to see that informs the others.
@@ -279,19 +279,19 @@
 		c.config.Logger.Error("sign_not_encoded", "upstream", upstream, "error", err)
 		return
 	}
-	c.config.Gossip.Publish(zinniamast.News{
-		Topic:   topic,
-		Key:     upstream,
-		Value:   value,
-		Expires: time.Now().Add(newsTTL),
-		Wide:    true,
+	c.config.Gossip.Publish(zinniamast.GossipItem{
+		Topic:      topic,
+		Key:        upstream,
+		Value:      value,
+		Expires:    time.Now().Add(newsTTL),
+		AllDomains: true,
 	})
 }
 
 // receiveLeaving handles a report from another node. It bars the reported start
 // of the instance even if the instance is not known here yet, because a lagging
 // list may still show it as running.
-func (c *Controller) receiveLeaving(news zinniamast.News, gone bool) {
+func (c *Controller) receiveLeaving(news zinniamast.GossipItem, gone bool) {
 	var report leavingReport
 	if err := json.Unmarshal(news.Value, &report); err != nil {
 		c.config.Logger.Warn("sign_not_read", "upstream", news.Key, "origin", news.Origin, "error", err)
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -41,11 +41,11 @@
 type gossipStub struct {
 	id          string
 	peers       *[]*gossipStub
-	subscribers map[zinniamast.Topic]func(zinniamast.News)
+	subscribers map[zinniamast.Topic]func(zinniamast.GossipItem)
 	published   int
 }
 
-func (g *gossipStub) Publish(news zinniamast.News) {
+func (g *gossipStub) Publish(news zinniamast.GossipItem) {
 	g.published++
 	for _, peer := range *g.peers {
 		if f := peer.subscribers[news.Topic]; peer != g && f != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (g *gossipStub) Subscribe(topic zinniamast.Topic, f func(zinniamast.News)) {
+func (g *gossipStub) Subscribe(topic zinniamast.Topic, f func(zinniamast.GossipItem)) {
 	g.subscribers[topic] = f
 }
 
@@ -75,7 +75,7 @@
 			gossip: &gossipStub{
 				id:          fmt.Sprint(i),
 				peers:       &peers,
-				subscribers: map[zinniamast.Topic]func(zinniamast.News){},
+				subscribers: map[zinniamast.Topic]func(zinniamast.GossipItem){},
 			},
 		}
 		peers = append(peers, f.gossip)
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -111,12 +111,12 @@
 		if err != nil {
 			continue
 		}
-		c.config.Gossip.Publish(zinniamast.News{
-			Topic:   TopicNotice,
-			Key:     n.Instance,
-			Value:   value,
-			Expires: time.Now().Add(newsTTL),
-			Wide:    true,
+		c.config.Gossip.Publish(zinniamast.GossipItem{
+			Topic:      TopicNotice,
+			Key:        n.Instance,
+			Value:      value,
+			Expires:    time.Now().Add(newsTTL),
+			AllDomains: true,
 		})
 	}
 }
@@ -131,7 +131,7 @@
 }
 
 // receive handles a notice from a peer.
-func (c *Controller) receive(news zinniamast.News) {
+func (c *Controller) receive(news zinniamast.GossipItem) {
 	var n zinniamast.Notice
 	if err := json.Unmarshal(news.Value, &n); err != nil {
 		c.config.Logger.Warn("failed to decode reclaim notice", "origin", news.Origin, "cause", err)
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -20,7 +20,7 @@
 // bus delivers news at once to all subscribers on other nodes.
 type bus struct {
 	mu          sync.Mutex
-	subscribers map[string][]func(zinniamast.News)
+	subscribers map[string][]func(zinniamast.GossipItem)
 	published   int
 }
 
@@ -29,7 +29,7 @@
 	node string
 }
 
-func (p busClient) Publish(news zinniamast.News) {
+func (p busClient) Publish(news zinniamast.GossipItem) {
 	p.bus.mu.Lock()
 	defer p.bus.mu.Unlock()
 	p.bus.published++
@@ -42,7 +42,7 @@
 	}
 }
 
-func (p busClient) Subscribe(_ zinniamast.Topic, f func(zinniamast.News)) {
+func (p busClient) Subscribe(_ zinniamast.Topic, f func(zinniamast.GossipItem)) {
 	p.bus.subscribers[p.node] = append(p.bus.subscribers[p.node], f)
 }
 
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		newsBus := &bus{subscribers: map[string][]func(zinniamast.News){}}
+		newsBus := &bus{subscribers: map[string][]func(zinniamast.GossipItem){}}
 		at := time.Now().Add(30 * time.Second)
 		online := &cloud{notices: []zinniamast.Notice{{Instance: "engine", At: at}, {Instance: "offline", At: at}, {Instance: "late", At: at}}}
 		offline := &cloud{down: true}
