--- a/caller/answer.go
+++ b/caller/answer.go
@@ -13,50 +13,52 @@
 	"zinniamast/request"
 )
 
-// writeTimeout bounds one write to a caller that does not read.
+// writeTimeout bounds one write to a caller that reads too slowly or not at all.
 const writeTimeout = 30 * time.Second
 
-// answer writes one request's answer to one caller.
-type answer struct {
-	server  *Server
-	asked   *asked
-	reader  request.Reader
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	next    int
-	begun   bool
-	// sought says that the request was looked for since its last part.
-	sought   bool
+// answerWriter writes the answer of one request to one caller.
+type answerWriter struct {
+	server     *Server
+	request    *parsedRequest
+	reader     request.Reader
+	writer     http.ResponseWriter
+	control    *http.ResponseController
+	nextToken  int
+	headersSet bool
+	// searched means that the request has been searched for since the last
+	// progress, so that a failing source is replaced once and not in a loop.
+	searched bool
 	text     []byte
 	buffer   []byte
 	arena    fastjson.Arena
 	progress request.Progress
 }
 
-// serve writes until the answer has ended and reports whether the caller has it whole.
-func (a *answer) serve(ctx context.Context) bool {
+// serve writes until the answer has ended and reports whether the caller has
+// received the complete result, which may be a refusal.
+func (a *answerWriter) serve(ctx context.Context) bool {
 	a.control = http.NewResponseController(a.writer)
 	for {
 		if err := a.reader.Read(ctx, &a.progress); err != nil {
-			if a.seek(ctx) {
+			if a.reattach(ctx) {
 				continue
 			}
-			return a.cut(ctx)
+			return a.failMoved(ctx)
 		}
-		a.sought = false
-		// A caller that attaches later reads old tokens; the time since acceptance
-		// would count as a wait that nobody had.
-		if a.asked.fresh && a.progress.Index == 0 && len(a.progress.Ends) > 0 {
-			a.server.config.Metrics.first(string(a.asked.call.Class), time.Since(a.asked.call.Accepted))
+		a.searched = false
+		// A caller that attaches later reads tokens from the buffer; the time since
+		// acceptance is not what that caller waited for its first token.
+		if a.request.isNew && a.progress.Index == 0 && len(a.progress.Ends) > 0 {
+			a.server.config.Metrics.observeFirstToken(string(a.request.call.Class), time.Since(a.request.call.Accepted))
 		}
-		a.next = a.progress.Index + len(a.progress.Ends)
-		if err := a.take(); err != nil {
+		a.nextToken = a.progress.Index + len(a.progress.Ends)
+		if err := a.deliver(); err != nil {
 			return false
 		}
 		switch a.progress.State {
 		case request.StateWhole:
-			a.server.config.Metrics.answered(a.asked.call.Model)
-			return a.whole() == nil
+			a.server.config.Metrics.countAnswer(a.request.call.Model)
+			return a.finish() == nil
 		case request.StateFailed:
 			a.fail(a.progress.Refusal)
 			return true
@@ -66,21 +68,23 @@
 	}
 }
 
-// seek looks once for the request after its source has gone.
+// reattach searches once for the request after the reader has failed and
+// reports whether it is read from a new source.
 //
-// Failure: a node hands its requests over and ends at once. A peer that reads
-// there for its own callers does not hear where they went, and its callers were
-// sent away, although the peer may hold the request itself.
-func (a *answer) seek(ctx context.Context) bool {
-	if ctx.Err() != nil || a.sought {
+// A node that is stopping hands its requests over and exits at once. A peer
+// that reads from it on behalf of its own callers does not learn the new holder.
+// Without the search it would refuse its callers, although it may itself hold
+// the request.
+func (a *answerWriter) reattach(ctx context.Context) bool {
+	if ctx.Err() != nil || a.searched {
 		return false
 	}
-	a.sought = true
-	asked := *a.asked
-	asked.query.ID = a.asked.call.ID
-	asked.query.From = a.next
-	asked.query.Epoch = a.progress.Epoch
-	reader, refusal := a.server.attach(ctx, &asked)
+	a.searched = true
+	search := *a.request
+	search.query.ID = a.request.call.ID
+	search.query.From = a.nextToken
+	search.query.Epoch = a.progress.Epoch
+	reader, refusal := a.server.attach(ctx, &search)
 	if refusal != nil {
 		return false
 	}
@@ -89,18 +93,19 @@
 	return true
 }
 
-// follow goes on reading from the peer that now holds the request.
-func (a *answer) follow(peer string) {
+// follow continues reading from the peer that now holds the request.
+func (a *answerWriter) follow(peer string) {
 	a.reader.Close(false)
-	query := a.asked.query
-	query.ID = a.asked.call.ID
-	query.From = a.next
+	query := a.request.query
+	query.ID = a.request.call.ID
+	query.From = a.nextToken
 	query.Epoch = a.progress.Epoch
 	a.reader = a.server.config.Locator.Follow(peer, query)
 }
 
-// cut ends an answer whose source has gone while its caller still waits.
-func (a *answer) cut(ctx context.Context) bool {
+// failMoved refuses the rest of an answer whose source is unavailable, unless the
+// caller has disconnected; the caller can resume at another node.
+func (a *answerWriter) failMoved(ctx context.Context) bool {
 	if ctx.Err() == nil {
 		a.fail(zinniamast.Refuse(zinniamast.ReasonMoved,
 			"the request goes on at another node; ask again with %s or %s", HeaderLastEvent, HeaderKey).
@@ -109,35 +114,37 @@
 	return false
 }
 
-// take passes new tokens on, or keeps them for an answer that is not streamed.
-func (a *answer) take() error {
-	if !a.asked.stream {
+// deliver writes new tokens to the caller, or buffers them if the answer is not
+// streamed.
+func (a *answerWriter) deliver() error {
+	if !a.request.stream {
 		a.text = append(a.text, a.progress.Text...)
 		return nil
 	}
 	if len(a.progress.Ends) == 0 {
 		return nil
 	}
-	return a.event(a.progress.Text, a.next)
+	return a.writeTokens(a.progress.Text, a.nextToken)
 }
 
-// begin sends the headers of a streamed answer. They wait for the first
-// token, so that a refusal before it keeps its own status.
-func (a *answer) begin() {
-	if a.begun {
+// setHeaders sets the headers of a streamed answer. It is called with the first
+// token and not before, so that an earlier refusal can set its own HTTP status.
+func (a *answerWriter) setHeaders() {
+	if a.headersSet {
 		return
 	}
-	a.begun = true
+	a.headersSet = true
 	header := a.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
-	header.Set(HeaderRequest, a.asked.call.ID)
+	header.Set(HeaderRequest, a.request.call.ID)
 }
 
-// event writes new tokens as one event whose id lets the caller go on after it.
-func (a *answer) event(text []byte, next int) error {
-	a.begin()
-	b := a.open(next)
+// writeTokens writes new tokens as one event, whose ID lets the caller resume
+// after it.
+func (a *answerWriter) writeTokens(text []byte, next int) error {
+	a.setHeaders()
+	b := a.openEvent(next)
 	if next == len(a.progress.Ends) {
 		b = append(b, `"role":"assistant",`...)
 	}
@@ -148,36 +155,36 @@
 	return a.write(b)
 }
 
-// open writes an event up to the inside of its delta.
-func (a *answer) open(next int) []byte {
+// openEvent returns the beginning of an event, up to the fields of its delta.
+func (a *answerWriter) openEvent(next int) []byte {
 	b := append(a.buffer[:0], "id: "...)
-	b = append(b, a.asked.call.ID...)
+	b = append(b, a.request.call.ID...)
 	b = append(b, ':')
 	b = strconv.AppendInt(b, int64(a.progress.Epoch), 10)
 	b = append(b, ':')
 	b = strconv.AppendInt(b, int64(next), 10)
 	b = append(b, "\ndata: "...)
-	b = a.head(b)
+	b = a.appendChunkHead(b)
 	return append(b, `"choices":[{"index":0,"delta":{`...)
 }
 
-// head writes the fields that every chunk begins with.
-func (a *answer) head(b []byte) []byte {
+// appendChunkHead appends the fields that every chunk begins with.
+func (a *answerWriter) appendChunkHead(b []byte) []byte {
 	b = append(b, `{"id":"chatcmpl-`...)
-	b = append(b, a.asked.call.ID...)
+	b = append(b, a.request.call.ID...)
 	b = append(b, `","object":"chat.completion.chunk","created":`...)
-	b = strconv.AppendInt(b, a.asked.call.Accepted.Unix(), 10)
+	b = strconv.AppendInt(b, a.request.call.Accepted.Unix(), 10)
 	b = append(b, `,"model":`...)
 	a.arena.Reset()
-	b = a.arena.NewString(a.asked.call.Model).MarshalTo(b)
+	b = a.arena.NewString(a.request.call.Model).MarshalTo(b)
 	return append(b, ',')
 }
 
-// write sends one or more events at once. A caller that reads too slowly is
-// cut off; its request goes on and can be attached to again.
-func (a *answer) write(b []byte) error {
+// write writes and flushes b. A caller that reads too slowly is disconnected;
+// its request continues, and the caller can attach to it again.
+func (a *answerWriter) write(b []byte) error {
 	a.buffer = b
-	// Not every writer has deadlines; those of the node's listeners do.
+	// Not every ResponseWriter supports deadlines; those of the node's listeners do.
 	_ = a.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := a.writer.Write(b); err != nil {
 		return err
@@ -185,19 +192,20 @@
 	return a.control.Flush()
 }
 
-// whole writes the end of a whole answer.
-func (a *answer) whole() error {
-	if !a.asked.stream {
-		return a.completion()
+// finish writes the end of a complete answer: the last events of a stream, or the
+// whole body of an answer that is not streamed.
+func (a *answerWriter) finish() error {
+	if !a.request.stream {
+		return a.writeCompletion()
 	}
-	a.begin()
-	b := a.open(a.next)
+	a.setHeaders()
+	b := a.openEvent(a.nextToken)
 	b = append(b, `},"finish_reason":"`...)
 	b = append(b, a.progress.Finish...)
 	b = append(b, "\"}]}\n\n"...)
-	if a.asked.includeUsage {
+	if a.request.includeUsage {
 		b = append(b, "data: "...)
-		b = a.head(b)
+		b = a.appendChunkHead(b)
 		b = append(b, `"choices":[],"usage":`...)
 		b = appendUsage(b, a.progress.Usage)
 		b = append(b, "}\n\n"...)
@@ -220,18 +228,18 @@
 	return append(b, '}')
 }
 
-// completion writes an answer that is not streamed.
-func (a *answer) completion() error {
+// writeCompletion writes an answer that is not streamed.
+func (a *answerWriter) writeCompletion() error {
 	header := a.writer.Header()
 	header.Set("Content-Type", "application/json")
-	header.Set(HeaderRequest, a.asked.call.ID)
+	header.Set(HeaderRequest, a.request.call.ID)
 	b := append(a.buffer[:0], `{"id":"chatcmpl-`...)
-	b = append(b, a.asked.call.ID...)
+	b = append(b, a.request.call.ID...)
 	b = append(b, `","object":"chat.completion","created":`...)
-	b = strconv.AppendInt(b, a.asked.call.Accepted.Unix(), 10)
+	b = strconv.AppendInt(b, a.request.call.Accepted.Unix(), 10)
 	b = append(b, `,"model":`...)
 	a.arena.Reset()
-	b = a.arena.NewString(a.asked.call.Model).MarshalTo(b)
+	b = a.arena.NewString(a.request.call.Model).MarshalTo(b)
 	b = append(b, `,"choices":[{"index":0,"message":{"role":"assistant","content":`...)
 	a.arena.Reset()
 	b = a.arena.NewStringBytes(a.text).MarshalTo(b)
@@ -244,21 +252,21 @@
 	return a.write(b)
 }
 
-// fail ends an answer in a refusal: with its own status before the first
-// token, as an error event without the end mark after it.
-func (a *answer) fail(refusal *zinniamast.Refusal) {
-	if !a.begun {
+// fail ends the answer with a refusal. Before the first token the refusal sets
+// the HTTP status; afterwards it is an error event, with no [DONE] event after it.
+func (a *answerWriter) fail(refusal *zinniamast.Refusal) {
+	if !a.headersSet {
 		a.server.refuse(a.writer, refusal)
 		return
 	}
-	a.server.count(refusal)
-	content, err := json.Marshal(bodyOf(refusal))
+	a.server.recordRefusal(refusal)
+	content, err := json.Marshal(newErrorBody(refusal))
 	if err != nil {
 		return
 	}
 	b := append(a.buffer[:0], "data: "...)
 	b = append(b, content...)
 	b = append(b, "\n\n"...)
-	// A caller that has gone cannot be told.
+	// The error is ignored because the caller may have disconnected.
 	_ = a.write(b)
 }
--- a/caller/body.go
+++ b/caller/body.go
@@ -9,15 +9,16 @@
 	"zinniamast"
 )
 
-// bodyTimeout bounds how long a caller may take to send its body.
+// bodyTimeout bounds how long a caller may take to send the request body.
 const bodyTimeout = 30 * time.Second
 
-// ReadBody reads a whole body of at most limit bytes. A caller that sends a
-// byte now and then would otherwise hold a connection and its memory for ever;
-// the deadline ends with the body, so that it does not cut a long answer.
+// ReadBody reads a whole request body of at most limit bytes. A read deadline
+// applies, because a caller that sends a byte now and then would otherwise hold
+// its connection and memory indefinitely. The deadline is cleared after the body,
+// so that it does not interrupt a long answer.
 func ReadBody(w http.ResponseWriter, q *http.Request, limit int64) ([]byte, *zinniamast.Refusal) {
 	control := http.NewResponseController(w)
-	// Not every writer has deadlines; those of the node's listeners do.
+	// Not every ResponseWriter supports deadlines; those of the node's listeners do.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -35,41 +35,42 @@
 	"zinniamast/standin/memnet"
 )
 
-// site is a callers' side before one stand-in engine, on loopback.
-type site struct {
-	url     string
-	board   *blackboard.Board
-	engine  *standin.Engine
-	cutNext func()
+// testServer is a caller.Server on loopback, with one stand-in engine as upstream.
+type testServer struct {
+	url      string
+	board    *blackboard.Board
+	engine   *standin.Engine
+	dropNext func()
 }
 
-type openQuarantine struct{}
+type noQuarantine struct{}
 
-func (openQuarantine) Check(uint64) (bool, error)      { return false, nil }
-func (openQuarantine) Apart(uint64, []string) []string { return nil }
-func (openQuarantine) Running(string, uint64)          {}
-func (openQuarantine) Ended(string, uint64)            {}
-func (openQuarantine) Crashed(string)                  {}
+func (noQuarantine) Check(uint64) (bool, error)      { return false, nil }
+func (noQuarantine) Apart(uint64, []string) []string { return nil }
+func (noQuarantine) Running(string, uint64)          {}
+func (noQuarantine) Ended(string, uint64)            {}
+func (noQuarantine) Crashed(string)                  {}
 
-// alone knows no other nodes.
-type alone struct{}
+// noPeers is a Locator of a node without peers.
+type noPeers struct{}
 
-func (alone) Find(context.Context, caller.Query) request.Reader { return nil }
-func (alone) Enter(context.Context, caller.Query) (request.Reader, *zinniamast.Refusal) {
+func (noPeers) Find(context.Context, caller.Query) request.Reader { return nil }
+func (noPeers) Enter(context.Context, caller.Query) (request.Reader, *zinniamast.Refusal) {
 	return nil, nil
 }
-func (alone) Follow(string, caller.Query) request.Reader { return nil }
-func (alone) Orphaned(caller.Query)                      {}
+func (noPeers) Follow(string, caller.Query) request.Reader { return nil }
+func (noPeers) Orphaned(caller.Query)                      {}
 
-func newSite(t testing.TB) *site {
+func newTestServer(t testing.TB) *testServer {
 	t.Helper()
-	return newSiteBeside(t, alone{})
+	return newTestServerWithPeers(t, noPeers{})
 }
 
-// newSiteBeside starts a site that finds requests at other nodes.
-func newSiteBeside(t testing.TB, others caller.Locator) *site {
+// newTestServerWithPeers starts a server that finds requests of other nodes through
+// peers.
+func newTestServerWithPeers(t testing.TB, peers caller.Locator) *testServer {
 	t.Helper()
-	s := &site{
+	s := &testServer{
 		board: blackboard.New(),
 		engine: standin.New(standin.Config{
 			BetweenTokens: 2 * time.Millisecond,
@@ -107,17 +108,17 @@
 			Board: s.board,
 		}),
 		Retry:      retry.New(retry.Config{}),
-		Quarantine: openQuarantine{},
+		Quarantine: noQuarantine{},
 		Logger:     logger,
 		Metrics:    attempt.NewMetrics(registry),
 	})
-	server := httptest.NewServer(s.cutting(caller.New(caller.Config{
+	server := httptest.NewServer(s.dropping(caller.New(caller.Config{
 		Board:  s.board,
 		Runner: runner,
 		Limiter: limits.New(limits.Config{
 			Board: s.board,
 		}),
-		Locator:  others,
+		Locator:  peers,
 		Stopping: func() bool { return false },
 		Context:  t.Context(),
 		Logger:   logger,
@@ -128,16 +129,17 @@
 	return s
 }
 
-// cutting cuts the connection of the next request once, while it runs.
-func (s *site) cutting(handler http.Handler) http.Handler {
-	cut := false
-	s.cutNext = func() { cut = true }
+// dropping wraps handler so that, after a call of dropNext, the connection of the
+// next request is closed while the request runs.
+func (s *testServer) dropping(handler http.Handler) http.Handler {
+	drop := false
+	s.dropNext = func() { drop = true }
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if !cut {
+		if !drop {
 			handler.ServeHTTP(w, q)
 			return
 		}
-		cut = false
+		drop = false
 		ctx, cancel := context.WithTimeout(q.Context(), 20*time.Millisecond)
 		defer cancel()
 		handler.ServeHTTP(httptest.NewRecorder(), q.WithContext(ctx))
@@ -145,7 +147,7 @@
 	})
 }
 
-func (s *site) post(t *testing.T, header map[string]string, body string) *http.Response {
+func (s *testServer) post(t *testing.T, header map[string]string, body string) *http.Response {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -163,27 +165,27 @@
 	return answer
 }
 
-const ask = `{"model":"summary","max_tokens":80,"messages":[{"role":"user","content":"clauses"}]}`
+const chatBody = `{"model":"summary","max_tokens":80,"messages":[{"role":"user","content":"clauses"}]}`
 
-func TestRefusalsSayWhy(t *testing.T) {
-	s := newSite(t)
+func TestRefusalsCarryReason(t *testing.T) {
+	s := newTestServer(t)
 	tests := map[string]struct {
 		header map[string]string
 		body   string
 		status int
 		reason zinniamast.Reason
 	}{
-		"stranger":     {map[string]string{"Authorization": "Bearer no"}, ask, 401, zinniamast.ReasonUnauthorised},
-		"not JSON":     {nil, `{"model":`, 400, zinniamast.ReasonMalformed},
-		"no messages":  {nil, `{"model":"summary","messages":[]}`, 400, zinniamast.ReasonMalformed},
-		"two answers":  {nil, `{"model":"summary","n":2,"messages":[1]}`, 400, zinniamast.ReasonMalformed},
-		"given twice":  {nil, `{"model":"summary","messages":[1],"model":"other"}`, 400, zinniamast.ReasonMalformed},
-		"no such":      {nil, `{"model":"other","messages":[1]}`, 404, zinniamast.ReasonUnknownModel},
-		"oversized":    {nil, `{"model":"summary","messages":["` + strings.Repeat("x", 70<<10) + `"]}`, 413, zinniamast.ReasonOversized},
-		"class":        {map[string]string{caller.HeaderClass: "first"}, ask, 400, zinniamast.ReasonMalformed},
-		"deadline":     {map[string]string{caller.HeaderDeadline: "-1s"}, ask, 504, zinniamast.ReasonPastDeadline},
-		"last event":   {map[string]string{caller.HeaderLastEvent: "x:1"}, ask, 400, zinniamast.ReasonMalformed},
-		"lost request": {map[string]string{caller.HeaderLastEvent: "x:0:1"}, ask, 410, zinniamast.ReasonRequestLost},
+		"unknown key":     {map[string]string{"Authorization": "Bearer no"}, chatBody, 401, zinniamast.ReasonUnauthorised},
+		"not JSON":        {nil, `{"model":`, 400, zinniamast.ReasonMalformed},
+		"no messages":     {nil, `{"model":"summary","messages":[]}`, 400, zinniamast.ReasonMalformed},
+		"two answers":     {nil, `{"model":"summary","n":2,"messages":[1]}`, 400, zinniamast.ReasonMalformed},
+		"duplicate field": {nil, `{"model":"summary","messages":[1],"model":"other"}`, 400, zinniamast.ReasonMalformed},
+		"unknown model":   {nil, `{"model":"other","messages":[1]}`, 404, zinniamast.ReasonUnknownModel},
+		"oversized":       {nil, `{"model":"summary","messages":["` + strings.Repeat("x", 70<<10) + `"]}`, 413, zinniamast.ReasonOversized},
+		"class":           {map[string]string{caller.HeaderClass: "first"}, chatBody, 400, zinniamast.ReasonMalformed},
+		"deadline":        {map[string]string{caller.HeaderDeadline: "-1s"}, chatBody, 504, zinniamast.ReasonPastDeadline},
+		"last event":      {map[string]string{caller.HeaderLastEvent: "x:1"}, chatBody, 400, zinniamast.ReasonMalformed},
+		"lost request":    {map[string]string{caller.HeaderLastEvent: "x:0:1"}, chatBody, 410, zinniamast.ReasonRequestLost},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -202,13 +204,13 @@
 			is.True(content.Error.Message != "")
 		})
 	}
-	is.New(t).Equal(s.engine.Counts().Started, 0) // nothing of it ran
+	is.New(t).Equal(s.engine.Counts().Started, 0) // no refused request ran
 }
 
-// A node that has just started has no configuration and so knows no key. Its
-// callers must not hear that their key is unknown, at which they give up; they
-// are told that nothing ran and when to come back.
-func TestStartingNodeSendsNobodyAway(t *testing.T) {
+// Guards against refusing every API key as unknown, at which callers give up, while
+// a node that has just started has no configuration yet. The refusal must say that
+// nothing ran and ask for a retry.
+func TestStartingNodeAsksForRetry(t *testing.T) {
 	is := is.New(t)
 	recorder := httptest.NewRecorder()
 	server := caller.New(caller.Config{
@@ -216,13 +218,13 @@
 		Logger:  slog.New(slog.DiscardHandler),
 		Metrics: caller.NewMetrics(prometheus.NewRegistry()),
 	})
-	server.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(ask)))
+	server.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(chatBody)))
 	is.Equal(recorder.Code, http.StatusServiceUnavailable)
 	is.True(strings.Contains(recorder.Body.String(), `"reason":"starting","ran":"not_run"`))
 	is.Equal(recorder.Header().Get("X-Should-Retry"), "true")
 
-	// The booking may have run through another node before; only a caller that
-	// vouches for its key hears that it did not run.
+	// The booking may have run earlier through another node. The refusal says "not
+	// run" only if the caller asserts that nothing has run under its key.
 	for first, ran := range map[string]string{"": "unknown", "true": "not_run"} {
 		booking := httptest.NewRequest(http.MethodPost, "/services/booking/reservations", nil)
 		booking.Header.Set(caller.HeaderKey, "cage-7")
@@ -233,13 +235,13 @@
 	}
 }
 
-// The connection dies while the public client waits, and the client asks
-// again by itself, without a key. It gets the answer of the first run; the
-// engine runs once.
-func TestDefaultClientsRetryIsNoSecondRun(t *testing.T) {
+// Guards against a second run when the connection of a common client library breaks
+// and the library retries by itself, without an idempotency key. The retry must
+// receive the answer of the first run.
+func TestRetryWithoutKeyJoinsFirstRun(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
-	s.cutNext()
+	s := newTestServer(t)
+	s.dropNext()
 	client := openai.NewClient(option.WithBaseURL(s.url+"/v1"), option.WithAPIKey("key"))
 	params := openai.ChatCompletionNewParams{
 		Model:     "summary",
@@ -254,14 +256,14 @@
 	is.Equal(s.engine.Counts().Started, 1)
 }
 
-// A caller with a key loses its stream in the middle and comes back with the
-// last event's id. The answer goes on with the next token; with the key alone
-// it comes again from the start; with another body the key is refused.
-func TestCallerComesBack(t *testing.T) {
+// Guards against lost or repeated tokens when a caller loses its stream halfway. With
+// the ID of the last event the answer continues with the next token; with only the
+// key it starts again from the first token; with another body the key is refused.
+func TestCallerResumesStream(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t)
+	s := newTestServer(t)
 	header := map[string]string{caller.HeaderKey: "k"}
-	stream := `{"stream":true,` + ask[1:]
+	stream := `{"stream":true,` + chatBody[1:]
 	first := s.post(t, header, stream)
 	lines := bufio.NewScanner(first.Body)
 	id, text := "", ""
@@ -286,11 +288,11 @@
 		readLine(line, &id, &text)
 	}
 	is.Equal(text, want)
-	is.Equal(s.post(t, header, strings.Replace(ask, "80", "81", 1)).StatusCode, 422)
+	is.Equal(s.post(t, header, strings.Replace(chatBody, "80", "81", 1)).StatusCode, 422)
 	is.Equal(s.engine.Counts().Started, 1)
 }
 
-// readLine takes the event id and the text out of one line of a stream.
+// readLine extracts the event ID and the text from one line of a stream.
 func readLine(line string, id, text *string) {
 	if value, ok := strings.CutPrefix(line, "id: "); ok {
 		*id = value
@@ -311,10 +313,10 @@
 	}
 }
 
-// A caller opens a connection, announces a body and sends it in pieces that
-// take longer than the node waits. It hears that its body did not arrive whole,
-// and an answer that takes longer than that wait is not cut by it.
-func TestSlowBodyIsNotWaitedFor(t *testing.T) {
+// Guards against a caller that sends its body in small pieces and occupies a
+// connection for longer than the body timeout. The request must be refused, and the
+// timeout must not interrupt an answer that takes longer.
+func TestSlowBodyIsRefused(t *testing.T) {
 	is := is.New(t)
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New()
@@ -330,7 +332,7 @@
 		slow, feed := io.Pipe()
 		go func() {
 			for range 20 {
-				// The node stops reading at some point; what is left fails.
+				// The node stops reading after the body timeout; later writes fail.
 				_, _ = feed.Write([]byte("x"))
 				time.Sleep(10 * time.Second)
 			}
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -11,54 +11,56 @@
 )
 
 const (
-	// orphanLinger is how long a request without a key goes on after its caller
-	// went away: the usual clients ask again within it.
-	orphanLinger = 10 * time.Second
-	// bytesPerAnswerToken is what a token of an answer takes in memory: text,
-	// identifier and end.
+	// orphanGrace is how long a request without an idempotency key continues after
+	// its caller has disconnected; common client libraries retry within this time.
+	orphanGrace = 10 * time.Second
+	// bytesPerAnswerToken is the memory for one token of an answer: its text, its
+	// token ID and the offset of its end.
 	bytesPerAnswerToken = 16
 )
 
-// chat serves one chat-completions request.
+// chat handles one chat-completions request.
 func (s *Server) chat(w http.ResponseWriter, q *http.Request) {
 	a, refusal := s.parse(w, q)
 	if refusal != nil {
 		s.refuse(w, refusal)
 		return
 	}
-	reader, refusal := s.open(q.Context(), a)
+	reader, refusal := s.openReader(q.Context(), a)
 	if refusal != nil {
 		s.refuse(w, refusal)
 		return
 	}
 	a.call.ID = reader.Request()
-	answer := &answer{
-		server: s,
-		asked:  a,
-		reader: reader,
-		writer: w,
-		next:   a.query.From,
+	answer := &answerWriter{
+		server:    s,
+		request:   a,
+		reader:    reader,
+		writer:    w,
+		nextToken: a.query.From,
 	}
 	delivered := answer.serve(q.Context())
 	answer.reader.Close(delivered)
 	if !delivered {
-		s.orphaned(a)
+		s.handleOrphan(a)
 	}
 }
 
-// open attaches to the request the caller means, or accepts a new one.
-func (s *Server) open(ctx context.Context, a *asked) (request.Reader, *zinniamast.Refusal) {
+// openReader attaches to the existing request that the caller refers to, or
+// accepts a new one.
+func (s *Server) openReader(ctx context.Context, a *parsedRequest) (request.Reader, *zinniamast.Refusal) {
 	if a.query.ID != "" {
 		return s.attach(ctx, a)
 	}
-	if reader, refusal := s.again(ctx, a); reader != nil || refusal != nil {
+	if reader, refusal := s.findRepeated(ctx, a); reader != nil || refusal != nil {
 		return reader, refusal
 	}
 	return s.accept(ctx, a)
 }
 
-// attach goes on with a request that the caller names by Last-Event-ID.
-func (s *Server) attach(ctx context.Context, a *asked) (request.Reader, *zinniamast.Refusal) {
+// attach resumes a request that the caller identifies by Last-Event-ID, held by
+// this node or by a peer.
+func (s *Server) attach(ctx context.Context, a *parsedRequest) (request.Reader, *zinniamast.Refusal) {
 	known := s.config.Board.Requests.Get(a.query.ID)
 	if known != nil && known.Call.Organisation == a.call.Organisation {
 		a.call = known.Call
@@ -78,10 +80,11 @@
 		"no node can go on with request %s from there; send it again without %s", id, HeaderLastEvent).With(zinniamast.Unknown)
 }
 
-// again finds the request that a caller sends once more, by its key or, for
-// the usual clients that retry without one, by the body of a request that
-// lost its caller. A second run would cost its tokens twice.
-func (s *Server) again(ctx context.Context, a *asked) (request.Reader, *zinniamast.Refusal) {
+// findRepeated finds the request that a caller is retrying: by its idempotency key
+// or, for common client libraries that retry without a key, by the body of a
+// request whose caller has disconnected. A second run would compute all tokens
+// twice.
+func (s *Server) findRepeated(ctx context.Context, a *parsedRequest) (request.Reader, *zinniamast.Refusal) {
 	requests := s.config.Board.Requests
 	if a.call.Key != "" {
 		if known := requests.ByKey(a.call.Organisation, a.call.Key); known != nil {
@@ -98,8 +101,9 @@
 	return s.config.Locator.Find(ctx, a.query), nil
 }
 
-// join attaches to a request of the same key, if the body is the same too.
-func (s *Server) join(a *asked, known *request.Request) (request.Reader, *zinniamast.Refusal) {
+// join attaches to a known request of the same key or body. It refuses if the
+// fingerprint differs, which means that the key was used with another body.
+func (s *Server) join(a *parsedRequest, known *request.Request) (request.Reader, *zinniamast.Refusal) {
 	if known.Call.Fingerprint != a.call.Fingerprint {
 		return nil, keyConflict(a.call.Key)
 	}
@@ -112,7 +116,7 @@
 }
 
 // accept admits a new request and starts it.
-func (s *Server) accept(ctx context.Context, a *asked) (request.Reader, *zinniamast.Refusal) {
+func (s *Server) accept(ctx context.Context, a *parsedRequest) (request.Reader, *zinniamast.Refusal) {
 	if s.config.Stopping() {
 		return nil, zinniamast.Refuse(zinniamast.ReasonStopping, "this node is stopping; another one takes the request").After(time.Second)
 	}
@@ -129,7 +133,7 @@
 	})
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
-		s.missed(call, refusal)
+		s.reportUnserved(call, refusal)
 		return nil, refusal
 	}
 	q := request.New(*call)
@@ -138,17 +142,19 @@
 		return s.join(a, known)
 	}
 	if call.Key != "" {
-		// A peer may hold the key already: the balancer sends a retry anywhere.
+		// A peer may already hold the key, because the load balancer may send a retry
+		// to any node.
 		a.query.ID = call.ID
 		if reader, refusal := s.config.Locator.Enter(ctx, a.query); reader != nil || refusal != nil {
-			// Whoever joined this entry in between asks again and joins the peer's.
+			// Callers that have joined this request in the meantime are refused; when
+			// they retry, they join the request of the peer.
 			q.Fail(zinniamast.Refuse(zinniamast.ReasonInProgress, "another node runs this key").After(time.Second))
 			s.config.Board.Requests.Remove(q)
 			ticket.Release()
 			return reader, refusal
 		}
 	}
-	a.fresh = true
+	a.isNew = true
 	reader := q.Watch(0)
 	go func() {
 		defer ticket.Release()
@@ -157,8 +163,9 @@
 	return reader, nil
 }
 
-// missed tells the capacity side of work that there was no room for.
-func (s *Server) missed(call *request.Call, refusal *zinniamast.Refusal) {
+// reportUnserved reports work that was refused for lack of capacity, as demand for
+// scaling.
+func (s *Server) reportUnserved(call *request.Call, refusal *zinniamast.Refusal) {
 	if s.config.Missed == nil {
 		return
 	}
@@ -168,9 +175,11 @@
 	}
 }
 
-// orphaned ends a request without a key that nobody came back for: a caller
-// that pressed stop must not keep a replica busy to the end.
-func (s *Server) orphaned(a *asked) {
+// handleOrphan announces to peers that the request has lost its caller. If the
+// request has no idempotency key and no caller attaches again, it is cancelled
+// after a delay, so that a caller who has pressed stop does not keep a replica
+// busy until the end of the answer.
+func (s *Server) handleOrphan(a *parsedRequest) {
 	q := s.config.Board.Requests.Get(a.call.ID)
 	if q == nil {
 		return
@@ -181,8 +190,8 @@
 	if q.Call.Key != "" {
 		return
 	}
-	time.AfterFunc(orphanLinger, func() {
-		if q.OrphanedFor(orphanLinger / 2) {
+	time.AfterFunc(orphanGrace, func() {
+		if q.OrphanedFor(orphanGrace / 2) {
 			q.Fail(zinniamast.Refuse(zinniamast.ReasonCancelled, "the caller went away").With(zinniamast.DidRun))
 		}
 	})
@@ -196,7 +205,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists the models on offer.
+// models lists the configured models.
 func (s *Server) models(w http.ResponseWriter, _ *http.Request) {
 	list := struct {
 		Object string  `json:"object"`
@@ -213,6 +222,6 @@
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone cannot be told.
+	// The error is ignored because the caller may have disconnected.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/caller/metrics.go
+++ b/caller/metrics.go
@@ -9,14 +9,15 @@
 	"zinniamast"
 )
 
-// Metrics counts what callers get.
+// Metrics counts answers and refusals and measures the time to the first token.
 type Metrics struct {
 	refusals   *prometheus.CounterVec
 	answers    *prometheus.CounterVec
 	firstToken *prometheus.HistogramVec
 }
 
-// NewMetrics registers the callers' metrics, each refusal reason with zero.
+// NewMetrics registers the metrics. Every refusal reason starts with the value
+// zero, so that its series exists before the first refusal.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	factory := promauto.With(registerer)
 	m := &Metrics{
@@ -40,12 +41,12 @@
 	return m
 }
 
-func (m *Metrics) refused(refusal *zinniamast.Refusal) {
+func (m *Metrics) countRefusal(refusal *zinniamast.Refusal) {
 	m.refusals.WithLabelValues(string(refusal.Reason), string(refusal.Ran)).Inc()
 }
 
-func (m *Metrics) answered(model string) { m.answers.WithLabelValues(model).Inc() }
+func (m *Metrics) countAnswer(model string) { m.answers.WithLabelValues(model).Inc() }
 
-func (m *Metrics) first(class string, wait time.Duration) {
+func (m *Metrics) observeFirstToken(class string, wait time.Duration) {
 	m.firstToken.WithLabelValues(class).Observe(wait.Seconds())
 }
--- a/caller/parse.go
+++ b/caller/parse.go
@@ -16,44 +16,48 @@
 
 // Headers that a caller may send; docs/CALLERS.md describes them.
 const (
-	// HeaderKey names the request, so that asking again attaches to it.
+	// HeaderKey is the idempotency key; a retry with the same key attaches to the
+	// first request.
 	HeaderKey = "Idempotency-Key"
-	// HeaderFirst set to true vouches that nothing can have run under the key: it
-	// was never sent, or every sending was answered with "not run".
+	// HeaderFirst set to true asserts that nothing can have run under the key: the
+	// key was never sent before, or every earlier request was answered with "not run".
 	HeaderFirst = "Zinniamast-First-Sending"
-	// HeaderDeadline is a duration such as 30s from now.
+	// HeaderDeadline is the time that the caller waits, as a duration such as 30s.
 	HeaderDeadline = "Zinniamast-Deadline"
-	// HeaderClass is urgent, normal or bulk.
+	// HeaderClass is the priority class: urgent, normal or bulk.
 	HeaderClass = "Zinniamast-Class"
-	// HeaderLastEvent is the last event's id, REQUEST:EPOCH:TOKENS.
+	// HeaderLastEvent is the ID of the last event received, REQUEST:EPOCH:TOKENS.
 	HeaderLastEvent = "Last-Event-ID"
-	// HeaderRetryCount is what the usual clients send with a retry.
+	// HeaderRetryCount is the number of retries so far, as common client libraries
+	// send it.
 	HeaderRetryCount = "X-Stainless-Retry-Count"
-	// HeaderRequest names the request in answers.
+	// HeaderRequest is the request ID, in answers.
 	HeaderRequest = "Zinniamast-Request"
 )
 
 const maxKeyLength = 255
 
-// asked is a caller's request, parsed and checked.
-type asked struct {
+// parsedRequest is a request of a caller after parsing and validation.
+type parsedRequest struct {
 	call         request.Call
 	stream       bool
 	includeUsage bool
 	query        Query
-	// fresh means that this caller's request was accepted here just now.
-	fresh bool
+	// isNew means that this node accepted the request as a new one and did not
+	// attach the caller to an existing one.
+	isNew bool
 }
 
-// fields that the node sets itself when it calls an engine.
-var ownFields = []string{
+// reservedFields are the body fields that the node sets itself when it calls an
+// engine; they are not passed on from the caller.
+var reservedFields = []string{
 	"model", "messages", "stream", "stream_options", "max_tokens",
 	"max_completion_tokens", "n", "request_id", "priority",
 	"resume_token_ids", "kv_transfer_params", "return_token_ids",
 }
 
-// parse reads and checks a chat-completions request.
-func (s *Server) parse(w http.ResponseWriter, q *http.Request) (*asked, *zinniamast.Refusal) {
+// parse reads and validates a chat-completions request.
+func (s *Server) parse(w http.ResponseWriter, q *http.Request) (*parsedRequest, *zinniamast.Refusal) {
 	organisation := OrganisationFrom(q.Context())
 	current := s.config.Board.Configuration.Config()
 	limit := current.Resolve(config.Match{
@@ -68,7 +72,7 @@
 	if err != nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "the body is not JSON: %v", err)
 	}
-	a, refusal := readBody(value)
+	a, refusal := parseBody(value)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -78,16 +82,16 @@
 	if current.Model(a.call.Model) == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonUnknownModel, "there is no model %q; GET /v1/models lists them", a.call.Model)
 	}
-	return a, s.readHeaders(a, q, current)
+	return a, s.parseHeaders(a, q, current)
 }
 
-// readBody takes the fields out of a parsed body.
-func readBody(value *fastjson.Value) (*asked, *zinniamast.Refusal) {
+// parseBody reads the fields of the JSON body.
+func parseBody(value *fastjson.Value) (*parsedRequest, *zinniamast.Refusal) {
 	object, err := value.Object()
 	if err != nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "the body is not a JSON object")
 	}
-	if field, twice := givenTwice(object); twice {
+	if field, found := duplicateField(object); found {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "%s: is given twice", field)
 	}
 	messages := value.Get("messages")
@@ -97,11 +101,11 @@
 	if n := value.Get("n"); n != nil && n.Type() != fastjson.TypeNull && n.GetInt() != 1 {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "n: only 1 is served")
 	}
-	maxTokens, refusal := readMaxTokens(value)
+	maxTokens, refusal := parseMaxTokens(value)
 	if refusal != nil {
 		return nil, refusal
 	}
-	a := &asked{
+	a := &parsedRequest{
 		stream:       value.GetBool("stream"),
 		includeUsage: value.GetBool("stream_options", "include_usage"),
 		call: request.Call{
@@ -112,31 +116,32 @@
 		},
 	}
 	a.call.PromptTokens = request.EstimateTokens(a.call.Messages)
-	for _, field := range ownFields {
+	for _, field := range reservedFields {
 		object.Del(field)
 	}
 	a.call.Parameters = object.MarshalTo(nil)
 	return a, nil
 }
 
-// givenTwice returns a field that the object holds more than once.
+// duplicateField returns the name of a field that the object holds more than once
+// and reports whether there is one.
 //
-// Failure: a request names its model twice. The node judges it by the first and
-// passes the second on among the remaining fields, so that a model runs which
-// nobody has checked.
-func givenTwice(object *fastjson.Object) (string, bool) {
+// If a request gave its model twice, the node would check the first value and pass
+// the second on to the engine with the remaining fields, so that a model would run
+// that was never checked.
+func duplicateField(object *fastjson.Object) (string, bool) {
 	seen := make([]string, 0, object.Len())
-	twice := ""
+	duplicate := ""
 	object.Visit(func(key []byte, _ *fastjson.Value) {
 		if slices.Contains(seen, string(key)) {
-			twice = string(key)
+			duplicate = string(key)
 		}
 		seen = append(seen, string(key))
 	})
-	return twice, twice != ""
+	return duplicate, duplicate != ""
 }
 
-func readMaxTokens(value *fastjson.Value) (int, *zinniamast.Refusal) {
+func parseMaxTokens(value *fastjson.Value) (int, *zinniamast.Refusal) {
 	for _, field := range []string{"max_completion_tokens", "max_tokens"} {
 		bound := value.Get(field)
 		if bound == nil || bound.Type() == fastjson.TypeNull {
@@ -153,8 +158,9 @@
 
 var classes = []request.Class{request.ClassUrgent, request.ClassNormal, request.ClassBulk}
 
-// readHeaders takes key, class, deadline and the place to go on from.
-func (s *Server) readHeaders(a *asked, q *http.Request, current *config.Config) *zinniamast.Refusal {
+// parseHeaders reads the idempotency key, the class, the deadline and the position
+// to resume from.
+func (s *Server) parseHeaders(a *parsedRequest, q *http.Request, current *config.Config) *zinniamast.Refusal {
 	call := &a.call
 	call.Key = q.Header.Get(HeaderKey)
 	if len(call.Key) > maxKeyLength {
@@ -187,10 +193,11 @@
 		Fingerprint:  call.Fingerprint,
 		Orphan:       q.Header.Get(HeaderRetryCount) != "" && q.Header.Get(HeaderRetryCount) != "0",
 	}
-	return readLastEvent(a, q.Header.Get(HeaderLastEvent))
+	return parseLastEvent(a, q.Header.Get(HeaderLastEvent))
 }
 
-// ReadDeadline returns how long the caller waits, at most the policy's deadline.
+// ReadDeadline returns the time until the deadline that the caller has set, at most
+// longest. Without the header it returns longest.
 func ReadDeadline(header http.Header, longest time.Duration) (time.Duration, *zinniamast.Refusal) {
 	text := header.Get(HeaderDeadline)
 	if text == "" {
@@ -206,25 +213,25 @@
 	return min(wait, longest), nil
 }
 
-func readLastEvent(a *asked, text string) *zinniamast.Refusal {
+func parseLastEvent(a *parsedRequest, text string) *zinniamast.Refusal {
 	if text == "" {
 		return nil
 	}
 	head, tokens, found := cutLast(text)
 	if !found {
-		return badLastEvent(text)
+		return invalidLastEvent(text)
 	}
 	id, epochText, found := cutLast(head)
 	if !found || id == "" {
-		return badLastEvent(text)
+		return invalidLastEvent(text)
 	}
 	epoch, err := strconv.Atoi(epochText)
 	if err != nil || epoch < 0 {
-		return badLastEvent(text)
+		return invalidLastEvent(text)
 	}
 	from, err := strconv.Atoi(tokens)
 	if err != nil || from < 0 {
-		return badLastEvent(text)
+		return invalidLastEvent(text)
 	}
 	a.query.ID = id
 	if a.stream {
@@ -234,7 +241,7 @@
 	return nil
 }
 
-// cutLast cuts at the last colon.
+// cutLast splits text at its last colon.
 func cutLast(text string) (before, after string, found bool) {
 	i := strings.LastIndexByte(text, ':')
 	if i < 0 {
@@ -243,6 +250,6 @@
 	return text[:i], text[i+1:], true
 }
 
-func badLastEvent(text string) *zinniamast.Refusal {
+func invalidLastEvent(text string) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonMalformed, "%s: %q is not REQUEST:EPOCH:TOKENS", HeaderLastEvent, text)
 }
--- a/caller/refusal.go
+++ b/caller/refusal.go
@@ -23,10 +23,11 @@
 	RetryAfterMS int64             `json:"retry_after_ms,omitempty"`
 }
 
-// errorType is what chat-completions clients expect to find in an error's type.
+// errorType is the value of the type field, which chat-completions clients expect
+// in an error.
 const errorType = "zinniamast_refusal"
 
-func bodyOf(refusal *zinniamast.Refusal) errorBody {
+func newErrorBody(refusal *zinniamast.Refusal) errorBody {
 	return errorBody{
 		Error: errorContent{
 			Message:      refusal.Message,
@@ -39,9 +40,9 @@
 	}
 }
 
-// WriteRefusal answers a caller with a refusal. Retry-After stands where a
-// retry can help, and X-Should-Retry tells the usual clients the same, which
-// would otherwise repeat every status of 500 and above.
+// WriteRefusal answers a caller with a refusal. Retry-After is set if a retry can
+// succeed. X-Should-Retry says whether to retry in the form that common client
+// libraries read; without it they retry every status of 500 and above.
 func WriteRefusal(w http.ResponseWriter, refusal *zinniamast.Refusal) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -52,18 +53,19 @@
 		header.Set("Retry-After-Ms", strconv.FormatInt(refusal.RetryAfter.Milliseconds(), 10))
 	}
 	w.WriteHeader(refusal.Status())
-	// A caller that has gone cannot be told.
-	_ = json.NewEncoder(w).Encode(bodyOf(refusal))
+	// The error is ignored because the caller may have disconnected.
+	_ = json.NewEncoder(w).Encode(newErrorBody(refusal))
 }
 
-// refuse answers, counts and logs a refusal.
+// refuse answers a caller with a refusal and records it.
 func (s *Server) refuse(w http.ResponseWriter, refusal *zinniamast.Refusal) {
-	s.count(refusal)
+	s.recordRefusal(refusal)
 	WriteRefusal(w, refusal)
 }
 
-func (s *Server) count(refusal *zinniamast.Refusal) {
-	s.config.Metrics.refused(refusal)
+// recordRefusal counts and logs a refusal.
+func (s *Server) recordRefusal(refusal *zinniamast.Refusal) {
+	s.config.Metrics.countRefusal(refusal)
 	s.config.Logger.Debug("request refused",
 		"reason", refusal.Reason,
 		"ran", refusal.Ran,
--- a/caller/server.go
+++ b/caller/server.go
@@ -1,5 +1,6 @@
-// Package caller speaks to callers: the chat-completions protocol for models,
-// ordinary HTTP for plain services, and one JSON form for every refusal.
+// Package caller serves callers over HTTP: it implements the chat-completions
+// protocol for models, passes requests for plain services to their handler, and
+// writes every refusal in the same JSON form.
 package caller
 
 import (
@@ -19,46 +20,49 @@
 
 // Runner runs accepted requests.
 type Runner interface {
-	// Run runs a request until it is whole, failed or handed off.
+	// Run runs a request until it is complete, has failed or has been handed off.
 	Run(ctx context.Context, q *request.Request)
 }
 
-// Locator finds requests that other nodes hold.
+// Locator finds requests that other nodes hold and makes requests of this node
+// known to them.
 type Locator interface {
 	// Find returns a reader of a request that a peer holds, or nil.
 	Find(ctx context.Context, query Query) request.Reader
-	// Enter makes a request that this node has accepted known to peers. If a
-	// peer holds the same key it returns a reader of that request instead, or a
-	// refusal if the body is another one.
+	// Enter registers a request that this node has accepted with its peers. If a
+	// peer holds a request of the same key, Enter returns a reader of that request
+	// instead, or a refusal if its body differs.
 	Enter(ctx context.Context, query Query) (request.Reader, *zinniamast.Refusal)
 	// Follow returns a reader of a request that was moved to a peer.
 	Follow(peer string, query Query) request.Reader
-	// Orphaned makes a request that lost its caller known to peers, so that
-	// the caller finds it from any node.
+	// Orphaned announces to peers that a request has lost its caller, so that the
+	// caller can attach to it again through any node.
 	Orphaned(query Query)
 }
 
-// Query names a request that a caller asks for again.
+// Query identifies a request that a caller wants to attach to.
 type Query struct {
-	// ID is the request's ID, if the caller gave it.
+	// ID is the request ID, if known.
 	ID string
-	// Organisation is the caller's.
+	// Organisation is the organisation of the caller.
 	Organisation string
 	// Key is the idempotency key, if any.
 	Key string
 	// Fingerprint is the hash of organisation and body.
 	Fingerprint uint64
-	// Orphan asks for a request that lost its caller, by fingerprint.
+	// Orphan means that a request which has lost its caller is searched for by its
+	// fingerprint.
 	Orphan bool
-	// From is the first token the caller lacks, of the answer of Epoch.
+	// From is the position of the first token that the caller has not received, in
+	// the answer of Epoch.
 	From  int
 	Epoch int
 }
 
-// idSeparator stands in request IDs before the accepting instance's name.
+// idSeparator precedes the name of the accepting instance in a request ID.
 const idSeparator = "."
 
-// newID returns a request ID that names the instance that accepts it.
+// newID returns a request ID that contains the name of the accepting instance.
 func newID(instance string) string { return rand.Text() + idSeparator + instance }
 
 // Acceptor returns the name of the instance that accepted a request.
@@ -67,29 +71,32 @@
 	return instance
 }
 
-// Config says what a server works with.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	Board   *blackboard.Board
 	Runner  Runner
 	Limiter zinniamast.Limiter
 	Locator Locator
-	// Missed hears of tokens refused for want of capacity, by model; nil is not told.
+	// Missed is called with the model and the number of tokens of each request that
+	// is refused for lack of capacity; it may be nil.
 	Missed func(model string, tokens int)
-	// Services serves everything below /services/.
+	// Services handles every path below /services/.
 	Services http.Handler
-	// Instance is the node's name; request IDs carry it, so that peers can ask it.
+	// Instance is the name of the node. Request IDs contain it, so that peers can find
+	// the node that accepted a request.
 	Instance string
-	// FailureDomain is the node's own, for the policy in force.
+	// FailureDomain is the failure domain of the node; it selects the policy that
+	// applies.
 	FailureDomain string
-	// Stopping says whether the node takes no new requests.
+	// Stopping reports whether the node refuses new requests because it is stopping.
 	Stopping func() bool
-	// Context ends when the node may run nothing any more.
+	// Context is cancelled when the node must stop all running requests.
 	Context context.Context
 	Logger  *slog.Logger
 	Metrics *Metrics
 }
 
-// Server is the callers' side of a node. It is an http.Handler.
+// Server is the HTTP handler of a node for callers.
 type Server struct {
 	config Config
 	mux    *http.ServeMux
@@ -112,20 +119,22 @@
 	return s
 }
 
-// startingRetry is when to come back to a node that has no configuration yet.
-const startingRetry = 500 * time.Millisecond
+// startingRetryAfter is the retry delay that is sent to callers while the node has
+// no configuration yet.
+const startingRetryAfter = 500 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	// A node that has just started knows no organisation. Calling every key
-	// unknown would send its callers away for good; they are to come back.
+	// A node that has just started has no configuration and knows no organisation.
+	// Refusing every API key as unknown would make callers give up; the refusal asks
+	// them to retry instead.
 	if s.config.Board.Configuration.Current() == nil {
-		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonStarting, "the instance has no configuration yet").With(ranBefore(q)).After(startingRetry))
+		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonStarting, "the instance has no configuration yet").With(ranBeforeLookup(q)).After(startingRetryAfter))
 		return
 	}
 	organisation := s.organisation(q)
 	if organisation == "" {
-		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonUnauthorised, "the API key is missing or unknown").With(ranBefore(q)))
+		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonUnauthorised, "the API key is missing or unknown").With(ranBeforeLookup(q)))
 		return
 	}
 	s.mux.ServeHTTP(w, q.WithContext(withOrganisation(q.Context(), organisation)))
@@ -133,13 +142,14 @@
 
 const servicesPath = "/services/"
 
-// ranBefore says what may be told of a request that is refused before anybody
-// has looked at its key.
+// ranBeforeLookup returns the ran value of a refusal that is sent before the
+// idempotency key of the request has been looked up.
 //
-// Failure: a booking's answer is lost, its caller sends the key again, and this
-// node refuses because it has just started. Nothing ran for this sending, but a
-// caller that reads "not run" and takes a new key books twice.
-func ranBefore(q *http.Request) zinniamast.Ran {
+// The answer to a booking may be lost and the caller may retry with the same key at
+// a node that refuses because it has just started. The retry did not run, but the
+// first request may have: a caller that is told "not run" and sends the booking
+// under a new key would book twice.
+func ranBeforeLookup(q *http.Request) zinniamast.Ran {
 	service := strings.HasPrefix(q.URL.Path, servicesPath)
 	if service && q.Header.Get(HeaderKey) != "" && q.Header.Get(HeaderFirst) != "true" {
 		return zinniamast.Unknown
@@ -147,12 +157,13 @@
 	return zinniamast.NotRun
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// organisation returns whose API key the request carries. Only hashes are
-// kept, so that neither configuration nor logs can give a key away.
+// organisation returns the organisation of the API key in the request, or an empty
+// string. The configuration holds only hashes of keys, so that neither it nor the
+// logs can reveal a key.
 func (s *Server) organisation(q *http.Request) string {
-	key, found := strings.CutPrefix(q.Header.Get("Authorization"), bearer)
+	key, found := strings.CutPrefix(q.Header.Get("Authorization"), bearerPrefix)
 	if !found || key == "" {
 		return ""
 	}
@@ -166,20 +177,22 @@
 	return context.WithValue(ctx, organisationKey{}, organisation)
 }
 
-// OrganisationFrom returns the organisation that the server found for a request.
+// OrganisationFrom returns the organisation that Server has stored in the context of
+// a request.
 func OrganisationFrom(ctx context.Context) string {
 	organisation, _ := ctx.Value(organisationKey{}).(string)
 	return organisation
 }
 
-// maxHeaderWait bounds how long a caller may take to send its headers.
-const maxHeaderWait = 10 * time.Second
+// headerTimeout bounds how long a caller may take to send the request headers.
+const headerTimeout = 10 * time.Second
 
-// HTTPServer wraps a handler with the limits every listener of a node has.
+// HTTPServer returns a server for handler with the limits that apply to every
+// listener of a node.
 func HTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: maxHeaderWait,
+		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    64 << 10,
 		IdleTimeout:       2 * time.Minute,
 	}
