--- a/request/estimate.go
+++ b/request/estimate.go
@@ -6,10 +6,10 @@
 	"zinniamast/prefix"
 )
 
-// EstimateTokens returns about how many tokens the messages have.
+// EstimateTokens returns the approximate number of tokens of the messages.
 func EstimateTokens(messages []byte) int { return len(messages)/prefix.BytesPerToken + 1 }
 
-// Fingerprint hashes an organisation with the body it sent.
+// Fingerprint returns a hash of an organisation and the body of its request.
 func Fingerprint(organisation string, body []byte) uint64 {
 	return xxh3.HashSeed(body, xxh3.HashString(organisation))
 }
--- a/request/request.go
+++ b/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds the life of one accepted request and the tokens it
-// has produced so far, whoever is attached to it.
+// Package request holds the state of an accepted request and the tokens that it has
+// produced so far, independently of the callers that are attached to it.
 package request
 
 import (
@@ -14,17 +14,17 @@
 // Class is a priority class.
 type Class string
 
-// The priority classes, first served first.
+// The priority classes, highest priority first.
 const (
-	// ClassUrgent is for one-line answers that a person waits for.
+	// ClassUrgent is for one-line answers for which a person waits.
 	ClassUrgent Class = "urgent"
 	// ClassNormal is for quick questions; it is the default.
 	ClassNormal Class = "normal"
-	// ClassBulk is for long summaries and sheets.
+	// ClassBulk is for long answers, such as summaries and sheets.
 	ClassBulk Class = "bulk"
 )
 
-// Priority returns the number engines order by; lower runs first.
+// Priority returns the priority that is sent to engines; lower values run first.
 func (c Class) Priority() int {
 	switch c {
 	case ClassUrgent:
@@ -36,49 +36,52 @@
 	}
 }
 
-// Call is what a caller asked of a model, as accepted.
+// Call is the accepted call of a caller to a model.
 type Call struct {
-	// ID is unique to the request in the whole fleet.
+	// ID is the request ID, unique in the whole fleet.
 	ID string `json:"id"`
-	// Organisation is the caller's.
+	// Organisation is the organisation of the caller.
 	Organisation string `json:"organisation"`
-	// Key is the caller's idempotency key; empty if it gave none.
+	// Key is the idempotency key, empty if the caller sent none.
 	Key string `json:"key"`
 	// Fingerprint is the hash of the organisation and the body.
 	Fingerprint uint64 `json:"fingerprint"`
-	// Model is the model deployment.
+	// Model is the name of the model deployment.
 	Model string `json:"model"`
 	// Class is the priority class.
 	Class Class `json:"class"`
 	// Accepted is when the first node accepted the request.
 	Accepted time.Time `json:"accepted"`
-	// Deadline is when the answer is worthless.
+	// Deadline is the time after which the answer is of no use to the caller.
 	Deadline time.Time `json:"deadline"`
 	// Messages is the JSON array of messages.
 	Messages []byte `json:"messages"`
-	// Parameters holds the remaining sampling fields as a JSON object.
+	// Parameters is a JSON object with the remaining fields of the body, such as the
+	// sampling parameters.
 	Parameters []byte `json:"parameters"`
-	// MaxTokens bounds the whole answer.
+	// MaxTokens is the maximum number of tokens of the answer, over all attempts.
 	MaxTokens int `json:"max_tokens"`
-	// PromptTokens is an estimate of the prompt's length until the engine has told it.
+	// PromptTokens is the estimated length of the prompt, used until the engine
+	// reports the actual length.
 	PromptTokens int `json:"prompt_tokens"`
 }
 
-// Usage counts tokens of a whole answer.
+// Usage holds the token counts of a complete answer.
 type Usage struct {
-	// Prompt is the prompt's length.
+	// Prompt is the number of prompt tokens.
 	Prompt int `json:"prompt"`
-	// Completion is the answer's length.
+	// Completion is the number of tokens of the answer.
 	Completion int `json:"completion"`
-	// Cached is how many prompt tokens came from a prefix cache.
+	// Cached is the number of prompt tokens that came from a prefix cache.
 	Cached int `json:"cached"`
-	// Recomputed is how many tokens were computed again because an attempt ended early.
+	// Recomputed is the number of tokens that were computed again because an attempt
+	// ended early.
 	Recomputed int `json:"recomputed"`
 }
 
 // Request is one accepted request. Its methods are safe for concurrent use.
 type Request struct {
-	// Call is what was asked; it does not change.
+	// Call is the accepted call; it does not change.
 	Call Call
 
 	mu       sync.Mutex
@@ -92,27 +95,29 @@
 	movedTo  string
 	upstream string
 	attempt  string
-	// resumed is how many tokens stood when the attempt began.
-	resumed   int
-	watchers  []*Watcher
-	attached  int
-	detached  time.Time
-	delivered bool
-	// epoch rises when the request goes on from an older copy than its callers
-	// may have seen; restarted is how many tokens that copy had.
+	// resumedTokens is the number of tokens in the buffer when the current attempt
+	// began.
+	resumedTokens int
+	watchers      []*Watcher
+	attached      int
+	detached      time.Time
+	delivered     bool
+	// epoch is incremented when the request continues from a copy that may be older
+	// than the tokens its callers have received; restarted is the number of tokens
+	// in that copy.
 	epoch     int
 	restarted int
-	// hops is how often the request was handed from node to node.
+	// hops is the number of times that the request was handed to another node.
 	hops  int
 	ended time.Time
 	done  chan struct{}
 }
 
-// New returns an accepted request.
+// New returns a request in the state StateAccepted.
 func New(call Call) *Request {
 	return &Request{
 		Call:    call,
-		machine: newMachine(),
+		machine: newStateMachine(),
 		done:    make(chan struct{}),
 	}
 }
@@ -124,10 +129,12 @@
 	return State(r.machine.Current())
 }
 
-// Done is closed when the request is whole, failed or moved.
+// Done returns a channel that is closed when the request is complete, failed or
+// moved.
 func (r *Request) Done() <-chan struct{} { return r.done }
 
-// Begin records an attempt; it reports false if the request has already ended.
+// Begin records the start of an attempt. It returns false if another attempt is
+// running or the request has already ended.
 func (r *Request) Begin(attempt, upstream string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,19 +143,21 @@
 	}
 	r.attempt = attempt
 	r.upstream = upstream
-	r.resumed = len(r.ids)
+	r.resumedTokens = len(r.ids)
 	return true
 }
 
-// Resuming says whether the attempt is to go on from tokens of an earlier one and
-// has given none yet: its upstream may not have begun, and may hold no cache of them.
+// Resuming reports whether the current attempt continues from tokens of an earlier
+// attempt and has not produced any itself. Its upstream may not have begun yet and
+// may not hold the earlier tokens in its KV cache.
 func (r *Request) Resuming() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Current() == string(StateRunning) && r.resumed > 0 && len(r.ids) == r.resumed
+	return r.machine.Current() == string(StateRunning) && r.resumedTokens > 0 && len(r.ids) == r.resumedTokens
 }
 
-// Retry records that the attempt ended without a whole answer.
+// Retry records that the attempt ended without a complete answer, with the number of
+// tokens that have to be computed again.
 func (r *Request) Retry(attempt string, recomputed int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,10 +168,10 @@
 	return true
 }
 
-// Append adds tokens of the current attempt at the given position and wakes
-// the watchers. Tokens of another attempt, repeated tokens and tokens past a
-// gap are refused: an answer is never a mixture of two attempts, and a late
-// or crossed chunk cannot reach the caller.
+// Append adds tokens of the current attempt at the given position and notifies the
+// watchers. It rejects tokens of another attempt, repeated tokens and tokens after a
+// gap, so that an answer is never a mixture of two attempts, and a late or
+// misdirected chunk cannot reach the caller.
 func (r *Request) Append(attempt string, index int, ids []int32, text []byte) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,11 +183,11 @@
 	for range ids {
 		r.ends = append(r.ends, int32(len(r.text)))
 	}
-	r.wake()
+	r.notifyLocked()
 	return true
 }
 
-// Finish records the engine's end mark.
+// Finish records that the engine has reported the end of the answer.
 func (r *Request) Finish(attempt, finish string, usage Usage) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,11 +198,11 @@
 	usage.Completion = len(r.ids)
 	usage.Recomputed = r.usage.Recomputed
 	r.usage = usage
-	r.end()
+	r.endLocked()
 	return true
 }
 
-// Fail ends the request in a refusal.
+// Fail ends the request with a refusal.
 func (r *Request) Fail(refusal *zinniamast.Refusal) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,11 +210,12 @@
 		return false
 	}
 	r.refusal = refusal
-	r.end()
+	r.endLocked()
 	return true
 }
 
-// Move records the peer that has acknowledged holding the request.
+// Move ends the request on this node and records the peer that has acknowledged
+// holding it.
 func (r *Request) Move(peer string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -213,19 +223,19 @@
 		return false
 	}
 	r.movedTo = peer
-	r.end()
+	r.endLocked()
 	return true
 }
 
-// end closes the request; the caller holds the lock.
-func (r *Request) end() {
+// endLocked records the end of the request and closes Done; the caller holds r.mu.
+func (r *Request) endLocked() {
 	r.ended = time.Now()
 	close(r.done)
-	r.wake()
+	r.notifyLocked()
 }
 
-// wake tells every watcher that something is new; the caller holds the lock.
-func (r *Request) wake() {
+// notifyLocked signals new progress to every watcher; the caller holds r.mu.
+func (r *Request) notifyLocked() {
 	for _, w := range r.watchers {
 		select {
 		case w.ready <- struct{}{}:
@@ -234,7 +244,7 @@
 	}
 }
 
-// Snapshot is a plain copy of a request, enough for a peer to go on with it.
+// Snapshot is a serialisable copy of a request, from which a peer can continue it.
 type Snapshot struct {
 	Call      Call                `json:"call"`
 	State     State               `json:"state"`
@@ -254,7 +264,7 @@
 	Ended     time.Time           `json:"ended"`
 }
 
-// Snapshot copies the request.
+// Snapshot returns a copy of the request.
 func (r *Request) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -278,13 +288,13 @@
 	}
 }
 
-// Bytes returns the memory that the snapshot holds, about.
+// Bytes returns the approximate size of the snapshot in memory.
 func (s *Snapshot) Bytes() int {
 	return len(s.Call.Messages) + len(s.Call.Parameters) + len(s.Text) + 4*len(s.IDs) + 4*len(s.Ends)
 }
 
-// Restore returns the request that a snapshot describes, ready for the next
-// attempt if it had not ended.
+// Restore returns the request of a snapshot. A request that had not ended is ready
+// for its next attempt.
 func Restore(s Snapshot) *Request {
 	r := New(s.Call)
 	r.ids = s.IDs
@@ -299,16 +309,17 @@
 	case StateWhole:
 		r.finish = s.Finish
 		r.machine.SetState(string(StateWhole))
-		r.end()
+		r.endLocked()
 	case StateFailed:
 		r.refusal = s.Refusal
 		r.machine.SetState(string(StateFailed))
-		r.end()
+		r.endLocked()
 	}
 	return r
 }
 
-// Extend adds to a snapshot the tokens that a later one has beyond it.
+// Extend updates the snapshot to the state of a later one that holds only the tokens
+// after the first from, as After returns it.
 func (s *Snapshot) Extend(later Snapshot, from int) {
 	s.IDs = append(s.IDs[:from], later.IDs...)
 	start := int32(0)
@@ -322,8 +333,8 @@
 	*s = later
 }
 
-// After returns what Extend needs beyond the first tokens: no body, and ends
-// that still count from the start of the whole text.
+// After returns a copy of the snapshot without the first from tokens, for use with
+// Extend. The copy has no body, and its ends remain offsets into the whole text.
 func (s Snapshot) After(from int) Snapshot {
 	start := int32(0)
 	if from > 0 {
@@ -337,16 +348,17 @@
 	return s
 }
 
-// Older marks a snapshot as possibly older than what callers have seen.
-// Tokens produced after it may differ from those a caller holds, and an answer
-// must not be a mixture; a caller from an earlier epoch can go on only from a
-// token that this copy has.
+// Older marks the snapshot as possibly older than the tokens that callers have
+// received, by starting a new epoch. Tokens that are produced from now on may differ
+// from those that a caller holds, and an answer must not be a mixture of both, so a
+// caller of an earlier epoch can resume only from a token that this copy contains.
 func (s *Snapshot) Older() {
 	s.Epoch++
 	s.Restarted = len(s.IDs)
 }
 
-// Accepts says whether a caller that holds tokens of the given epoch can go on here.
+// Accepts reports whether a caller that has received the first from tokens in the
+// given epoch can resume from this copy.
 func (r *Request) Accepts(epoch, from int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -356,36 +368,37 @@
 	return from <= r.restarted
 }
 
-// Hops returns how often the request was handed from node to node.
+// Hops returns the number of times that the request was handed to another node.
 func (r *Request) Hops() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hops
 }
 
-// Produced returns copies of the token identifiers produced so far.
+// Produced returns a copy of the IDs of the tokens produced so far.
 func (r *Request) Produced() []int32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]int32(nil), r.ids...)
 }
 
-// Progress returns how many tokens stand in the buffer and where the current attempt runs.
+// Progress returns the number of tokens in the buffer, and the upstream and the ID of
+// the current attempt.
 func (r *Request) Progress() (tokens int, upstream, attempt string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.ids), r.upstream, r.attempt
 }
 
-// Bytes returns the memory that the request holds, about.
+// Bytes returns the approximate size of the request in memory.
 func (r *Request) Bytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.Call.Messages) + len(r.Call.Parameters) + cap(r.text) + 4*cap(r.ids) + 4*cap(r.ends)
 }
 
-// Ended returns when the request ended, or the zero time, and whether anybody
-// may still come for its answer.
+// Ended returns when the request ended, or the zero time, and whether a caller may
+// still fetch its answer.
 func (r *Request) Ended() (at time.Time, wanted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/request/request_bench_test.go
+++ b/request/request_bench_test.go
@@ -7,9 +7,9 @@
 	"zinniamast/request"
 )
 
-// BenchmarkLife measures what a request's state machine costs from acceptance
-// to the end mark.
-func BenchmarkLife(b *testing.B) {
+// BenchmarkLifecycle measures the state transitions of a request from acceptance to
+// the end of its answer.
+func BenchmarkLifecycle(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		q := request.New(request.Call{})
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkAppend measures what one streamed token costs in the buffer.
+// BenchmarkAppend measures appending one streamed token to the buffer.
 func BenchmarkAppend(b *testing.B) {
 	b.ReportAllocs()
 	q := request.New(request.Call{
--- a/request/watcher.go
+++ b/request/watcher.go
@@ -7,45 +7,47 @@
 	"zinniamast"
 )
 
-// Watcher reads a request's answer from some token on. A watcher belongs to
-// one goroutine; a slow one costs no memory, since all read the same buffer.
+// Watcher reads the answer of a request from a given token on. It is used by one
+// goroutine. A slow watcher needs no additional memory, because all watchers read
+// the same buffer.
 type Watcher struct {
 	request *Request
 	ready   chan struct{}
 	next    int
 }
 
-// Progress is what a watcher has not seen yet.
+// Progress holds the tokens and state that a watcher has not read yet.
 type Progress struct {
 	// Index is the position of the first new token.
 	Index int
-	// Text is the new tokens' text, in the buffer that Read was given.
+	// Text is the text of the new tokens. Read reuses the slice that it is given.
 	Text []byte
-	// Ends are the new tokens' ends within Text.
+	// Ends are the offsets in Text at which the new tokens end.
 	Ends []int32
-	// State is the request's state after these tokens.
+	// State is the state of the request after these tokens.
 	State State
-	// Finish is the finish reason of a whole answer.
+	// Finish is the finish reason of a complete answer.
 	Finish string
-	// Usage counts a whole answer.
+	// Usage holds the token counts of a complete answer.
 	Usage Usage
-	// Refusal is why a failed request failed.
+	// Refusal is the refusal of a failed request.
 	Refusal *zinniamast.Refusal
-	// MovedTo is the peer that holds a moved request.
+	// MovedTo is the peer that holds the request after it was moved.
 	MovedTo string
-	// Epoch tells answers apart that went on from an older copy.
+	// Epoch is incremented when the request continues from a copy that may be older
+	// than the tokens its callers have received.
 	Epoch int
 }
 
-// Watch attaches a reader that starts at the given token.
+// Watch attaches a watcher that starts at the given token.
 func (r *Request) Watch(from int) *Watcher {
 	ready := make(chan struct{}, 1)
 	ready <- struct{}{}
 	return r.WatchOn(from, ready)
 }
 
-// WatchOn attaches a reader that signals on a channel of the caller's, which
-// may be shared between readers and must have room for one signal.
+// WatchOn attaches a watcher that signals new progress on ready. The channel may be
+// shared between watchers and must have a buffer for one signal.
 func (r *Request) WatchOn(from int, ready chan struct{}) *Watcher {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +61,8 @@
 	return w
 }
 
-// Close detaches the watcher; delivered says that its caller has the whole answer.
+// Close detaches the watcher. Delivered means that its caller has received the
+// complete answer.
 func (w *Watcher) Close(delivered bool) {
 	r := w.request
 	r.mu.Lock()
@@ -75,10 +78,10 @@
 	r.delivered = r.delivered || delivered
 }
 
-// Request returns the ID of the request that it reads.
+// Request returns the ID of the request that the watcher reads.
 func (w *Watcher) Request() string { return w.request.Call.ID }
 
-// Read waits for something new and fills progress, reusing its slices.
+// Read waits for new progress and stores it in progress, whose slices it reuses.
 func (w *Watcher) Read(ctx context.Context, progress *Progress) error {
 	select {
 	case <-w.ready:
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// Poll fills progress with what there is, which may be nothing new.
+// Poll stores the current progress without waiting; it may hold no new tokens.
 func (w *Watcher) Poll(progress *Progress) {
 	r := w.request
 	r.mu.Lock()
@@ -116,33 +119,36 @@
 	progress.Epoch = r.epoch
 }
 
-// Ended says whether no more tokens can come from here.
+// Ended reports whether this request produces no more tokens on this node.
 func (p *Progress) Ended() bool {
 	return p.State == StateWhole || p.State == StateFailed || p.State == StateMoved
 }
 
-// Orphaned says whether nobody is attached and no caller has the whole answer.
+// Orphaned reports whether no watcher is attached and no caller has received the
+// complete answer.
 func (r *Request) Orphaned() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.attached == 0 && !r.delivered
 }
 
-// OrphanedFor says whether the request has been an orphan for the given time.
-// A peer that reads for a caller detaches for a moment between its calls.
+// OrphanedFor reports whether the request has been orphaned for at least the given
+// time. A peer that reads on behalf of a caller detaches briefly between its calls,
+// so that Orphaned may be true although the caller still waits.
 func (r *Request) OrphanedFor(wait time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.attached == 0 && !r.delivered && time.Since(r.detached) >= wait
 }
 
-// Reader reads an answer from here or from the peer that holds it.
+// Reader reads an answer from this node or from the peer that holds the request.
 type Reader interface {
-	// Request returns the ID of the request that it reads.
+	// Request returns the ID of the request that is read.
 	Request() string
-	// Read waits for something new and fills progress, reusing its slices.
+	// Read waits for new progress and stores it in progress, whose slices it reuses.
 	Read(ctx context.Context, progress *Progress) error
-	// Close detaches; delivered says that the caller has the whole answer.
+	// Close detaches the reader. Delivered means that the caller has received the
+	// complete answer.
 	Close(delivered bool)
 }
 
