--- a/plain/client.go
+++ b/plain/client.go
@@ -1,5 +1,5 @@
-// Package plain speaks HTTP to one replica of a plain service and says for
-// each failed attempt whether it can have run.
+// Package plain sends HTTP requests to one replica of a plain service and
+// determines for each failed attempt whether it can have run.
 package plain
 
 import (
@@ -18,7 +18,7 @@
 	"zinniamast"
 )
 
-// Defaults for fields that a Config leaves zero.
+// Defaults for zero fields of a Config, and the limit of idle connections.
 const (
 	defaultDialTimeout = 2 * time.Second
 	defaultIdleTimeout = 15 * time.Second
@@ -26,23 +26,25 @@
 	maxIdleConns       = 64
 )
 
-// Config says which replica a client speaks to.
+// Config holds the address and the limits of a Client.
 type Config struct {
-	// Upstream is the replica's ID, for errors.
+	// Upstream is the ID of the replica, for errors.
 	Upstream string
 	// Address is the base URL, such as http://10.0.0.7:8080.
 	Address string
-	// DialTimeout bounds the connecting; zero means 2 s.
+	// DialTimeout bounds the time to connect; zero means 2 s.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection is kept for reuse; it should be
-	// shorter than the service's own, so that a booking does not meet a
-	// connection that the service is closing. Zero means 15 s.
+	// IdleTimeout is how long an idle connection is kept for reuse. It should be
+	// shorter than the idle timeout of the service, so that a request is not sent on
+	// a connection that the service is closing. Zero means 15 s.
 	IdleTimeout time.Duration
-	// MaxAnswer bounds an answer's body in bytes; zero means 8 MiB.
+	// MaxAnswer is the maximum size of the body of an answer in bytes; zero means
+	// 8 MiB.
 	MaxAnswer int64
 }
 
-// Client implements zinniamast.Service.
+// Client sends requests to one replica. It implements zinniamast.Service and
+// zinniamast.Replica.
 type Client struct {
 	config    Config
 	transport *http.Transport
@@ -53,7 +55,7 @@
 	_ zinniamast.Replica = (*Client)(nil)
 )
 
-// New returns a client of one replica.
+// New returns a client for one replica.
 func New(config Config) *Client {
 	if config.DialTimeout == 0 {
 		config.DialTimeout = defaultDialTimeout
@@ -79,38 +81,38 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Call implements zinniamast.Service. It sends the request at most once and
-// follows no redirect. With FailureError the service's own answer is returned
-// beside the error.
+// Call implements zinniamast.Service. It sends the request at most once and does not
+// follow redirects. With FailureError it returns the answer of the service together
+// with the error.
 func (c *Client) Call(ctx context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
-	request, err := c.request(ctx, call)
+	request, err := c.newRequest(ctx, call)
 	if err != nil {
-		return zinniamast.ServiceAnswer{}, c.failed(zinniamast.FailureInvalid, err)
+		return zinniamast.ServiceAnswer{}, c.upstreamError(zinniamast.FailureInvalid, err)
 	}
 	response, err := c.Send(ctx, request)
 	if err != nil {
 		return zinniamast.ServiceAnswer{}, err
 	}
 	defer response.Body.Close()
-	return c.answer(ctx, call, response)
+	return c.readAnswer(ctx, call, response)
 }
 
 // Send implements zinniamast.Replica.
 func (c *Client) Send(ctx context.Context, request *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	sending := &once{
+	guard := &sendGuard{
 		deadline: time.Unix(0, math.MaxInt64),
 		cancel:   cancel,
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		sending.deadline = deadline
+		guard.deadline = deadline
 	}
 	trace := &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { sending.gotConn(info.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { guard.gotConn(info.Conn) },
 	}
 	response, err := c.transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		failure := c.unanswered(ctx, sending, err)
+		failure := c.classifyUnanswered(ctx, guard, err)
 		cancel()
 		return nil, failure
 	}
@@ -121,7 +123,7 @@
 	return response, nil
 }
 
-// cancelBody ends the attempt's context with its body.
+// cancelBody cancels the context of the attempt when the body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -134,8 +136,8 @@
 	return err
 }
 
-// request builds the HTTP request of one attempt.
-func (c *Client) request(ctx context.Context, call zinniamast.ServiceCall) (*http.Request, error) {
+// newRequest returns the HTTP request of one attempt.
+func (c *Client) newRequest(ctx context.Context, call zinniamast.ServiceCall) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, c.config.Address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, err
@@ -153,45 +155,46 @@
 	return request, nil
 }
 
-// unanswered classifies an attempt that ended before an answer began.
-func (c *Client) unanswered(ctx context.Context, sending *once, err error) error {
-	canceled := errors.Is(ctx.Err(), context.Canceled) && !sending.replayed
-	if sending.nothingSent() && !canceled {
-		return c.failed(zinniamast.FailureDial, err)
+// classifyUnanswered returns the error of an attempt that ended before the headers of
+// an answer arrived.
+func (c *Client) classifyUnanswered(ctx context.Context, guard *sendGuard, err error) error {
+	canceled := errors.Is(ctx.Err(), context.Canceled) && !guard.replayed
+	if guard.nothingSent() && !canceled {
+		return c.upstreamError(zinniamast.FailureDial, err)
 	}
 	if canceled {
-		return c.failed(zinniamast.FailureStopped, err)
+		return c.upstreamError(zinniamast.FailureStopped, err)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return c.failed(zinniamast.FailureTimeout, err)
+		return c.upstreamError(zinniamast.FailureTimeout, err)
 	}
-	return c.failed(zinniamast.FailureReset, err)
+	return c.upstreamError(zinniamast.FailureReset, err)
 }
 
-// answer reads and judges an answer whose headers have come.
-func (c *Client) answer(ctx context.Context, call zinniamast.ServiceCall, response *http.Response) (zinniamast.ServiceAnswer, error) {
+// readAnswer reads and checks an answer whose headers have arrived.
+func (c *Client) readAnswer(ctx context.Context, call zinniamast.ServiceCall, response *http.Response) (zinniamast.ServiceAnswer, error) {
 	none := zinniamast.ServiceAnswer{}
 	echo := response.Header.Get(HeaderAttempt)
 	if echo != "" && echo != call.Attempt {
-		return none, c.failed(zinniamast.FailureCrossed, fmt.Errorf("plain: answer to attempt %q", echo))
+		return none, c.upstreamError(zinniamast.FailureCrossed, fmt.Errorf("plain: answer to attempt %q", echo))
 	}
-	// A promise that was made about another attempt would turn into a false
-	// "not run"; one without an identity could be such a promise.
+	// The not-taken header counts only if the answer repeats the ID of this attempt.
+	// Otherwise it could belong to another attempt, and "not run" would be wrong.
 	notTaken := response.Header.Get(HeaderNotTaken)
 	if response.StatusCode == http.StatusServiceUnavailable && notTaken != "" && echo != "" {
-		refused := c.failed(zinniamast.FailureRefused, fmt.Errorf("plain: not taken: %s", notTaken))
+		refused := c.upstreamError(zinniamast.FailureRefused, fmt.Errorf("plain: not taken: %s", notTaken))
 		refused.Leaving = notTaken == NotTakenLeaving
 		return none, refused
 	}
-	if endless(call.Method, response) {
-		return none, c.failed(zinniamast.FailureCutShort, errors.New("plain: answer has no end mark"))
+	if isUnterminated(call.Method, response) {
+		return none, c.upstreamError(zinniamast.FailureCutShort, errors.New("plain: answer has no end mark"))
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, c.config.MaxAnswer+1))
 	if err != nil {
-		return none, c.unfinished(ctx, err)
+		return none, c.classifyUnfinished(ctx, err)
 	}
 	if int64(len(body)) > c.config.MaxAnswer {
-		return none, c.failed(zinniamast.FailureCutShort, fmt.Errorf("plain: answer above %d bytes", c.config.MaxAnswer))
+		return none, c.upstreamError(zinniamast.FailureCutShort, fmt.Errorf("plain: answer above %d bytes", c.config.MaxAnswer))
 	}
 	whole := zinniamast.ServiceAnswer{
 		Status: response.StatusCode,
@@ -199,33 +202,34 @@
 		Body:   body,
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return whole, c.failed(zinniamast.FailureError, fmt.Errorf("plain: status %d", response.StatusCode))
+		return whole, c.upstreamError(zinniamast.FailureError, fmt.Errorf("plain: status %d", response.StatusCode))
 	}
 	return whole, nil
 }
 
-// unfinished classifies an answer that began and did not end.
-func (c *Client) unfinished(ctx context.Context, err error) error {
+// classifyUnfinished returns the error of an attempt whose answer began but did not
+// arrive completely.
+func (c *Client) classifyUnfinished(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return c.failed(zinniamast.FailureTimeout, err)
+		return c.upstreamError(zinniamast.FailureTimeout, err)
 	case errors.Is(ctx.Err(), context.Canceled):
-		return c.failed(zinniamast.FailureStopped, err)
+		return c.upstreamError(zinniamast.FailureStopped, err)
 	default:
-		return c.failed(zinniamast.FailureCutShort, err)
+		return c.upstreamError(zinniamast.FailureCutShort, err)
 	}
 }
 
-// endless says whether only the connection's end would end the body, so that
-// a whole answer and one cut short look the same.
-func endless(method string, response *http.Response) bool {
+// isUnterminated reports whether the body ends only with the connection, so that a
+// truncated answer cannot be told from a complete one.
+func isUnterminated(method string, response *http.Response) bool {
 	bodiless := method == http.MethodHead ||
 		response.StatusCode == http.StatusNoContent ||
 		response.StatusCode == http.StatusNotModified
 	return !bodiless && response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-func (c *Client) failed(failure zinniamast.Failure, cause error) *zinniamast.UpstreamError {
+func (c *Client) upstreamError(failure zinniamast.Failure, cause error) *zinniamast.UpstreamError {
 	return &zinniamast.UpstreamError{
 		Failure:  failure,
 		Upstream: c.config.Upstream,
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// The caller sees a booking fail, and what it may do next depends on whether
-// the booking can have run. Each way to fail is brought about once against the
-// stand-in, whose ledger tells what truly ran; "not run" must agree with it.
-func TestEachFailureIsToldApart(t *testing.T) {
+// Guards against reporting "not run" for a booking that ran, after which the caller
+// may send it again. Each kind of failure is injected once into the stand-in service,
+// whose ledger records what ran.
+func TestEachFailureIsClassified(t *testing.T) {
 	cases := []struct {
 		fault   service.Kind
 		failure zinniamast.Failure
@@ -61,18 +61,18 @@
 			_, err := client.Call(ctx, booking())
 			failed := zinniamast.AsUpstreamError(err)
 			is.True(failed != nil)                             // every fault is an upstream error
-			is.Equal(failed.Failure, c.failure)                // the fault is named
-			is.Equal(failed.Leaving, c.fault == service.Leave) // leaving is told apart
-			is.Equal(replica.Ledger().Counts().Runs, c.runs)   // the stand-in did what the case says
+			is.Equal(failed.Failure, c.failure)                // the failure is classified
+			is.Equal(failed.Leaving, c.fault == service.Leave) // leaving is distinguished from busy
+			is.Equal(replica.Ledger().Counts().Runs, c.runs)   // the stand-in ran it as the case expects
 			if failed.Outcome().Ran == zinniamast.NotRun {
-				is.Equal(c.runs, 0) // "not run" never said of what ran
+				is.Equal(c.runs, 0) // "not run" is never reported for a request that ran
 			}
 		})
 	}
 }
 
-// A replica that is down, and a deadline that passes before anything is sent,
-// are both "not run": no byte left the node.
+// Guards against reporting an attempt as possibly run although no byte was sent: when
+// the replica is down, and when the deadline has passed before the request is sent.
 func TestNothingSentIsNotRun(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,10 +96,10 @@
 	is.Equal(replica.Ledger().Counts().Runs, 1)
 }
 
-// The service runs a booking on a kept connection and dies before it answers.
-// net/http would silently send a request with an idempotency key again on a
-// new connection, and the booking would run twice; the plain Transport is
-// measured beside the client to show that the danger is real.
+// Guards against a second run when a service runs a booking on a reused connection
+// and closes it before answering: net/http would silently send a request that has an
+// idempotency key again on a new connection. TestNetHTTPReplaysWithoutTheGuard shows
+// this behaviour.
 func TestNoSilentReplayOnAReusedConnection(t *testing.T) {
 	for _, body := range []string{"", `{"cage":"B-12"}`} {
 		is := is.New(t)
@@ -126,7 +126,8 @@
 	}
 }
 
-// The same with net/http alone; if this ever sends once, the guard may go.
+// Shows that net/http without sendGuard sends the request twice. If this test fails
+// because it is sent once, sendGuard is no longer needed.
 func TestNetHTTPReplaysWithoutTheGuard(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int32
@@ -154,7 +155,7 @@
 	is.Equal(runs.Load(), int32(2)) // net/http sent it twice
 }
 
-// A redirect is an answer: following a 307 would send the booking once more.
+// Guards against following a redirect: a 307 would send the booking a second time.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	is := is.New(t)
 	var hits atomic.Int32
@@ -170,10 +171,10 @@
 	is.Equal(hits.Load(), int32(1))
 }
 
-// Raw answers that only a broken or hostile peer sends. A promise without the
-// attempt's identity is no proof, and a body that only the connection's end
-// would end may be cut short.
-func TestRawAnswers(t *testing.T) {
+// Guards against trusting answers that only a faulty or hostile service sends: a
+// not-taken header without the ID of the attempt does not prove that nothing ran, and
+// a body that ends only with the connection may be truncated.
+func TestBrokenAnswers(t *testing.T) {
 	cases := []struct {
 		name    string
 		raw     string
@@ -201,7 +202,7 @@
 	}
 }
 
-// answerRaw answers the first connection with raw bytes and closes it.
+// answerRaw writes raw to the first connection and closes it for writing.
 func answerRaw(listener net.Listener, raw string) {
 	c, err := listener.Accept()
 	if err != nil {
--- a/plain/conn.go
+++ b/plain/conn.go
@@ -11,48 +11,50 @@
 	"zinniamast/httplimit"
 )
 
-// errSealed is what a connection answers once a request may not be sent on it.
-var errSealed = errors.New("plain: the request was given up before its first byte")
+// errSealed is returned by writes to a connection that is sealed.
+var errSealed = errors.New("plain: request abandoned before its first byte was written")
 
-// What has become of the request on a connection.
+// The states of the current request on a connection: no byte was written, at least
+// one byte may have been written, or the connection is sealed and no byte will be.
 const (
-	untouched int32 = iota
-	touched
+	unsent int32 = iota
+	sent
 	sealed
 )
 
-// conn notes whether a byte of the current request was handed to the network.
+// conn records whether a byte of the current request was written to the network.
 //
-// Failure: a connection dies, and whether the request can have reached the
-// service decides between "not run" and "unknown". net/http does not tell the
-// two apart in its errors. Here the first write and the verdict race on one
-// atomic state, so that "nothing was sent" also means that nothing will be.
+// If a connection breaks, the outcome is "not run" or "unknown", depending on whether
+// the request can have reached the service. The errors of net/http do not distinguish
+// the two. The first write and the decision that nothing was sent therefore compete
+// for one atomic state, so that after the decision nothing will be sent either.
 type conn struct {
 	net.Conn
 	state    atomic.Int32
 	deadline atomic.Int64
 }
 
-// begin makes the connection ready for a request that may be sent until the deadline.
-func (c *conn) begin(deadline time.Time) {
+// prepare resets the connection for a request that may be sent until the deadline.
+func (c *conn) prepare(deadline time.Time) {
 	c.deadline.Store(deadline.UnixNano())
-	c.state.Store(untouched)
+	c.state.Store(unsent)
 }
 
-// seal bars the request if none of its bytes went out and reports whether that was so.
+// seal prevents the request from being sent, unless a byte of it may have been
+// written. It reports whether none was.
 func (c *conn) seal() bool {
-	return c.state.CompareAndSwap(untouched, sealed) || c.state.Load() == sealed
+	return c.state.CompareAndSwap(unsent, sealed) || c.state.Load() == sealed
 }
 
-// Write implements net.Conn. A process that was paused past the deadline
-// between its last check and this write must not send: its caller has been
-// told by now that the deadline is past.
+// Write implements net.Conn. It checks the deadline once more before the first byte:
+// if the process was paused past the deadline after its previous check, the caller
+// has already received a refusal, and the request must not be sent.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.state.Load() == untouched {
+	if c.state.Load() == unsent {
 		if time.Now().UnixNano() >= c.deadline.Load() {
 			c.seal()
 		}
-		c.state.CompareAndSwap(untouched, touched)
+		c.state.CompareAndSwap(unsent, sent)
 	}
 	if c.state.Load() == sealed {
 		return 0, errSealed
@@ -62,13 +64,11 @@
 
 // dialer returns a dial function whose connections are of type *conn.
 //
-// The kernel does not end them for silence.
-//
-// Failure: a request waits behind a cut, the kernel's probes end its
-// connection, and this process has nothing left to reset: the request reaches
-// the replica when the cut heals, seconds after its caller was told that it had
-// failed. Without probes a request's own deadline closes the connection, and
-// the reset discards what was not delivered.
+// TCP keep-alive probes are disabled. During a network partition they would make the
+// kernel close the connection of a waiting request, and this process could no longer
+// reset it: the request would reach the replica when the partition heals, seconds
+// after its caller was told that it had failed. Without probes the deadline of the
+// request closes the connection, and the reset discards undelivered data.
 func dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout:   timeout,
@@ -85,13 +85,13 @@
 	}
 }
 
-// once watches the connections of one request.
+// sendGuard tracks the connections of one request, so that it is sent at most once.
 //
-// Failure: net/http silently sends a request again when a reused connection
-// dies, also a POST if it carries an idempotency key, and a booking runs
-// twice. A second connection is allowed only if the first proves that nothing
-// was sent on it; otherwise it is sealed and the request ends.
-type once struct {
+// When a reused connection breaks, net/http silently sends the request again, even a
+// POST if it has an idempotency key, and a booking would run twice. A second
+// connection is allowed only if the first one is sealed, with no byte written;
+// otherwise the second connection is sealed and the request is cancelled.
+type sendGuard struct {
 	deadline time.Time
 	cancel   context.CancelFunc
 
@@ -100,8 +100,8 @@
 	replayed bool
 }
 
-// gotConn is called by net/http with each connection it chose.
-func (o *once) gotConn(c net.Conn) {
+// gotConn is called by net/http with each connection that it selects.
+func (o *sendGuard) gotConn(c net.Conn) {
 	next, ok := c.(*conn)
 	if !ok {
 		return
@@ -110,17 +110,18 @@
 	defer o.mu.Unlock()
 	if o.current != nil && !o.current.seal() {
 		o.replayed = true
-		next.begin(time.Time{})
+		next.prepare(time.Time{})
 		next.seal()
 		o.cancel()
 		return
 	}
-	next.begin(o.deadline)
+	next.prepare(o.deadline)
 	o.current = next
 }
 
-// nothingSent reports whether no byte went out, and sees to it that none will.
-func (o *once) nothingSent() bool {
+// nothingSent reports whether no byte was written. If so, it seals the connection, so
+// that none will be.
+func (o *sendGuard) nothingSent() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.current == nil || o.current.seal()
