--- a/caller/answer.go
+++ b/caller/answer.go
@@ -109,7 +109,7 @@
 	if ctx.Err() == nil {
 		a.fail(zinniamast.Refuse(zinniamast.ReasonMoved,
 			"the request goes on at another node; ask again with %s or %s", HeaderLastEvent, HeaderKey).
-			With(zinniamast.DidRun).After(time.Second))
+			WithRan(zinniamast.DidRun).WithRetryAfter(time.Second))
 	}
 	return false
 }
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -45,11 +45,11 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) Check(uint64) (bool, error)      { return false, nil }
-func (noQuarantine) Apart(uint64, []string) []string { return nil }
-func (noQuarantine) Running(string, uint64)          {}
-func (noQuarantine) Ended(string, uint64)            {}
-func (noQuarantine) Crashed(string)                  {}
+func (noQuarantine) Check(uint64) (bool, error)                { return false, nil }
+func (noQuarantine) ReplicasToAvoid(uint64, []string) []string { return nil }
+func (noQuarantine) AttemptStarted(string, uint64)             {}
+func (noQuarantine) AttemptEnded(string, uint64)               {}
+func (noQuarantine) ReplicaCrashed(string)                     {}
 
 // noPeers is a Locator of a node without peers.
 type noPeers struct{}
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -77,7 +77,7 @@
 
 func requestLost(id string) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonRequestLost,
-		"no node can go on with request %s from there; send it again without %s", id, HeaderLastEvent).With(zinniamast.Unknown)
+		"no node can go on with request %s from there; send it again without %s", id, HeaderLastEvent).WithRan(zinniamast.Unknown)
 }
 
 // findRepeated finds the request that a caller is retrying: by its idempotency key
@@ -118,7 +118,7 @@
 // accept admits a new request and starts it.
 func (s *Server) accept(ctx context.Context, a *parsedRequest) (request.Reader, *zinniamast.Refusal) {
 	if s.config.Stopping() {
-		return nil, zinniamast.Refuse(zinniamast.ReasonStopping, "this node is stopping; another one takes the request").After(time.Second)
+		return nil, zinniamast.Refuse(zinniamast.ReasonStopping, "this node is stopping; another one takes the request").WithRetryAfter(time.Second)
 	}
 	call := &a.call
 	ticket, err := s.config.Limiter.Admit(zinniamast.Admission{
@@ -148,7 +148,7 @@
 		if reader, refusal := s.config.Locator.Enter(ctx, a.query); reader != nil || refusal != nil {
 			// Callers that have joined this request in the meantime are refused; when
 			// they retry, they join the request of the peer.
-			q.Fail(zinniamast.Refuse(zinniamast.ReasonInProgress, "another node runs this key").After(time.Second))
+			q.Fail(zinniamast.Refuse(zinniamast.ReasonInProgress, "another node runs this key").WithRetryAfter(time.Second))
 			s.config.Board.Requests.Remove(q)
 			ticket.Release()
 			return reader, refusal
@@ -192,7 +192,7 @@
 	}
 	time.AfterFunc(orphanGrace, func() {
 		if q.OrphanedFor(orphanGrace / 2) {
-			q.Fail(zinniamast.Refuse(zinniamast.ReasonCancelled, "the caller went away").With(zinniamast.DidRun))
+			q.Fail(zinniamast.Refuse(zinniamast.ReasonCancelled, "the caller went away").WithRan(zinniamast.DidRun))
 		}
 	})
 }
--- a/caller/server.go
+++ b/caller/server.go
@@ -129,12 +129,12 @@
 	// Refusing every API key as unknown would make callers give up; the refusal asks
 	// them to retry instead.
 	if s.config.Board.Configuration.Current() == nil {
-		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonStarting, "the instance has no configuration yet").With(ranBeforeLookup(q)).After(startingRetryAfter))
+		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonStarting, "the instance has no configuration yet").WithRan(ranBeforeLookup(q)).WithRetryAfter(startingRetryAfter))
 		return
 	}
 	organisation := s.organisation(q)
 	if organisation == "" {
-		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonUnauthorised, "the API key is missing or unknown").With(ranBeforeLookup(q)))
+		s.refuse(w, zinniamast.Refuse(zinniamast.ReasonUnauthorised, "the API key is missing or unknown").WithRan(ranBeforeLookup(q)))
 		return
 	}
 	s.mux.ServeHTTP(w, q.WithContext(withOrganisation(q.Context(), organisation)))
--- a/plain/client.go
+++ b/plain/client.go
@@ -176,7 +176,7 @@
 	none := zinniamast.ServiceAnswer{}
 	echo := response.Header.Get(HeaderAttempt)
 	if echo != "" && echo != call.Attempt {
-		return none, c.upstreamError(zinniamast.FailureCrossed, fmt.Errorf("plain: answer to attempt %q", echo))
+		return none, c.upstreamError(zinniamast.FailureWrongAttempt, fmt.Errorf("plain: answer to attempt %q", echo))
 	}
 	// The not-taken header counts only if the answer repeats the ID of this attempt.
 	// Otherwise it could belong to another attempt, and "not run" would be wrong.
--- a/plain/client_test.go
+++ b/plain/client_test.go
@@ -43,7 +43,7 @@
 		{fault: service.ResetBefore, failure: zinniamast.FailureReset, runs: 0},
 		{fault: service.ResetAfter, failure: zinniamast.FailureReset, runs: 1},
 		{fault: service.CutShort, failure: zinniamast.FailureCutShort, runs: 1},
-		{fault: service.Cross, failure: zinniamast.FailureCrossed, runs: 1},
+		{fault: service.Cross, failure: zinniamast.FailureWrongAttempt, runs: 1},
 		{fault: service.Fail, failure: zinniamast.FailureError, runs: 1},
 		{fault: service.Crash, failure: zinniamast.FailureReset, runs: 0},
 	}
@@ -181,7 +181,7 @@
 		failure zinniamast.Failure
 	}{
 		{name: "not taken, no identity", raw: "HTTP/1.1 503 S\r\nZinniamast-Not-Taken: busy\r\nContent-Length: 0\r\n\r\n", failure: zinniamast.FailureError},
-		{name: "not taken, crossed", raw: "HTTP/1.1 503 S\r\nZinniamast-Not-Taken: busy\r\nZinniamast-Attempt: b\r\nContent-Length: 0\r\n\r\n", failure: zinniamast.FailureCrossed},
+		{name: "not taken, crossed", raw: "HTTP/1.1 503 S\r\nZinniamast-Not-Taken: busy\r\nZinniamast-Attempt: b\r\nContent-Length: 0\r\n\r\n", failure: zinniamast.FailureWrongAttempt},
 		{name: "no end mark", raw: "HTTP/1.1 200 OK\r\n\r\n{}", failure: zinniamast.FailureCutShort},
 		{name: "missing last chunk", raw: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n", failure: zinniamast.FailureCutShort},
 		{name: "headers cut short", raw: "HTTP/1.1 200 OK\r\nContent-", failure: zinniamast.FailureReset},
