--- a/engine/client.go
+++ b/engine/client.go
@@ -27,17 +27,17 @@
 	ErrProtocol = merry.Sentinel("answer does not follow the protocol")
 	// ErrNoEndMark means that the answer ended before its end mark.
 	ErrNoEndMark = merry.Sentinel("answer ended without its end mark")
-	// ErrCrossed means that the answer carried another attempt's identity.
-	ErrCrossed = merry.Sentinel("answer of another attempt")
+	// ErrWrongAttempt means that the answer carried another attempt's identity.
+	ErrWrongAttempt = merry.Sentinel("answer of another attempt")
 )
 
 const (
 	pathGenerate = "/v1/chat/completions"
-	// maxControlAnswer bounds answers other than streams, in bytes.
-	maxControlAnswer = 4 << 20
-	dialTimeout      = 2 * time.Second
-	idleTimeout      = 90 * time.Second
-	idlePerReplica   = 256
+	// maxControlAnswerBytes bounds answers other than streams, in bytes.
+	maxControlAnswerBytes  = 4 << 20
+	dialTimeout            = 2 * time.Second
+	idleConnTimeout        = 90 * time.Second
+	maxIdleConnsPerReplica = 256
 )
 
 // Config says which replica the client speaks to.
@@ -65,8 +65,8 @@
 		DialContext: (&net.Dialer{
 			Timeout: dialTimeout,
 		}).DialContext,
-		MaxIdleConnsPerHost: idlePerReplica,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerReplica,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 }
 
@@ -87,15 +87,15 @@
 
 // Generate implements zinniamast.Engine.
 func (c *Client) Generate(ctx context.Context, call zinniamast.GenerateCall) (zinniamast.Stream, error) {
-	answer, err := c.post(ctx, pathGenerate, appendCall(nil, &call))
+	answer, err := c.post(ctx, pathGenerate, appendGenerateBody(nil, &call))
 	if err != nil {
 		return nil, err
 	}
 	return newStream(c.id, call.Attempt, len(call.Resume), answer.Body), nil
 }
 
-// appendCall writes the body of a generate call.
-func appendCall(b []byte, call *zinniamast.GenerateCall) []byte {
+// appendGenerateBody writes the body of a generate call.
+func appendGenerateBody(b []byte, call *zinniamast.GenerateCall) []byte {
 	b = append(b, `{"stream":true,"stream_options":{"include_usage":true},"return_token_ids":true,"model":`...)
 	b = appendString(b, call.Model)
 	b = append(b, `,"request_id":`...)
@@ -141,20 +141,20 @@
 
 // Cancel implements zinniamast.Engine.
 func (c *Client) Cancel(ctx context.Context, attempt string) error {
-	return c.control(ctx, "/v1/cancel", requestName{
+	return c.postControl(ctx, "/v1/cancel", attemptRequest{
 		RequestID: attempt,
 	}, nil)
 }
 
-// requestName names an attempt to the engine.
-type requestName struct {
+// attemptRequest names an attempt to the engine.
+type attemptRequest struct {
 	RequestID string `json:"request_id"`
 }
 
 // ExportKV implements zinniamast.Engine.
 func (c *Client) ExportKV(ctx context.Context, attempt string) (zinniamast.KVHandle, error) {
 	var handle zinniamast.KVHandle
-	err := c.control(ctx, "/kv/export", requestName{
+	err := c.postControl(ctx, "/kv/export", attemptRequest{
 		RequestID: attempt,
 	}, &handle)
 	handle.Source = c.base
@@ -163,48 +163,48 @@
 
 // ImportKV implements zinniamast.Engine.
 func (c *Client) ImportKV(ctx context.Context, handle zinniamast.KVHandle) error {
-	return c.control(ctx, "/kv/import", handle, nil)
+	return c.postControl(ctx, "/kv/import", handle, nil)
 }
 
 // Load implements zinniamast.Engine.
 func (c *Client) Load(ctx context.Context) (zinniamast.LoadReport, error) {
 	var report zinniamast.LoadReport
-	err := c.control(ctx, "/load", struct{}{}, &report)
+	err := c.postControl(ctx, "/load", struct{}{}, &report)
 	return report, err
 }
 
 // CacheEvents implements zinniamast.Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]zinniamast.CacheEvent, error) {
 	var events []zinniamast.CacheEvent
-	err := c.control(ctx, "/cache_events", map[string]uint64{"after": after}, &events)
+	err := c.postControl(ctx, "/cache_events", map[string]uint64{"after": after}, &events)
 	return events, err
 }
 
 // Order implements zinniamast.Engine.
 func (c *Client) Order(ctx context.Context, order zinniamast.Order) error {
-	return c.control(ctx, "/orders", order, nil)
+	return c.postControl(ctx, "/orders", order, nil)
 }
 
-// control sends a small call and reads its small answer.
-func (c *Client) control(ctx context.Context, path string, question, result any) error {
+// postControl sends a small call and reads its small answer.
+func (c *Client) postControl(ctx context.Context, path string, question, result any) error {
 	body, err := json.Marshal(question)
 	if err != nil {
-		return c.failed(zinniamast.FailureInvalid, err)
+		return c.upstreamError(zinniamast.FailureInvalid, err)
 	}
 	answer, err := c.post(ctx, path, body)
 	if err != nil {
 		return err
 	}
 	defer answer.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxControlAnswer))
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxControlAnswerBytes))
 	if err != nil {
-		return c.failed(zinniamast.FailureCutShort, err)
+		return c.upstreamError(zinniamast.FailureCutShort, err)
 	}
 	if result == nil {
 		return nil
 	}
 	if err := json.Unmarshal(content, result); err != nil {
-		return c.failed(zinniamast.FailureError, merry.Wrap(ErrProtocol, merry.WithCause(err)))
+		return c.upstreamError(zinniamast.FailureError, merry.Wrap(ErrProtocol, merry.WithCause(err)))
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 func (c *Client) post(ctx context.Context, path string, body []byte) (*http.Response, error) {
 	ask, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, c.failed(zinniamast.FailureInvalid, err)
+		return nil, c.upstreamError(zinniamast.FailureInvalid, err)
 	}
 	ask.Header.Set("Content-Type", "application/json")
 	if path == pathGenerate {
@@ -223,13 +223,13 @@
 	}
 	answer, err := c.client.Do(ask)
 	if err != nil {
-		return nil, c.failed(transportFailure(err), err)
+		return nil, c.upstreamError(transportFailure(err), err)
 	}
 	if answer.StatusCode == http.StatusOK {
 		return answer, nil
 	}
 	defer answer.Body.Close()
-	return nil, c.refused(answer)
+	return nil, c.statusError(answer)
 }
 
 // transportFailure tells a connection that was never made from one that died.
@@ -250,8 +250,8 @@
 // codeLeaving is the error code of an engine that is going away.
 const codeLeaving = "leaving"
 
-// refused turns an answer without success into an error.
-func (c *Client) refused(answer *http.Response) error {
+// statusError turns an answer without success into an error.
+func (c *Client) statusError(answer *http.Response) error {
 	var content struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -259,21 +259,21 @@
 		} `json:"error"`
 	}
 	// An unreadable error body leaves the status to speak for itself.
-	_ = json.NewDecoder(io.LimitReader(answer.Body, maxControlAnswer)).Decode(&content)
+	_ = json.NewDecoder(io.LimitReader(answer.Body, maxControlAnswerBytes)).Decode(&content)
 	cause := merry.Wrap(ErrStatus, merry.AppendMessage(fmt.Sprintf("%d %s %s", answer.StatusCode, content.Error.Code, content.Error.Message)))
 	return &zinniamast.UpstreamError{
-		Failure:  failureOf(answer.StatusCode),
+		Failure:  statusFailure(answer.StatusCode),
 		Upstream: c.id,
 		Leaving:  content.Error.Code == codeLeaving,
 		Cause:    cause,
 	}
 }
 
-// failureOf says what a status without success proves. A 4xx is the engine's
+// statusFailure says what a status without success proves. A 4xx is the engine's
 // judgement of the request, which another engine would share: sending it again
 // would spend retries and hide the engine's reason behind "the budget is spent".
 // 404 and 409 speak of what this replica has loaded.
-func failureOf(status int) zinniamast.Failure {
+func statusFailure(status int) zinniamast.Failure {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusNotFound || status == http.StatusConflict:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (c *Client) failed(failure zinniamast.Failure, cause error) error {
+func (c *Client) upstreamError(failure zinniamast.Failure, cause error) error {
 	return &zinniamast.UpstreamError{
 		Failure:  failure,
 		Upstream: c.id,
--- a/engine/status_test.go
+++ b/engine/status_test.go
@@ -15,7 +15,7 @@
 
 // An engine judges a request: every other engine would judge alike, so its word
 // is final and its reason is kept for the caller. What it says of itself is not.
-func TestStatusesOfEngines(t *testing.T) {
+func TestEngineStatuses(t *testing.T) {
 	for status, want := range map[int]zinniamast.Failure{
 		http.StatusBadRequest:          zinniamast.FailureInvalid,
 		http.StatusUnprocessableEntity: zinniamast.FailureInvalid,
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -18,18 +18,18 @@
 	avoid   []string
 	retries int
 	// hedges counts second attempts beside slow ones, counted those whose end is counted.
-	hedges, counted int
-	// alone means that the last choice was made for a suspect.
-	alone bool
+	hedges, countedHedges int
+	// isSuspect means that the last choice was made for a suspect.
+	isSuspect bool
 	// ran is the most that any attempt has proved.
 	ran zinniamast.Ran
-	// failed is the last attempt's failure.
-	failed *zinniamast.UpstreamError
+	// lastFailure is the last attempt's failure.
+	lastFailure *zinniamast.UpstreamError
 	// mayDispatch is asked right before each attempt.
 	mayDispatch func() bool
 }
 
-func (h *Handler) attempts(c *call) *attempts {
+func (h *Handler) newAttempts(c *call) *attempts {
 	return &attempts{
 		handler:     h,
 		call:        c,
@@ -38,9 +38,9 @@
 	}
 }
 
-// once makes one attempt. Its errors are *Refusal where no attempt was made
+// attempt makes one attempt. Its errors are *Refusal where no attempt was made
 // and *UpstreamError where one failed.
-func (a *attempts) once(ctx context.Context) (zinniamast.ServiceAnswer, error) {
+func (a *attempts) attempt(ctx context.Context) (zinniamast.ServiceAnswer, error) {
 	upstream, err := a.prepare(ctx)
 	if err != nil {
 		return zinniamast.ServiceAnswer{}, err
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if ctx.Err() != nil || !a.mayDispatch() {
-		return nil, pastDeadline(ctx)
+		return nil, contextRefusal(ctx)
 	}
 	return upstream, nil
 }
@@ -67,9 +67,9 @@
 	if err != nil {
 		return nil, err
 	}
-	a.alone = alone
+	a.isSuspect = alone
 	if alone {
-		a.keepApart()
+		a.avoidForSuspect()
 	}
 	choice, err := h.config.Router.Route(&zinniamast.Need{
 		Request:      c.id,
@@ -92,8 +92,8 @@
 	return upstream, nil
 }
 
-// keepApart adds the replicas where a suspect should not run.
-func (a *attempts) keepApart() {
+// avoidForSuspect adds the replicas where a suspect should not run.
+func (a *attempts) avoidForSuspect() {
 	var replicas []string
 	for _, upstream := range a.handler.config.Board.Upstreams.Of(a.call.service.Name) {
 		if !upstream.Leaving() && !slices.Contains(a.avoid, upstream.Instance.ID) {
@@ -133,12 +133,12 @@
 		Elapsed:  time.Since(started),
 	}
 	// Overtaken, not failed: whatever its end looks like, nothing speaks against the replica.
-	overtaken := err != nil && context.Cause(ctx) == errOvertaken
+	overtaken := err != nil && context.Cause(ctx) == errSuperseded
 	if err == nil {
 		h.config.Retry.Succeeded(c.service.Name)
 	}
-	if c.idempotent && (err == nil || overtaken) {
-		h.pace.took(c.service.Name, id, end.Elapsed, err == nil)
+	if c.isIdempotent && (err == nil || overtaken) {
+		h.latency.record(c.service.Name, id, end.Elapsed, err == nil)
 	}
 	if overtaken {
 		end.Failure = zinniamast.FailureStopped
@@ -160,9 +160,9 @@
 	return claims.UpstreamKey(c.organisation, c.key)
 }
 
-// note records a failed attempt.
-func (a *attempts) note(failed *zinniamast.UpstreamError) {
-	a.failed = failed
+// recordFailure records a failed attempt.
+func (a *attempts) recordFailure(failed *zinniamast.UpstreamError) {
+	a.lastFailure = failed
 	a.avoid = append(a.avoid, failed.Upstream)
 	if failed.Leaving {
 		a.handler.config.Board.Upstreams.MarkLeaving(failed.Upstream, time.Time{})
@@ -175,19 +175,19 @@
 		"upstream", failed.Upstream, "failure", failed.Failure, "ran", ran, "cause", failed.Cause)
 }
 
-// again pays for one more attempt and waits, or refuses.
-func (a *attempts) again(ctx context.Context) error {
+// waitForRetry pays for one more attempt and waits, or refuses.
+func (a *attempts) waitForRetry(ctx context.Context) error {
 	h, c := a.handler, a.call
 	a.retries++
 	if a.retries+a.hedges >= c.policy.MaxAttempts {
 		return a.exhausted()
 	}
-	h.metrics.retried(a.failed.Failure)
-	if a.failed.Leaving {
+	h.metrics.countRetry(a.lastFailure.Failure)
+	if a.lastFailure.Leaving {
 		return nil
 	}
 	ask := h.config.Retry.Retry
-	if a.failed.Failure == zinniamast.FailureDial {
+	if a.lastFailure.Failure == zinniamast.FailureDial {
 		ask = h.config.Retry.GoOn
 	}
 	pause, err := ask(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
@@ -200,22 +200,22 @@
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return pastDeadline(ctx).With(a.ran)
+		return contextRefusal(ctx).With(a.ran)
 	}
 }
 
 // exhausted refuses after the last attempt.
 func (a *attempts) exhausted() *zinniamast.Refusal {
 	reason := zinniamast.ReasonUpstreamFailed
-	if a.failed.Failure == zinniamast.FailureCutShort {
+	if a.lastFailure.Failure == zinniamast.FailureCutShort {
 		reason = zinniamast.ReasonAnswerCutShort
 	}
 	return zinniamast.Refuse(reason, "%d attempts at %s failed, the last with %s",
-		a.retries+a.hedges, a.call.service.Name, a.failed.Failure).With(a.ran).After(time.Second)
+		a.retries+a.hedges, a.call.service.Name, a.lastFailure.Failure).With(a.ran).After(time.Second)
 }
 
-// pastDeadline refuses for the deadline, or because the caller has gone.
-func pastDeadline(ctx context.Context) *zinniamast.Refusal {
+// contextRefusal refuses for the deadline, or because the caller has gone.
+func contextRefusal(ctx context.Context) *zinniamast.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return zinniamast.Refuse(zinniamast.ReasonCancelled, "the request was given up")
 	}
--- a/services/call.go
+++ b/services/call.go
@@ -13,41 +13,41 @@
 	"zinniamast/request"
 )
 
-// prefix begins every path that this package serves.
-const prefix = "/services/"
+// pathPrefix begins every path that this package serves.
+const pathPrefix = "/services/"
 
-// issuePath asks for keys instead of the service.
-const issuePath = "/keys"
+// issueKeysPath asks for keys instead of the service.
+const issueKeysPath = "/keys"
 
 const maxKeyLength = 255
 
 // call is a caller's request, parsed and checked.
 type call struct {
-	id           string
-	organisation string
-	service      *config.Service
-	policy       config.Effective
-	class        request.Class
-	key          string
-	first        bool
-	idempotent   bool
-	issue        bool
-	method       string
-	path         string
-	header       http.Header
-	body         []byte
-	deadline     time.Time
-	fingerprint  uint64
+	id             string
+	organisation   string
+	service        *config.Service
+	policy         config.Effective
+	class          request.Class
+	key            string
+	isFirstSending bool
+	isIdempotent   bool
+	isIssueRequest bool
+	method         string
+	path           string
+	header         http.Header
+	body           []byte
+	deadline       time.Time
+	fingerprint    uint64
 }
 
-// repeatable says whether sending the call twice harms nobody: it is marked
+// isRepeatable says whether sending the call twice harms nobody: it is marked
 // idempotent, or the service itself runs each key at most once.
-func (c *call) repeatable() bool {
-	return c.idempotent || (c.service.ChecksKeys && c.key != "")
+func (c *call) isRepeatable() bool {
+	return c.isIdempotent || (c.service.ChecksKeys && c.key != "")
 }
 
-// claim returns what a claim on the call's key is for.
-func (c *call) claim() claims.Call {
+// claimsCall returns what a claim on the call's key is for.
+func (c *call) claimsCall() claims.Call {
 	return claims.Call{
 		Organisation: c.organisation,
 		Service:      c.service.Name,
@@ -56,7 +56,7 @@
 		Path:         c.path,
 		Body:         c.body,
 		Deadline:     c.deadline,
-		First:        c.first,
+		First:        c.isFirstSending,
 	}
 }
 
@@ -67,7 +67,7 @@
 		organisation: caller.OrganisationFrom(q.Context()),
 		method:       q.Method,
 		path:         q.URL.Path,
-		header:       passOn(q.Header),
+		header:       forwardedHeaders(q.Header),
 	}
 	current := h.config.Board.Configuration.Config()
 	name, rest, err := splitPath(q.URL.EscapedPath())
@@ -78,8 +78,8 @@
 	if c.service == nil {
 		return c, zinniamast.Refuse(zinniamast.ReasonUnknownService, "there is no service %q", name)
 	}
-	c.idempotent = c.service.Idempotent(c.method, rest)
-	c.issue = c.method == http.MethodPost && rest == issuePath && h.config.Issuer != nil
+	c.isIdempotent = c.service.Idempotent(c.method, rest)
+	c.isIssueRequest = c.method == http.MethodPost && rest == issueKeysPath && h.config.Issuer != nil
 	c.path = rest
 	if q.URL.RawQuery != "" {
 		c.path += "?" + q.URL.RawQuery
@@ -93,8 +93,8 @@
 // readHeaders reads key, class and deadline.
 func (h *Handler) readHeaders(c *call, q *http.Request, current *config.Config) *zinniamast.Refusal {
 	c.key = q.Header.Get(caller.HeaderKey)
-	c.first = q.Header.Get(caller.HeaderFirst) == "true"
-	if len(c.key) > maxKeyLength || strings.ContainsFunc(c.key, unprintable) {
+	c.isFirstSending = q.Header.Get(caller.HeaderFirst) == "true"
+	if len(c.key) > maxKeyLength || strings.ContainsFunc(c.key, isUnprintable) {
 		return zinniamast.Refuse(zinniamast.ReasonMalformed,
 			"%s: must be at most %d printable ASCII characters", caller.HeaderKey, maxKeyLength)
 	}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func unprintable(r rune) bool { return r < ' ' || r > '~' }
+func isUnprintable(r rune) bool { return r < ' ' || r > '~' }
 
 // readBody reads the whole body within its bound.
 func (c *call) readBody(w http.ResponseWriter, q *http.Request) *zinniamast.Refusal {
--- a/services/forward.go
+++ b/services/forward.go
@@ -45,14 +45,14 @@
 	Refusal *zinniamast.Refusal
 }
 
-// forwardRetry is when the issuing node may be reachable again.
-const forwardRetry = 5 * time.Second
+// issuerRetryAfter is when the issuing node may be reachable again.
+const issuerRetryAfter = 5 * time.Second
 
-// elsewhere has the issuing node run the call. Nobody else may: the issuing
+// forwardToIssuer has the issuing node run the call. Nobody else may: the issuing
 // process may have run it and be cut off.
-func (h *Handler) elsewhere(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
+func (h *Handler) forwardToIssuer(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
 	if h.config.Forwarder == nil {
-		return h.outOfReach(ctx, c, key)
+		return h.answerWithoutIssuer(ctx, c, key)
 	}
 	answer, err := h.config.Forwarder.Forward(ctx, key.Node, ForwardedCall{
 		Organisation: c.organisation,
@@ -67,11 +67,11 @@
 	})
 	if err != nil {
 		h.config.Logger.Info("issuing instance not reached", "instance", key.Node, "cause", err)
-		if errors.Is(err, ErrNotForwarded) && c.first {
+		if errors.Is(err, ErrNotForwarded) && c.isFirstSending {
 			return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 				"only instance %s may run this key and it cannot be reached; ask for a new key", key.Node).After(time.Second)
 		}
-		return h.outOfReach(ctx, c, key)
+		return h.answerWithoutIssuer(ctx, c, key)
 	}
 	if answer.Refusal != nil {
 		return nil, answer.Refusal
@@ -82,25 +82,25 @@
 	}, nil
 }
 
-// outOfReach answers for a key whose issuing process cannot be asked: with the
+// answerWithoutIssuer answers for a key whose issuing process cannot be asked: with the
 // outcome that it left in the table, or with what cannot be known.
-func (h *Handler) outOfReach(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
-	record, err := h.config.Claims.Read(ctx, c.claim())
+func (h *Handler) answerWithoutIssuer(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
+	record, err := h.config.Claims.Read(ctx, c.claimsCall())
 	if err == nil && record.State != claims.StateFree {
-		return h.stood(c, &record)
+		return h.earlierOutcome(c, &record)
 	}
 	return nil, zinniamast.Refuse(zinniamast.ReasonOutcomeUnknown,
 		"only instance %s may run this key and it cannot be reached; if you never sent the key before, "+
 			"ask for a new one, otherwise send the same key again", key.Node).
-		With(zinniamast.Unknown).After(forwardRetry)
+		With(zinniamast.Unknown).After(issuerRetryAfter)
 }
 
-// Run runs a call that another node forwarded. Errors are in the answer.
-func (h *Handler) Run(ctx context.Context, forwarded ForwardedCall) ForwardedAnswer {
-	done, err := h.run(ctx, forwarded)
+// RunForwarded runs a call that another node forwarded. Errors are in the answer.
+func (h *Handler) RunForwarded(ctx context.Context, forwarded ForwardedCall) ForwardedAnswer {
+	done, err := h.runForwarded(ctx, forwarded)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
-		h.metrics.refused(refusal)
+		h.metrics.countRefusal(refusal)
 		return ForwardedAnswer{
 			Refusal: refusal,
 		}
@@ -113,20 +113,20 @@
 
 var errNoIssuer = errors.New("services: this node issues no keys")
 
-func (h *Handler) run(ctx context.Context, f ForwardedCall) (*result, error) {
+func (h *Handler) runForwarded(ctx context.Context, f ForwardedCall) (*result, error) {
 	if h.config.Issuer == nil {
 		return nil, errNoIssuer
 	}
-	c, refusal := h.forwardedCall(f)
+	c, refusal := h.rebuildCall(f)
 	if refusal != nil {
 		return nil, refusal
 	}
 	key, err := h.config.Issuer.Verify(c.organisation, c.service.Name, c.key)
 	if err != nil || key.Epoch != h.config.Issuer.Epoch() {
 		// The process that issued the key is gone and this one has its name.
-		return h.outOfReach(ctx, c, key)
+		return h.answerWithoutIssuer(ctx, c, key)
 	}
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	return h.underKey(ctx, c, key)
+	return h.runUnderKey(ctx, c, key)
 }
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -25,29 +25,29 @@
 	"zinniamast/services"
 )
 
-// lookups is a service of four replicas in virtual time, with what was seen of it.
-type lookups struct {
+// lookupFleet is a service of four replicas in virtual time, with what was seen of it.
+type lookupFleet struct {
 	firstRouter
-	openDoor
+	allowAll
 	board *blackboard.Board
 	http  http.Handler
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	attempts map[string]int
-	ends     []zinniamast.Observation
-	crashed  int
-	// routes are the next choices; without them every replica is as likely.
-	routes []string
-	alone  bool
-	// learning chooses instead, if it is set.
-	learning *routing.Router
+	mu           sync.Mutex
+	random       *rand.Rand
+	attempts     map[string]int
+	observedEnds []zinniamast.Observation
+	crashed      int
+	// nextRoutes are the next choices; without them every replica is as likely.
+	nextRoutes []string
+	isSuspect  bool
+	// learningRouter chooses instead, if it is set.
+	learningRouter *routing.Router
 	// answer plays an attempt at a replica.
-	answer func(ctx context.Context, l *lookups, replica int) error
+	answer func(ctx context.Context, l *lookupFleet, replica int) error
 }
 
-// timed answers after a time, unless it is given up before.
-func timed(ctx context.Context, wait time.Duration) error {
+// answerAfter answers after a time, unless it is given up before.
+func answerAfter(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-time.After(wait):
 		return nil
@@ -56,14 +56,14 @@
 	}
 }
 
-// normal is how long a well replica takes: 5 to 15 ms.
-func (l *lookups) normal() time.Duration {
+// normalLatency is how long a well replica takes: 5 to 15 ms.
+func (l *lookupFleet) normalLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 5*time.Millisecond + time.Duration(l.random.Int64N(int64(10*time.Millisecond)))
 }
 
-func (l *lookups) chance(share float64) bool {
+func (l *lookupFleet) chance(share float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.Float64() < share
@@ -71,12 +71,12 @@
 
 // replicaClient is one replica of the lookups.
 type replicaClient struct {
-	lookups *lookups
-	number  int
+	fleet  *lookupFleet
+	number int
 }
 
 func (r replicaClient) Call(ctx context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
-	l := r.lookups
+	l := r.fleet
 	l.mu.Lock()
 	l.attempts[fmt.Sprintf("booking-%d", r.number)]++
 	l.mu.Unlock()
@@ -84,15 +84,15 @@
 }
 
 // Route chooses evenly among the replicas that are not avoided.
-func (l *lookups) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
-	if l.learning != nil {
-		return l.learning.Route(need)
+func (l *lookupFleet) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
+	if l.learningRouter != nil {
+		return l.learningRouter.Route(need)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.routes) > 0 {
-		next := l.routes[0]
-		l.routes = l.routes[1:]
+	if len(l.nextRoutes) > 0 {
+		next := l.nextRoutes[0]
+		l.nextRoutes = l.nextRoutes[1:]
 		return zinniamast.Choice{Upstream: next}, nil
 	}
 	var left []string
@@ -107,27 +107,27 @@
 	return zinniamast.Choice{Upstream: left[l.random.IntN(len(left))]}, nil
 }
 
-func (l *lookups) Observe(o zinniamast.Observation) {
+func (l *lookupFleet) Observe(o zinniamast.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.learning != nil {
-		l.learning.Observe(o)
+	if l.learningRouter != nil {
+		l.learningRouter.Observe(o)
 	}
 	if o.Kind == zinniamast.ObservedEnd {
-		l.ends = append(l.ends, o)
+		l.observedEnds = append(l.observedEnds, o)
 	}
 }
 
-func (l *lookups) Check(uint64) (bool, error) { return l.alone, nil }
+func (l *lookupFleet) Check(uint64) (bool, error) { return l.isSuspect, nil }
 
-func (l *lookups) Crashed(string) {
+func (l *lookupFleet) Crashed(string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed++
 }
 
-func newLookups(hedging bool, answer func(context.Context, *lookups, int) error) *lookups {
-	l := &lookups{
+func newLookupFleet(hedging bool, answer func(context.Context, *lookupFleet, int) error) *lookupFleet {
+	l := &lookupFleet{
 		random:   rand.New(rand.NewPCG(5, 5)),
 		attempts: map[string]int{},
 		answer:   answer,
@@ -138,14 +138,14 @@
 	for i := range 4 {
 		board.Upstreams.Add(&blackboard.Upstream{
 			Instance: zinniamast.Instance{ID: fmt.Sprintf("booking-%d", i), Service: "booking"},
-			Service:  replicaClient{lookups: l, number: i},
+			Service:  replicaClient{fleet: l, number: i},
 		})
 	}
 	budget := retry.New(retry.Config{Seed: 5})
 	c := services.Config{
 		Board:      board,
 		Router:     l,
-		Limiter:    openDoor{},
+		Limiter:    allowAll{},
 		Retry:      budget,
 		Quarantine: l,
 	}
@@ -162,7 +162,7 @@
 }
 
 // send makes calls at a rate a second and returns how long each took.
-func (l *lookups) send(method string, calls, rate int) []time.Duration {
+func (l *lookupFleet) send(method string, calls, rate int) []time.Duration {
 	var done sync.WaitGroup
 	took := make([]time.Duration, calls)
 	for i := range calls {
@@ -181,7 +181,7 @@
 }
 
 // total counts attempts at all replicas.
-func (l *lookups) total() int {
+func (l *lookupFleet) total() int {
 	total := 0
 	for _, count := range l.attempts {
 		total += count
@@ -193,7 +193,7 @@
 // 6,000 lookups and attempts per lookup with and without hedging. An attempt
 // that was overtaken is stopped, and neither routing nor the quarantine blames
 // its replica.
-func TestHedgesPastASlowReplica(t *testing.T) {
+func TestHedgingBoundsTailLatency(t *testing.T) {
 	is := is.New(t)
 	const calls = 6000
 	for _, c := range []struct {
@@ -209,14 +209,14 @@
 		tail := map[bool]time.Duration{}
 		for _, hedging := range []bool{false, true} {
 			synctest.Test(t, func(*testing.T) {
-				l := newLookups(hedging, func(ctx context.Context, l *lookups, replica int) error {
+				l := newLookupFleet(hedging, func(ctx context.Context, l *lookupFleet, replica int) error {
 					if replica == 0 && l.chance(c.slow) {
-						return timed(ctx, 500*time.Millisecond)
+						return answerAfter(ctx, 500*time.Millisecond)
 					}
-					return timed(ctx, l.normal())
+					return answerAfter(ctx, l.normalLatency())
 				})
 				if c.learning {
-					l.learning = routing.New(routing.Config{Board: l.board, Seed: 5})
+					l.learningRouter = routing.New(routing.Config{Board: l.board, Seed: 5})
 				}
 				took := l.send("GET", calls, 100)
 				slices.Sort(took)
@@ -226,7 +226,7 @@
 					c.learning, hedging, took[calls/2], took[calls*95/100], tail[hedging], 100*float64(calls-late)/calls, float64(l.total())/calls)
 				is.True(float64(l.total()) <= 1.1*calls)
 				is.Equal(l.crashed, 0)
-				for _, end := range l.ends {
+				for _, end := range l.observedEnds {
 					is.True(end.Failure == "" || end.Failure == zinniamast.FailureStopped)
 				}
 			})
@@ -238,16 +238,16 @@
 // A well minute, and then all replicas fail, at once or by silence until the
 // caller's deadline. Each call of a silent service is late; hedging them would
 // nearly double the load. Attempts per request stay under 1.1.
-func TestOutageIsNotHedged(t *testing.T) {
+func TestOutageDoesNotTriggerHedging(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"fails at once": 0, "is silent": time.Hour} {
 		synctest.Test(t, func(*testing.T) {
 			is := is.New(t)
 			var down bool
-			l := newLookups(true, func(ctx context.Context, l *lookups, _ int) error {
+			l := newLookupFleet(true, func(ctx context.Context, l *lookupFleet, _ int) error {
 				if !down {
-					return timed(ctx, l.normal())
+					return answerAfter(ctx, l.normalLatency())
 				}
-				timed(ctx, wait)
+				answerAfter(ctx, wait)
 				return &zinniamast.UpstreamError{Failure: zinniamast.FailureTimeout, Cause: context.DeadlineExceeded}
 			})
 			l.send("GET", 600, 10)
@@ -265,7 +265,7 @@
 // router names each attempt's replica. A late lookup is sent again, but not to a
 // replica that leaves, that has the call already or that failed it, not while
 // the quarantine wants the call alone, and not if nothing marks it idempotent.
-func TestWhatIsNotHedged(t *testing.T) {
+func TestHedgeConditions(t *testing.T) {
 	cases := []struct {
 		name   string
 		method string
@@ -284,20 +284,20 @@
 		synctest.Test(t, func(*testing.T) {
 			is := is.New(t)
 			late := false
-			l := newLookups(true, func(ctx context.Context, l *lookups, replica int) error {
+			l := newLookupFleet(true, func(ctx context.Context, l *lookupFleet, replica int) error {
 				switch {
 				case late && replica == 2:
 					return &zinniamast.UpstreamError{Upstream: "booking-2", Failure: zinniamast.FailureError}
 				case late:
-					return timed(ctx, 100*time.Millisecond)
+					return answerAfter(ctx, 100*time.Millisecond)
 				default:
-					return timed(ctx, l.normal())
+					return answerAfter(ctx, l.normalLatency())
 				}
 			})
 			l.send("GET", 600, 100)
 			late = true
 			l.board.Upstreams.MarkLeaving("booking-3", time.Time{})
-			l.routes, l.alone = c.routes, c.alone
+			l.nextRoutes, l.isSuspect = c.routes, c.alone
 			before := l.total()
 			l.send(cmp.Or(c.method, "GET"), 1, 10)
 			t.Logf("%s: %d attempts", c.name, l.total()-before)
--- a/services/issued.go
+++ b/services/issued.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if h.config.Stopping() {
-		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").After(stoppingRetry))
+		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").After(stoppingRetryAfter))
 		return
 	}
 	keys, expires := h.config.Issuer.Issue(c.organisation, c.service.Name, asked.Count)
@@ -46,9 +46,9 @@
 	})
 }
 
-// issued runs a call under an issued key: here if this process issued it, at
+// runIssued runs a call under an issued key: here if this process issued it, at
 // the issuing process otherwise.
-func (h *Handler) issued(ctx context.Context, c *call) (*result, error) {
+func (h *Handler) runIssued(ctx context.Context, c *call) (*result, error) {
 	if h.config.Issuer == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "this instance takes no issued keys")
 	}
@@ -57,23 +57,23 @@
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed,
 			"the key was not issued to this organisation for %s", c.service.Name)
 	}
-	return h.underKey(ctx, c, key)
+	return h.runUnderKey(ctx, c, key)
 }
 
-// underKey runs a call under a key that has been proved.
-func (h *Handler) underKey(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
-	asked := c.claim()
+// runUnderKey runs a call under a key that has been proved.
+func (h *Handler) runUnderKey(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
+	asked := c.claimsCall()
 	use, mine, err := h.config.Issuer.Take(key, asked.Hash())
 	switch {
 	case errors.Is(err, issuedkeys.ErrElsewhere):
-		return h.elsewhere(ctx, c, key)
+		return h.forwardToIssuer(ctx, c, key)
 	case errors.Is(err, issuedkeys.ErrConflict):
 		return nil, claims.Conflict(c.key)
 	case err != nil:
 		return nil, zinniamast.Refuse(zinniamast.ReasonKeyRequired,
 			"the key has expired; ask for a new one").With(h.config.Issuer.Known(c.key))
 	case mine:
-		return h.use(c, use)
+		return h.dispatchUse(c, use)
 	}
 	select {
 	case <-use.Done:
@@ -89,24 +89,24 @@
 	}, nil
 }
 
-// use dispatches a call under a key of this process. The table is told the
+// dispatchUse dispatches a call under a key of this process. The table is told the
 // outcome when it can be, for those who ask after this process has gone.
-func (h *Handler) use(c *call, use *issuedkeys.Use) (*result, error) {
-	ctx, cancel := h.detached(c)
+func (h *Handler) dispatchUse(c *call, use *issuedkeys.Use) (*result, error) {
+	ctx, cancel := h.detachedContext(c)
 	defer cancel()
-	done, err := h.dispatch(ctx, c, h.attempts(c))
+	done, err := h.dispatch(ctx, c, h.newAttempts(c))
 	if err == nil {
 		use.End(&done.answer, nil)
-		h.config.Claims.Keep(c.claim(), claims.EventAnswer, &done.answer)
+		h.config.Claims.Keep(c.claimsCall(), claims.EventAnswer, &done.answer)
 		return done, nil
 	}
 	refusal := zinniamast.AsRefusal(err)
 	use.End(nil, refusal)
 	switch refusal.Ran {
 	case zinniamast.DidRun:
-		h.config.Claims.Keep(c.claim(), claims.EventRun, nil)
+		h.config.Claims.Keep(c.claimsCall(), claims.EventRun, nil)
 	case zinniamast.Unknown:
-		h.config.Claims.Keep(c.claim(), claims.EventLose, nil)
+		h.config.Claims.Keep(c.claimsCall(), claims.EventLose, nil)
 	}
 	return nil, refusal
 }
--- a/services/metrics.go
+++ b/services/metrics.go
@@ -59,14 +59,14 @@
 	return m
 }
 
-func (m *metrics) refused(refusal *zinniamast.Refusal) {
+func (m *metrics) countRefusal(refusal *zinniamast.Refusal) {
 	m.refusals.WithLabelValues(string(refusal.Reason), string(refusal.Ran)).Inc()
 }
 
-func (m *metrics) retried(failure zinniamast.Failure) {
+func (m *metrics) countRetry(failure zinniamast.Failure) {
 	m.retries.WithLabelValues(string(failure)).Inc()
 }
 
-func (m *metrics) hedged(decision string) { m.hedges.WithLabelValues(decision).Inc() }
+func (m *metrics) countHedge(decision string) { m.hedges.WithLabelValues(decision).Inc() }
 
-func (m *metrics) answered(service string) { m.answers.WithLabelValues(service).Inc() }
+func (m *metrics) countAnswer(service string) { m.answers.WithLabelValues(service).Inc() }
--- a/services/once.go
+++ b/services/once.go
@@ -8,17 +8,17 @@
 	"zinniamast/claims"
 )
 
-// single runs a call that may not be repeated and has no key: every request is
+// runUnkeyed runs a call that may not be repeated and has no key: every request is
 // a call of its own.
-func (h *Handler) single(c *call) (*result, error) {
-	ctx, cancel := h.detached(c)
+func (h *Handler) runUnkeyed(c *call) (*result, error) {
+	ctx, cancel := h.detachedContext(c)
 	defer cancel()
-	return h.dispatch(ctx, c, h.attempts(c))
+	return h.dispatch(ctx, c, h.newAttempts(c))
 }
 
-// detached bounds a call by its deadline alone. A caller that goes away must
+// detachedContext bounds a call by its deadline alone. A caller that goes away must
 // not break off a booking halfway, whose outcome nobody would know then.
-func (h *Handler) detached(c *call) (context.Context, context.CancelFunc) {
+func (h *Handler) detachedContext(c *call) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(h.config.Context, c.deadline)
 }
 
@@ -26,35 +26,35 @@
 // not to have run are followed by another.
 func (h *Handler) dispatch(ctx context.Context, c *call, a *attempts) (*result, error) {
 	for {
-		answer, err := a.once(ctx)
+		answer, err := a.attempt(ctx)
 		if err == nil {
-			h.metrics.answered(c.service.Name)
+			h.metrics.countAnswer(c.service.Name)
 			return &result{
 				answer: answer,
 			}, nil
 		}
 		failed := zinniamast.AsUpstreamError(err)
 		if failed == nil {
-			return nil, a.refused(err)
+			return nil, a.refusalWithRan(err)
 		}
-		a.note(failed)
+		a.recordFailure(failed)
 		if a.ran != zinniamast.NotRun {
-			return nil, a.inconclusive(answer)
+			return nil, a.refuseUnanswered(answer)
 		}
-		if err := a.again(ctx); err != nil {
+		if err := a.waitForRetry(ctx); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// maxQuoted bounds how much of a service's own error a refusal quotes.
-const maxQuoted = 200
+// maxQuotedBytes bounds how much of a service's own error a refusal quotes.
+const maxQuotedBytes = 200
 
-// inconclusive refuses a call that ran or may have run and has no whole answer.
-func (a *attempts) inconclusive(answer zinniamast.ServiceAnswer) *zinniamast.Refusal {
-	switch a.failed.Failure {
+// refuseUnanswered refuses a call that ran or may have run and has no whole answer.
+func (a *attempts) refuseUnanswered(answer zinniamast.ServiceAnswer) *zinniamast.Refusal {
+	switch a.lastFailure.Failure {
 	case zinniamast.FailureError:
-		quoted := string(answer.Body[:min(len(answer.Body), maxQuoted)])
+		quoted := string(answer.Body[:min(len(answer.Body), maxQuotedBytes)])
 		return zinniamast.Refuse(zinniamast.ReasonUpstreamFailed,
 			"%s ran the call and failed with status %d: %s", a.call.service.Name, answer.Status, quoted).
 			With(a.ran)
@@ -63,12 +63,12 @@
 			"%s ran the call and its answer was cut short; %s", a.call.service.Name, a.call.nextStep()).
 			With(a.ran)
 	default:
-		return unknown(a.call, a.failed.Failure)
+		return outcomeUnknown(a.call, a.lastFailure.Failure)
 	}
 }
 
-// unknown refuses a call of which nobody knows whether it ran.
-func unknown(c *call, cause any) *zinniamast.Refusal {
+// outcomeUnknown refuses a call of which nobody knows whether it ran.
+func outcomeUnknown(c *call, cause any) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonOutcomeUnknown,
 		"whether %s ran the call is not known (%v); %s", c.service.Name, cause, c.nextStep()).
 		With(zinniamast.Unknown)
@@ -86,34 +86,34 @@
 	}
 }
 
-// claimed runs a call under a claim on its key.
-func (h *Handler) claimed(ctx context.Context, c *call) (*result, error) {
-	standing, err := h.config.Claims.Begin(ctx, c.claim())
+// runClaimed runs a call under a claim on its key.
+func (h *Handler) runClaimed(ctx context.Context, c *call) (*result, error) {
+	standing, err := h.config.Claims.Begin(ctx, c.claimsCall())
 	if err != nil {
 		return nil, err
 	}
 	if standing.Claim != nil {
-		return h.underClaim(c, standing.Claim)
+		return h.runUnderClaim(c, standing.Claim)
 	}
 	record := standing.Record
-	if record.Lost() && h.lookUp(ctx, c) {
-		standing, err = h.config.Claims.Begin(ctx, c.claim())
+	if record.Lost() && h.resolveByLookup(ctx, c) {
+		standing, err = h.config.Claims.Begin(ctx, c.claimsCall())
 		if err != nil {
 			return nil, err
 		}
 		if standing.Claim != nil {
-			return h.underClaim(c, standing.Claim)
+			return h.runUnderClaim(c, standing.Claim)
 		}
 		record = standing.Record
 	}
-	return h.stood(c, &record)
+	return h.earlierOutcome(c, &record)
 }
 
-// underClaim runs the call and ends its claim by what the attempts proved.
-func (h *Handler) underClaim(c *call, claim *claims.Claim) (*result, error) {
-	ctx, cancel := h.detached(c)
+// runUnderClaim runs the call and ends its claim by what the attempts proved.
+func (h *Handler) runUnderClaim(c *call, claim *claims.Claim) (*result, error) {
+	ctx, cancel := h.detachedContext(c)
 	defer cancel()
-	a := h.attempts(c)
+	a := h.newAttempts(c)
 	a.mayDispatch = claim.MayDispatch
 	done, err := h.dispatch(ctx, c, a)
 	if err == nil {
@@ -132,8 +132,8 @@
 	return nil, refusal
 }
 
-// stood answers with what an earlier request under the key came to.
-func (h *Handler) stood(c *call, record *claims.Record) (*result, error) {
+// earlierOutcome answers with what an earlier request under the key came to.
+func (h *Handler) earlierOutcome(c *call, record *claims.Record) (*result, error) {
 	switch {
 	case record.State == claims.StateDone && record.Answer != nil:
 		return &result{
@@ -145,7 +145,7 @@
 			"the call under this key ran and its answer is not kept; ask the service for %s", c.upstreamKey()).
 			With(zinniamast.DidRun)
 	case record.Lost():
-		return nil, unknown(c, "an earlier request under the key").After(lookupRetry)
+		return nil, outcomeUnknown(c, "an earlier request under the key").After(lookupRetryAfter)
 	default:
 		return nil, claims.InProgress()
 	}
--- a/services/outage_test.go
+++ b/services/outage_test.go
@@ -28,40 +28,40 @@
 )
 
 const (
-	outageNodes   = 9
-	outageFrom    = 30 * time.Second
-	outageLasts   = 5 * time.Minute
-	nodeDiesAt    = 2 * time.Minute
-	cutFrom       = 3 * time.Minute
-	cutUntil      = 4 * time.Minute
-	callerWaits   = 30 * time.Second
-	callerAgainIn = time.Second
+	outageNodes      = 9
+	outageStart      = 30 * time.Second
+	outageDuration   = 5 * time.Minute
+	nodeDeathAfter   = 2 * time.Minute
+	partitionStart   = 3 * time.Minute
+	partitionEnd     = 4 * time.Minute
+	callerTimeout    = 30 * time.Second
+	callerRetryDelay = time.Second
 )
 
-// bookingsASecond is lower with the race detector, under which time is dear.
-func bookingsASecond() int {
+// bookingsPerSecond is lower with the race detector, under which time is dear.
+func bookingsPerSecond() int {
 	if testing.Short() {
 		return 1
 	}
 	return 4
 }
 
-// callers says what keys callers use.
-type callers int
+// keyStrategy says what keys callers use.
+type keyStrategy int
 
 const (
 	// ownKeys are chosen by the caller.
-	ownKeys callers = iota
+	ownKeys keyStrategy = iota
 	// issuedKeys are asked for before each booking.
 	issuedKeys
 	// ownThenIssued turns to issued keys where an own key is refused as not run.
 	ownThenIssued
 )
 
-// inMemory speaks to a stand-in without a network, so that time can be virtual.
-type inMemory struct{ replica *service.Service }
+// inMemoryClient speaks to a stand-in without a network, so that time can be virtual.
+type inMemoryClient struct{ replica *service.Service }
 
-func (m inMemory) Call(_ context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
+func (m inMemoryClient) Call(_ context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
 	q := httptest.NewRequest(call.Method, call.Path, bytes.NewReader(call.Body))
 	q.Header.Set(plain.HeaderAttempt, call.Attempt)
 	q.Header.Set(plain.HeaderKey, call.Key)
@@ -86,31 +86,31 @@
 	random *rand.Rand
 }
 
-// since returns the time since the outage began.
-func (o *outage) since() time.Duration { return time.Since(o.start) - outageFrom }
+// sinceOutageStart returns the time since the outage began.
+func (o *outage) sinceOutageStart() time.Duration { return time.Since(o.start) - outageStart }
 
-func (o *outage) dead(node int) bool { return node < 2 && o.since() > nodeDiesAt }
+func (o *outage) isDead(node int) bool { return node < 2 && o.sinceOutageStart() > nodeDeathAfter }
 
-func (o *outage) cut(node int) bool {
-	return node >= 2 && node < 4 && o.since() > cutFrom && o.since() < cutUntil
+func (o *outage) isPartitioned(node int) bool {
+	return node >= 2 && node < 4 && o.sinceOutageStart() > partitionStart && o.sinceOutageStart() < partitionEnd
 }
 
-// between is one node's way to the others.
-type between struct {
+// outageForwarder is one node's way to the others.
+type outageForwarder struct {
 	outage *outage
 	own    int
 }
 
-func (b *between) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
+func (b *outageForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
 	var target int
 	fmt.Sscanf(node, "node-%d", &target)
 	o := b.outage
-	if o.dead(target) || o.cut(target) != o.cut(b.own) {
+	if o.isDead(target) || o.isPartitioned(target) != o.isPartitioned(b.own) {
 		return services.ForwardedAnswer{}, services.ErrNotForwarded
 	}
 	time.Sleep(3 * time.Millisecond)
-	answer := o.handlers[target].Run(ctx, call)
-	if o.dead(target) {
+	answer := o.handlers[target].RunForwarded(ctx, call)
+	if o.isDead(target) {
 		return services.ForwardedAnswer{}, io.ErrUnexpectedEOF
 	}
 	return answer, nil
@@ -120,7 +120,7 @@
 func (o *outage) post(path, body, key string, first bool) (*httptest.ResponseRecorder, bool) {
 	o.mu.Lock()
 	node := o.random.IntN(outageNodes)
-	for o.dead(node) {
+	for o.isDead(node) {
 		node = o.random.IntN(outageNodes)
 	}
 	o.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 	w := httptest.NewRecorder()
 	o.nodes[node].ServeHTTP(w, q)
-	return w, !o.dead(node)
+	return w, !o.isDead(node)
 }
 
 // issue asks for a key.
@@ -150,13 +150,13 @@
 
 // book makes one booking the way its caller would, and returns what the caller
 // knows in the end.
-func (o *outage) book(id string, kind callers) zinniamast.Ran {
+func (o *outage) book(id string, kind keyStrategy) zinniamast.Ran {
 	key, first := id, true
 	if kind == issuedKeys {
 		key = o.issue()
 	}
 	known := zinniamast.NotRun
-	for until := time.Now().Add(callerWaits); time.Now().Before(until); time.Sleep(callerAgainIn) {
+	for until := time.Now().Add(callerTimeout); time.Now().Before(until); time.Sleep(callerRetryDelay) {
 		if key == "" {
 			key, first = o.issue(), true
 			continue
@@ -187,15 +187,15 @@
 // outageResult counts what callers knew in the end of bookings that began
 // during the outage, and bookings that ran twice.
 type outageResult struct {
-	served, notRun, unknown, doubled, falseNotRun int
+	served, notRun, unknown, ranTwice, falseNotRun int
 }
 
-func (r *outageResult) share() float64 {
+func (r *outageResult) servedShare() float64 {
 	return float64(r.served) / float64(r.served+r.notRun+r.unknown)
 }
 
-// measureOutage plays an outage of the table of five minutes.
-func measureOutage(t *testing.T, described config.Service, kind callers) (r outageResult) {
+// runOutage plays an outage of the table of five minutes.
+func runOutage(t *testing.T, described config.Service, kind keyStrategy) (r outageResult) {
 	synctest.Test(t, func(*testing.T) {
 		store := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
 		o := &outage{
@@ -214,19 +214,19 @@
 			board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(described)})
 			board.Upstreams.Add(&blackboard.Upstream{
 				Instance: zinniamast.Instance{ID: "booking-0", Service: "booking"},
-				Service:  inMemory{replica: replica},
+				Service:  inMemoryClient{replica: replica},
 			})
-			claimed, handler, node := newNode(n, board, store.Table, &between{outage: o, own: n})
+			claimed, handler, node := newNode(n, board, store.Table, &outageForwarder{outage: o, own: n})
 			held = append(held, claimed)
 			o.handlers = append(o.handlers, handler)
 			o.nodes = append(o.nodes, node)
 		}
-		time.Sleep(outageFrom)
+		time.Sleep(outageStart)
 		store.SetFault(platform.ServiceTable, platform.Fault{Down: true})
 		var done sync.WaitGroup
 		var mu sync.Mutex
 		told := map[string]zinniamast.Ran{}
-		for i := range int(outageLasts.Seconds()-callerWaits.Seconds()) * bookingsASecond() {
+		for i := range int(outageDuration.Seconds()-callerTimeout.Seconds()) * bookingsPerSecond() {
 			id := fmt.Sprint("booking ", i)
 			done.Go(func() {
 				known := o.book(id, kind)
@@ -234,7 +234,7 @@
 				defer mu.Unlock()
 				told[id] = known
 			})
-			time.Sleep(time.Second / time.Duration(bookingsASecond()))
+			time.Sleep(time.Second / time.Duration(bookingsPerSecond()))
 		}
 		done.Wait()
 		store.SetFault(platform.ServiceTable, platform.Fault{})
@@ -252,7 +252,7 @@
 	for id, known := range told {
 		runs := ran[fmt.Sprintf(`{"booking":%q}`, id)]
 		if runs > 1 {
-			r.doubled++
+			r.ranTwice++
 		}
 		switch known {
 		case zinniamast.DidRun:
@@ -272,12 +272,12 @@
 // two of which die without notice and two of which are cut off from the rest
 // for a minute. Measured is the share of bookings that their callers have
 // within 30 s, by what the caller and the service can do; none runs twice.
-func TestBookingsThroughAnOutage(t *testing.T) {
+func TestBookingsDuringTableOutage(t *testing.T) {
 	is := is.New(t)
 	cases := []struct {
 		name    string
 		service config.Service
-		kind    callers
+		kind    keyStrategy
 		least   float64
 	}{
 		{name: "a: refuse", kind: ownKeys},
@@ -286,10 +286,10 @@
 		{name: "combined: own keys, issued ones where refused", kind: ownThenIssued, least: 0.98},
 	}
 	for _, c := range cases {
-		r := measureOutage(t, c.service, c.kind)
-		t.Logf("%s: served %.4f %+v", c.name, r.share(), r)
-		is.Equal(r.doubled, 0)
+		r := runOutage(t, c.service, c.kind)
+		t.Logf("%s: served %.4f %+v", c.name, r.servedShare(), r)
+		is.Equal(r.ranTwice, 0)
 		is.Equal(r.falseNotRun, 0)
-		is.True(r.share() >= c.least)
+		is.True(r.servedShare() >= c.least)
 	}
 }
--- a/services/path.go
+++ b/services/path.go
@@ -16,7 +16,7 @@
 // the one that the configuration marks idempotent, because the node and the
 // service resolve it differently. Such paths are refused, not cleaned.
 func splitPath(escaped string) (name, rest string, err error) {
-	below, found := strings.CutPrefix(escaped, prefix)
+	below, found := strings.CutPrefix(escaped, pathPrefix)
 	if !found {
 		return "", "", errPath
 	}
@@ -35,30 +35,30 @@
 	return name, "/" + rest, nil
 }
 
-// hopHeaders concern one connection only, or the node itself.
-var hopHeaders = []string{
+// unforwardedHeaders concern one connection only, or the node itself.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Idempotency-Key",
 }
 
-// ownPrefix begins the names of headers that only this product sets.
-const ownPrefix = "Zinniamast-"
+// reservedHeaderPrefix begins the names of headers that only this product sets.
+const reservedHeaderPrefix = "Zinniamast-"
 
-// passOn returns the headers that cross the node. The caller's API key is the
+// forwardedHeaders returns the headers that cross the node. The caller's API key is the
 // node's and does not reach the service.
-func passOn(header http.Header) http.Header {
+func forwardedHeaders(header http.Header) http.Header {
 	passed := header.Clone()
 	for _, named := range header["Connection"] {
 		for _, name := range strings.Split(named, ",") {
 			passed.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		passed.Del(name)
 	}
 	passed.Del("Authorization")
 	for name := range passed {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, reservedHeaderPrefix) {
 			passed.Del(name)
 		}
 	}
--- a/services/peer.go
+++ b/services/peer.go
@@ -25,7 +25,7 @@
 
 // Run implements the remote call.
 func (r *Receiver) Run(call ForwardedCall, answer *ForwardedAnswer) error {
-	*answer = r.Handler.Run(r.Context, call)
+	*answer = r.Handler.RunForwarded(r.Context, call)
 	return nil
 }
 
@@ -51,8 +51,8 @@
 	return answer, err
 }
 
-// forwardedCall rebuilds a call that another node has parsed and checked.
-func (h *Handler) forwardedCall(f ForwardedCall) (*call, *zinniamast.Refusal) {
+// rebuildCall rebuilds a call that another node has parsed and checked.
+func (h *Handler) rebuildCall(f ForwardedCall) (*call, *zinniamast.Refusal) {
 	current := h.config.Board.Configuration.Config()
 	service := current.Service(f.Service)
 	if service == nil {
--- /dev/null
+++ b/services/repeatable.go
@@ -0,0 +1,42 @@
+package services
+
+import (
+	"context"
+
+	"zinniamast"
+)
+
+// runRepeatable runs a call that may be repeated, on other replicas if need be.
+func (h *Handler) runRepeatable(ctx context.Context, c *call) (*result, error) {
+	a := h.newAttempts(c)
+	attempt := a.attempt
+	if c.isIdempotent {
+		attempt = a.attemptWithHedge
+	}
+	for {
+		answer, err := attempt(ctx)
+		if err == nil {
+			h.metrics.countAnswer(c.service.Name)
+			return &result{
+				answer: answer,
+			}, nil
+		}
+		failed := zinniamast.AsUpstreamError(err)
+		if failed == nil {
+			return nil, h.withKeyRan(ctx, c, a.refusalWithRan(err))
+		}
+		a.recordFailure(failed)
+		h.latency.recordUnanswered(c.service.Name)
+		if ctx.Err() != nil {
+			return nil, h.withKeyRan(ctx, c, contextRefusal(ctx).With(a.ran))
+		}
+		if err := a.waitForRetry(ctx); err != nil {
+			return nil, h.withKeyRan(ctx, c, zinniamast.AsRefusal(err))
+		}
+	}
+}
+
+// refusalWithRan returns a refusal that came between attempts, with what those before it proved.
+func (a *attempts) refusalWithRan(err error) *zinniamast.Refusal {
+	return zinniamast.AsRefusal(err).With(a.ran)
+}
--- a/services/result.go
+++ b/services/result.go
@@ -16,7 +16,7 @@
 // write sends the answer. A caller that has gone cannot be told.
 func (r *result) write(w http.ResponseWriter) {
 	header := w.Header()
-	for name, values := range passOn(r.answer.Header) {
+	for name, values := range forwardedHeaders(r.answer.Header) {
 		header[name] = values
 	}
 	header.Set("Content-Length", strconv.Itoa(len(r.answer.Body)))
--- a/services/services.go
+++ b/services/services.go
@@ -51,7 +51,7 @@
 type Handler struct {
 	config  Config
 	metrics *metrics
-	pace    *pace
+	latency *latencyTracker
 }
 
 // New returns a handler.
@@ -68,7 +68,7 @@
 	return &Handler{
 		config:  config,
 		metrics: newMetrics(config.Registerer),
-		pace:    newPace(),
+		latency: newLatencyTracker(),
 	}
 }
 
@@ -79,7 +79,7 @@
 		h.refuse(w, c, refusal)
 		return
 	}
-	if c.issue {
+	if c.isIssueRequest {
 		h.issueKeys(w, c)
 		return
 	}
@@ -96,8 +96,8 @@
 // serve admits a call and runs it the way its service allows.
 func (h *Handler) serve(ctx context.Context, c *call) (*result, error) {
 	if h.config.Stopping() {
-		return nil, h.vouch(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
-			"the instance is stopping; ask again").After(stoppingRetry))
+		return nil, h.withKeyRan(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
+			"the instance is stopping; ask again").After(stoppingRetryAfter))
 	}
 	ticket, err := h.config.Limiter.Admit(zinniamast.Admission{
 		Organisation: c.organisation,
@@ -108,53 +108,53 @@
 		Deadline:     c.deadline,
 	})
 	if err != nil {
-		return nil, h.vouch(ctx, c, zinniamast.AsRefusal(err))
+		return nil, h.withKeyRan(ctx, c, zinniamast.AsRefusal(err))
 	}
 	defer ticket.Release()
 	h.config.Retry.Started(c.organisation, c.service.Name)
 	switch {
-	case c.repeatable():
-		return h.repeat(ctx, c)
+	case c.isRepeatable():
+		return h.runRepeatable(ctx, c)
 	case c.key == "":
-		return h.single(c)
+		return h.runUnkeyed(c)
 	case issuedkeys.Is(c.key):
-		return h.issued(ctx, c)
+		return h.runIssued(ctx, c)
 	default:
-		return h.claimed(ctx, c)
+		return h.runClaimed(ctx, c)
 	}
 }
 
-const stoppingRetry = time.Second
+const stoppingRetryAfter = time.Second
 
-// vouch makes a refusal honest about a key that may have been sent before.
+// withKeyRan makes a refusal honest about a key that may have been sent before.
 //
 // Failure: a caller loses the answer to its booking, sends the key again, and
 // this node refuses for a reason of its own. Nothing ran for the second
 // request, but a caller who reads "not run" and takes a new key books twice.
-func (h *Handler) vouch(ctx context.Context, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
-	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.idempotent {
+func (h *Handler) withKeyRan(ctx context.Context, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
+	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.isIdempotent {
 		return refusal
 	}
-	return refusal.With(h.known(ctx, c))
+	return refusal.With(h.keyRan(ctx, c))
 }
 
-// known tells what can be known of a key.
-func (h *Handler) known(ctx context.Context, c *call) zinniamast.Ran {
+// keyRan tells what can be known of a key.
+func (h *Handler) keyRan(ctx context.Context, c *call) zinniamast.Ran {
 	switch {
-	case c.first:
+	case c.isFirstSending:
 		return zinniamast.NotRun
 	case issuedkeys.Is(c.key) && h.config.Issuer != nil:
 		return h.config.Issuer.Known(c.key)
 	case c.service.ChecksKeys:
 		return zinniamast.Unknown
 	default:
-		return h.config.Claims.Known(context.WithoutCancel(ctx), c.claim())
+		return h.config.Claims.Known(context.WithoutCancel(ctx), c.claimsCall())
 	}
 }
 
 // refuse answers, counts and logs a refusal.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refusal *zinniamast.Refusal) {
-	h.metrics.refused(refusal)
+	h.metrics.countRefusal(refusal)
 	h.config.Logger.Info("service call refused", "organisation", c.organisation, "path", c.path,
 		"reason", refusal.Reason, "ran", refusal.Ran, "message", refusal.Message)
 	caller.WriteRefusal(w, refusal)
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -49,21 +49,21 @@
 func (firstRouter) Observe(zinniamast.Observation) {}
 func (firstRouter) Explain(string) string          { return "" }
 
-// openDoor admits and quarantines nothing.
-type openDoor struct{}
+// allowAll admits and quarantines nothing.
+type allowAll struct{}
 
-func (openDoor) Admit(zinniamast.Admission) (zinniamast.Ticket, error) { return openDoor{}, nil }
-func (openDoor) Grow(int) bool                                         { return true }
-func (openDoor) Release()                                              {}
-func (openDoor) Check(uint64) (bool, error)                            { return false, nil }
-func (openDoor) Apart(uint64, []string) []string                       { return nil }
+func (allowAll) Admit(zinniamast.Admission) (zinniamast.Ticket, error) { return allowAll{}, nil }
+func (allowAll) Grow(int) bool                                         { return true }
+func (allowAll) Release()                                              {}
+func (allowAll) Check(uint64) (bool, error)                            { return false, nil }
+func (allowAll) Apart(uint64, []string) []string                       { return nil }
 
-func (openDoor) Running(string, uint64) {}
-func (openDoor) Ended(string, uint64)   {}
-func (openDoor) Crashed(string)         {}
+func (allowAll) Running(string, uint64) {}
+func (allowAll) Ended(string, uint64)   {}
+func (allowAll) Crashed(string)         {}
 
-// site is two nodes before one service of two replicas.
-type site struct {
+// testFleet is two nodes before one service of two replicas.
+type testFleet struct {
 	platform *platform.Platform
 	ledger   *service.Ledger
 	replicas []*service.Service
@@ -72,19 +72,19 @@
 	claims   []*claims.Claims
 }
 
-// toOther forwards from one node of the site to the other, unless cut.
-type toOther struct {
-	site *site
-	cut  bool
+// nodeForwarder forwards from one node of the site to the other, unless cut.
+type nodeForwarder struct {
+	fleet *testFleet
+	isCut bool
 }
 
-func (o *toOther) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
-	if o.cut {
+func (o *nodeForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
+	if o.isCut {
 		return services.ForwardedAnswer{}, io.ErrUnexpectedEOF
 	}
 	var index int
 	fmt.Sscanf(node, "node-%d", &index)
-	return o.site.handlers[index].Run(ctx, call), nil
+	return o.fleet.handlers[index].RunForwarded(ctx, call), nil
 }
 
 const apiKey = "key-of-north"
@@ -101,9 +101,9 @@
 	}
 }
 
-func newSite(t *testing.T, described config.Service, behaviour service.Config) (*site, *toOther) {
+func newTestFleet(t *testing.T, described config.Service, behaviour service.Config) (*testFleet, *nodeForwarder) {
 	t.Helper()
-	s := &site{
+	s := &testFleet{
 		platform: platform.New(platform.Config{}),
 		ledger:   service.NewLedger(),
 	}
@@ -117,7 +117,7 @@
 		t.Cleanup(server.Close)
 		servers = append(servers, server)
 	}
-	other := &toOther{site: s}
+	other := &nodeForwarder{fleet: s}
 	for n := range 2 {
 		board := blackboard.New()
 		board.Configuration.Apply(&blackboard.Version{Number: 1, Config: fleet})
@@ -151,9 +151,9 @@
 	handler := services.New(services.Config{
 		Board:      board,
 		Router:     firstRouter{board: board},
-		Limiter:    openDoor{},
+		Limiter:    allowAll{},
 		Retry:      retry.New(retry.Config{Base: time.Millisecond, Reserve: 100}),
-		Quarantine: openDoor{},
+		Quarantine: allowAll{},
 		Claims:     held,
 		Issuer: issuedkeys.New(issuedkeys.Config{
 			Node:    fmt.Sprint("node-", n),
@@ -170,8 +170,8 @@
 	return held, handler, server
 }
 
-// heard is what a caller got.
-type heard struct {
+// response is what a caller got.
+type response struct {
 	status   int
 	body     string
 	reason   zinniamast.Reason
@@ -182,7 +182,7 @@
 }
 
 // send sends one request to a node; headers come as name, value pairs.
-func (s *site) send(node int, method, path, body string, headers ...string) heard {
+func (s *testFleet) send(node int, method, path, body string, headers ...string) response {
 	q := httptest.NewRequest(method, path, strings.NewReader(body))
 	q.Header.Set("Authorization", "Bearer "+apiKey)
 	for i := 0; i < len(headers); i += 2 {
@@ -190,7 +190,7 @@
 	}
 	w := httptest.NewRecorder()
 	s.nodes[node].ServeHTTP(w, q)
-	got := heard{
+	got := response{
 		status:   w.Code,
 		body:     w.Body.String(),
 		replayed: w.Header().Get(services.HeaderReplayed) == "true",
@@ -211,16 +211,16 @@
 	return got
 }
 
-func (s *site) book(node int, key string, headers ...string) heard {
+func (s *testFleet) book(node int, key string, headers ...string) response {
 	return s.send(node, "POST", "/services/booking/reservations", `{"cage":"B-12"}`, append(headers, "Idempotency-Key", key)...)
 }
 
 // A caller loses its answer and sends the booking again, to the same node and
 // to another. It gets the first answer, marked, and the booking ran once; the
 // same key with another body is refused.
-func TestABookingSentAgainIsReplayed(t *testing.T) {
+func TestResentBookingIsReplayed(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSite(t, config.Service{}, service.Config{})
+	s, _ := newTestFleet(t, config.Service{}, service.Config{})
 	first := s.book(0, "k")
 	is.Equal(first.status, 200)
 	is.True(!first.replayed)
@@ -239,7 +239,7 @@
 // Each way in which the first replica fails a booking. Only what is proven not
 // to have run goes to the second replica; everything else ends there, and a
 // later sending of the key says the same.
-func TestFailuresOfABooking(t *testing.T) {
+func TestBookingFailures(t *testing.T) {
 	cases := []struct {
 		fault  service.Kind
 		status int
@@ -259,7 +259,7 @@
 	for _, c := range cases {
 		t.Run(string(c.fault), func(t *testing.T) {
 			is := is.New(t)
-			s, _ := newSite(t, config.Service{}, service.Config{})
+			s, _ := newTestFleet(t, config.Service{}, service.Config{})
 			s.replicas[0].SetFaults(service.Fault{Kind: c.fault})
 			got := s.book(0, "k", "Zinniamast-Deadline", "200ms")
 			is.Equal(got.status, c.status)
@@ -277,7 +277,7 @@
 func TestIdempotentCallsAreRepeated(t *testing.T) {
 	for _, fault := range []service.Kind{service.ResetAfter, service.CutShort, service.Cross, service.Fail, service.Refuse} {
 		is := is.New(t)
-		s, _ := newSite(t, config.Service{
+		s, _ := newTestFleet(t, config.Service{
 			Calls: []config.Call{{Method: "GET", Path: "/lookups/", Idempotent: true}},
 		}, service.Config{})
 		s.replicas[0].SetFaults(service.Fault{Kind: fault})
@@ -290,10 +290,10 @@
 // The table is out. A booking is refused, and "not run" is said only to a
 // caller who vouches for its key; a service that checks keys goes on, and so
 // do issued keys, from either node, each once.
-func TestBookingsWhileTheTableIsOut(t *testing.T) {
+func TestBookingsDuringTableFault(t *testing.T) {
 	is := is.New(t)
 	out := platform.Fault{Down: true}
-	s, _ := newSite(t, config.Service{}, service.Config{})
+	s, _ := newTestFleet(t, config.Service{}, service.Config{})
 	is.NoErr(s.platform.SetFault(platform.ServiceTable, out))
 	is.Equal(s.book(0, "k").ran, zinniamast.Unknown)
 	fresh := s.book(0, "k2", caller.HeaderFirst, "true")
@@ -309,7 +309,7 @@
 	is.True(s.book(0, keys.Keys[0]).replayed)
 	is.Equal(s.ledger.Counts().Runs, 1)
 
-	checked, _ := newSite(t, config.Service{ChecksKeys: true}, service.Config{ChecksKeys: true})
+	checked, _ := newTestFleet(t, config.Service{ChecksKeys: true}, service.Config{ChecksKeys: true})
 	is.NoErr(checked.platform.SetFault(platform.ServiceTable, out))
 	checked.replicas[0].SetFaults(service.Fault{Kind: service.ResetAfter})
 	is.Equal(checked.book(0, "k").status, 200)
@@ -318,14 +318,14 @@
 
 // The node that issued a key is cut off after it ran the booking. The other
 // node must not run it, nor say that it did not run.
-func TestIssuingNodeOutOfReach(t *testing.T) {
+func TestIssuingNodeUnreachable(t *testing.T) {
 	is := is.New(t)
-	s, other := newSite(t, config.Service{}, service.Config{})
+	s, other := newTestFleet(t, config.Service{}, service.Config{})
 	var keys struct{ Keys []string }
 	is.NoErr(json.Unmarshal([]byte(s.send(0, "POST", "/services/booking/keys", "").body), &keys))
 	is.NoErr(s.platform.SetFault(platform.ServiceTable, platform.Fault{Down: true}))
 	is.Equal(s.book(0, keys.Keys[0]).status, 200)
-	other.cut = true
+	other.isCut = true
 	got := s.book(1, keys.Keys[0])
 	is.Equal(got.reason, zinniamast.ReasonOutcomeUnknown)
 	is.Equal(got.ran, zinniamast.Unknown)
@@ -339,9 +339,9 @@
 
 // The answer is lost after the booking ran, and the service can be asked by
 // key: the next sending learns that it ran.
-func TestLookupClearsUpAnUnknown(t *testing.T) {
+func TestLookupResolvesUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSite(t, config.Service{LookupPath: "/keys/{key}"}, service.Config{})
+	s, _ := newTestFleet(t, config.Service{LookupPath: "/keys/{key}"}, service.Config{})
 	s.replicas[0].SetFaults(service.Fault{Kind: service.ResetAfter, Times: 1})
 	is.Equal(s.book(0, "k").ran, zinniamast.Unknown)
 	is.Equal(s.claims[0].Close(t.Context()), 0)
@@ -357,9 +357,9 @@
 
 // What must not cross: paths that the node and the service could resolve
 // differently, the caller's API key, and headers that only the product sets.
-func TestHygiene(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	is := is.New(t)
-	s, _ := newSite(t, config.Service{}, service.Config{})
+	s, _ := newTestFleet(t, config.Service{}, service.Config{})
 	for _, path := range []string{
 		"/services/booking/lookups/%2e%2e/reservations",
 		"/services/booking/lookups%2f..%2freservations",
@@ -381,7 +381,7 @@
 
 // A caller's API key and hop-by-hop headers do not reach the service, and the
 // service cannot set headers that only the product sets.
-func TestHeadersThatDoNotCross(t *testing.T) {
+func TestHeadersNotForwarded(t *testing.T) {
 	is := is.New(t)
 	var seen http.Header
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -390,7 +390,7 @@
 		w.Header().Set("X-Kept", "yes")
 	}))
 	defer server.Close()
-	s, _ := newSite(t, config.Service{}, service.Config{})
+	s, _ := newTestFleet(t, config.Service{}, service.Config{})
 	board := blackboard.New()
 	board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(config.Service{})})
 	board.Upstreams.Add(&blackboard.Upstream{
