--- a/engine/client.go
+++ b/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine speaks to model engines: the chat-completions protocol over
-// HTTP with the extensions that docs/design/0001-engine-protocol.md lists.
+// Package engine is a client of model engines. It uses the chat-completions
+// protocol over HTTP with the extensions that docs/design/0001-engine-protocol.md lists.
 package engine
 
 import (
@@ -19,7 +19,7 @@
 	"zinniamast"
 )
 
-// Errors of this layer; callers see them inside *zinniamast.UpstreamError.
+// Errors of this package; they are returned inside *zinniamast.UpstreamError.
 var (
 	// ErrStatus means that the engine answered with an unexpected status.
 	ErrStatus = merry.Sentinel("unexpected status")
@@ -27,30 +27,31 @@
 	ErrProtocol = merry.Sentinel("answer does not follow the protocol")
 	// ErrNoEndMark means that the answer ended before its end mark.
 	ErrNoEndMark = merry.Sentinel("answer ended without its end mark")
-	// ErrWrongAttempt means that the answer carried another attempt's identity.
+	// ErrWrongAttempt means that the answer carried the ID of another attempt.
 	ErrWrongAttempt = merry.Sentinel("answer of another attempt")
 )
 
 const (
 	pathGenerate = "/v1/chat/completions"
-	// maxControlAnswerBytes bounds answers other than streams, in bytes.
+	// maxControlAnswerBytes limits answers other than streams.
 	maxControlAnswerBytes  = 4 << 20
 	dialTimeout            = 2 * time.Second
 	idleConnTimeout        = 90 * time.Second
 	maxIdleConnsPerReplica = 256
 )
 
-// Config says which replica the client speaks to.
+// Config identifies the replica that a client calls.
 type Config struct {
-	// ID is the upstream's ID, for errors.
+	// ID is the upstream's ID; errors carry it.
 	ID string
 	// Address is the replica's base URL.
 	Address string
-	// Transport is shared by the clients of one node; nil makes one.
+	// Transport is shared by the clients of one node; with nil the client creates
+	// its own.
 	Transport *http.Transport
 }
 
-// Client speaks to one replica. It implements zinniamast.Engine.
+// Client calls one replica. It implements zinniamast.Engine.
 type Client struct {
 	id     string
 	base   string
@@ -59,7 +60,7 @@
 
 var _ zinniamast.Engine = (*Client)(nil)
 
-// NewTransport returns a transport to share between clients.
+// NewTransport returns a transport that clients can share.
 func NewTransport() *http.Transport {
 	return &http.Transport{
 		DialContext: (&net.Dialer{
@@ -70,7 +71,7 @@
 	}
 }
 
-// New returns a client.
+// New returns a Client.
 func New(config Config) *Client {
 	transport := config.Transport
 	if transport == nil {
@@ -94,7 +95,7 @@
 	return newStream(c.id, call.Attempt, len(call.Resume), answer.Body), nil
 }
 
-// appendGenerateBody writes the body of a generate call.
+// appendGenerateBody appends the JSON body of a generate call.
 func appendGenerateBody(b []byte, call *zinniamast.GenerateCall) []byte {
 	b = append(b, `{"stream":true,"stream_options":{"include_usage":true},"return_token_ids":true,"model":`...)
 	b = appendString(b, call.Model)
@@ -130,7 +131,7 @@
 	return append(b, '}')
 }
 
-// appendString writes a JSON string.
+// appendString appends s as a JSON string.
 func appendString(b []byte, s string) []byte {
 	quoted, err := json.Marshal(s)
 	if err != nil {
@@ -146,7 +147,7 @@
 	}, nil)
 }
 
-// attemptRequest names an attempt to the engine.
+// attemptRequest is the body of a request that concerns one attempt.
 type attemptRequest struct {
 	RequestID string `json:"request_id"`
 }
@@ -185,9 +186,10 @@
 	return c.postControl(ctx, "/orders", order, nil)
 }
 
-// postControl sends a small call and reads its small answer.
-func (c *Client) postControl(ctx context.Context, path string, question, result any) error {
-	body, err := json.Marshal(question)
+// postControl sends a request other than a generate call and decodes its answer
+// into result, unless result is nil.
+func (c *Client) postControl(ctx context.Context, path string, request, result any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return c.upstreamError(zinniamast.FailureInvalid, err)
 	}
@@ -209,19 +211,19 @@
 	return nil
 }
 
-// post sends a body and returns an answer with status 200, or an error.
+// post sends a body and returns the answer, or an error if its status is not 200.
 func (c *Client) post(ctx context.Context, path string, body []byte) (*http.Response, error) {
-	ask, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, c.upstreamError(zinniamast.FailureInvalid, err)
 	}
-	ask.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Content-Type", "application/json")
 	if path == pathGenerate {
-		// Cache events shrink to a fraction when compressed; a stream's tokens
-		// would only wait in the compressor's window.
-		ask.Header.Set("Accept-Encoding", "identity")
+		// Compression reduces cache events to a fraction of their size, but it would
+		// delay a stream's tokens in the compressor's window.
+		request.Header.Set("Accept-Encoding", "identity")
 	}
-	answer, err := c.client.Do(ask)
+	answer, err := c.client.Do(request)
 	if err != nil {
 		return nil, c.upstreamError(transportFailure(err), err)
 	}
@@ -232,7 +234,8 @@
 	return nil, c.statusError(answer)
 }
 
-// transportFailure tells a connection that was never made from one that died.
+// transportFailure classifies an error of the transport. It distinguishes a
+// connection that was never established from one that broke.
 func transportFailure(err error) zinniamast.Failure {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -247,10 +250,10 @@
 	return zinniamast.FailureReset
 }
 
-// codeLeaving is the error code of an engine that is going away.
+// codeLeaving is the error code of an engine that is shutting down.
 const codeLeaving = "leaving"
 
-// statusError turns an answer without success into an error.
+// statusError converts an answer with an error status to an error.
 func (c *Client) statusError(answer *http.Response) error {
 	var content struct {
 		Error struct {
@@ -258,7 +261,7 @@
 			Message string `json:"message"`
 		} `json:"error"`
 	}
-	// An unreadable error body leaves the status to speak for itself.
+	// If the error body is unreadable, the error carries the status alone.
 	_ = json.NewDecoder(io.LimitReader(answer.Body, maxControlAnswerBytes)).Decode(&content)
 	cause := merry.Wrap(ErrStatus, merry.AppendMessage(fmt.Sprintf("%d %s %s", answer.StatusCode, content.Error.Code, content.Error.Message)))
 	return &zinniamast.UpstreamError{
@@ -269,10 +272,11 @@
 	}
 }
 
-// statusFailure says what a status without success proves. A 4xx is the engine's
-// judgement of the request, which another engine would share: sending it again
-// would spend retries and hide the engine's reason behind "the budget is spent".
-// 404 and 409 speak of what this replica has loaded.
+// statusFailure returns the failure that an error status stands for. With a 4xx
+// the engine rejects the request itself, and so would every other engine:
+// a retry would spend the retry budget, and the caller would read "the budget is
+// spent" instead of the engine's reason. 404 and 409 depend on what this replica
+// has loaded, so they are retried on another one.
 func statusFailure(status int) zinniamast.Failure {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
--- a/engine/status_test.go
+++ b/engine/status_test.go
@@ -13,8 +13,9 @@
 	"zinniamast/engine"
 )
 
-// An engine judges a request: every other engine would judge alike, so its word
-// is final and its reason is kept for the caller. What it says of itself is not.
+// If an engine rejects the request itself, every other engine would reject it too,
+// so the failure is final and keeps the engine's reason for the caller. A status
+// about the engine's own condition leads to a failure that may be retried.
 func TestEngineStatuses(t *testing.T) {
 	for status, want := range map[int]zinniamast.Failure{
 		http.StatusBadRequest:          zinniamast.FailureInvalid,
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// readBufferBytes holds an ordinary event many times over, in bytes.
+	// readBufferBytes is many times the size of an ordinary event.
 	readBufferBytes = 8 << 10
-	// maxLineBytes bounds one event, in bytes; an engine that sends more is broken.
+	// maxLineBytes limits one event; a longer one is a protocol error.
 	maxLineBytes = 1 << 20
 )
 
-// buffers is what a stream reuses for each event, so that a streamed token
-// costs no allocation here.
+// buffers holds the memory that a stream reuses for each event, so that reading a
+// token does not allocate.
 type buffers struct {
 	reader   *bufio.Reader
 	parser   fastjson.Parser
@@ -37,7 +37,7 @@
 	},
 }
 
-// stream reads one attempt's events. It belongs to one goroutine.
+// stream reads the events of one attempt. It must be used by one goroutine only.
 type stream struct {
 	upstream     string
 	attempt      []byte
@@ -83,14 +83,15 @@
 		if bytes.Equal(data, endMark) {
 			return s.acceptEndMark(chunk)
 		}
-		full, err := s.parseEvent(data, chunk)
-		if err != nil || full {
+		hasTokens, err := s.parseEvent(data, chunk)
+		if err != nil || hasTokens {
 			return err
 		}
 	}
 }
 
-// readEvent returns the data of the next event; empty lines and other fields are passed over.
+// readEvent returns the data of the next event. It skips empty lines and other
+// fields.
 func (s *stream) readEvent() ([]byte, error) {
 	for {
 		line, err := s.readLine()
@@ -105,6 +106,7 @@
 }
 
 // readLine returns the next line, which may be longer than the reader's buffer.
+// The line is valid until the next call.
 func (s *stream) readLine() ([]byte, error) {
 	line, err := s.buffers.reader.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -122,9 +124,9 @@
 	return s.buffers.longLine, err
 }
 
-// connectionError classifies a connection that ended before the end mark. Without the
-// mark the answer is not whole, however complete it looks: the caller would
-// otherwise get the first part of a contract summary as if it were all.
+// connectionError classifies the error of a connection that ended before the end
+// mark. Without the mark the answer is not whole, even if it looks complete: the
+// caller could otherwise take the first part of a contract summary for all of it.
 func (s *stream) connectionError(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return s.upstreamError(zinniamast.FailureStopped, err)
@@ -135,7 +137,8 @@
 	return s.upstreamError(zinniamast.FailureCutShort, merry.Wrap(ErrNoEndMark, merry.WithCause(err)))
 }
 
-// acceptEndMark accepts the end mark only after a finish reason and fills in the answer's counts.
+// acceptEndMark ends the stream and fills in the answer's finish reason and token
+// counts. An end mark without a finish reason before it is a failure.
 func (s *stream) acceptEndMark(chunk *zinniamast.Chunk) error {
 	if s.finishReason == "" {
 		return s.upstreamError(zinniamast.FailureCutShort, ErrNoEndMark)
@@ -148,14 +151,15 @@
 	return io.EOF
 }
 
-// parseEvent fills the chunk from one event; it reports false for events that carry nothing new.
+// parseEvent fills the chunk from one event. It reports whether the event carried
+// new tokens.
 func (s *stream) parseEvent(data []byte, chunk *zinniamast.Chunk) (bool, error) {
 	value, err := s.buffers.parser.ParseBytes(data)
 	if err != nil {
 		return false, s.upstreamError(zinniamast.FailureError, merry.Wrap(ErrProtocol, merry.WithCause(err)))
 	}
-	// An answer that arrives on the wrong connection carries another
-	// attempt's identity; none of it may reach this caller.
+	// An answer that arrives on the wrong connection carries the ID of another
+	// attempt; no part of it may reach this caller.
 	if !bytes.Equal(value.GetStringBytes("id"), s.attempt) {
 		return false, s.upstreamError(zinniamast.FailureCrossed, ErrWrongAttempt)
 	}
@@ -176,11 +180,11 @@
 		return false, nil
 	}
 	index := s.nextIndex
-	if at := choice.Get("token_index"); at != nil {
-		index = at.GetInt()
+	if tokenIndex := choice.Get("token_index"); tokenIndex != nil {
+		index = tokenIndex.GetInt()
 	}
 	if index < s.nextIndex {
-		// A repeated event; its tokens are already with the caller.
+		// The event is a repetition: its tokens were returned before.
 		return false, nil
 	}
 	if index > s.nextIndex {
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -11,21 +11,24 @@
 	"zinniamast/claims"
 )
 
-// attempts is the run of attempts at one call.
+// attempts holds the state of the successive attempts at one call.
 type attempts struct {
 	handler *Handler
 	call    *call
 	avoid   []string
 	retries int
-	// hedges counts second attempts beside slow ones, counted those whose end is counted.
+	// hedges counts the hedges sent; countedHedges counts those whose result is in
+	// the metrics.
 	hedges, countedHedges int
-	// isSuspect means that the last choice was made for a suspect.
+	// isSuspect means that the quarantine suspected the call at the last choice.
 	isSuspect bool
-	// ran is the most that any attempt has proved.
+	// ran is the strongest evidence of the failed attempts that the call ran:
+	// DidRun, else Unknown, else NotRun.
 	ran zinniamast.Ran
-	// lastFailure is the last attempt's failure.
+	// lastFailure is the failure of the last attempt that failed.
 	lastFailure *zinniamast.UpstreamError
-	// mayDispatch is asked right before each attempt.
+	// mayDispatch reports whether an attempt may be sent; it is called right before
+	// each one.
 	mayDispatch func() bool
 }
 
@@ -38,8 +41,8 @@
 	}
 }
 
-// attempt makes one attempt. Its errors are *Refusal where no attempt was made
-// and *UpstreamError where one failed.
+// attempt makes one attempt. Its error is a *Refusal if no attempt was made and
+// an *UpstreamError if the attempt failed.
 func (a *attempts) attempt(ctx context.Context) (zinniamast.ServiceAnswer, error) {
 	upstream, err := a.prepare(ctx)
 	if err != nil {
@@ -48,7 +51,8 @@
 	return a.send(ctx, upstream)
 }
 
-// prepare chooses the replica of an attempt that may still be sent.
+// prepare chooses the replica of the next attempt and checks that the attempt
+// may still be sent.
 func (a *attempts) prepare(ctx context.Context) (*blackboard.Upstream, error) {
 	upstream, err := a.choose()
 	if err != nil {
@@ -60,7 +64,7 @@
 	return upstream, nil
 }
 
-// choose picks the replica of the next attempt.
+// choose selects the replica of the next attempt.
 func (a *attempts) choose() (*blackboard.Upstream, error) {
 	h, c := a.handler, a.call
 	alone, err := h.config.Quarantine.Check(c.fingerprint)
@@ -92,7 +96,7 @@
 	return upstream, nil
 }
 
-// avoidForSuspect adds the replicas where a suspect should not run.
+// avoidForSuspect avoids the replicas on which a suspect call should not run.
 func (a *attempts) avoidForSuspect() {
 	var replicas []string
 	for _, upstream := range a.handler.config.Board.Upstreams.Of(a.call.service.Name) {
@@ -103,7 +107,8 @@
 	a.avoid = append(a.avoid, a.handler.config.Quarantine.Apart(a.call.fingerprint, replicas)...)
 }
 
-// send makes an attempt at a replica and tells everybody who learns from it.
+// send makes an attempt at a replica and reports its start and end to the
+// router, the quarantine, the retry policy and the latency tracker.
 func (a *attempts) send(ctx context.Context, upstream *blackboard.Upstream) (zinniamast.ServiceAnswer, error) {
 	h, c := a.handler, a.call
 	id := upstream.Instance.ID
@@ -132,15 +137,16 @@
 		Upstream: id,
 		Elapsed:  time.Since(started),
 	}
-	// Overtaken, not failed: whatever its end looks like, nothing speaks against the replica.
-	overtaken := err != nil && context.Cause(ctx) == errSuperseded
+	// A superseded attempt was cancelled because another one answered first, so its
+	// error does not count against the replica.
+	superseded := err != nil && context.Cause(ctx) == errSuperseded
 	if err == nil {
 		h.config.Retry.Succeeded(c.service.Name)
 	}
-	if c.isIdempotent && (err == nil || overtaken) {
+	if c.isIdempotent && (err == nil || superseded) {
 		h.latency.record(c.service.Name, id, end.Elapsed, err == nil)
 	}
-	if overtaken {
+	if superseded {
 		end.Failure = zinniamast.FailureStopped
 	} else if failed := zinniamast.AsUpstreamError(err); failed != nil {
 		end.Failure = failed.Failure
@@ -152,7 +158,8 @@
 	return answer, err
 }
 
-// upstreamKey is the key that the service sees; empty if the caller gave none.
+// upstreamKey returns the key that the service receives; it is empty if the
+// caller sent none.
 func (c *call) upstreamKey() string {
 	if c.key == "" {
 		return ""
@@ -160,7 +167,7 @@
 	return claims.UpstreamKey(c.organisation, c.key)
 }
 
-// recordFailure records a failed attempt.
+// recordFailure records and logs a failed attempt and avoids its replica.
 func (a *attempts) recordFailure(failed *zinniamast.UpstreamError) {
 	a.lastFailure = failed
 	a.avoid = append(a.avoid, failed.Upstream)
@@ -175,7 +182,8 @@
 		"upstream", failed.Upstream, "failure", failed.Failure, "ran", ran, "cause", failed.Cause)
 }
 
-// waitForRetry pays for one more attempt and waits, or refuses.
+// waitForRetry takes a retry from the budget and waits for the backoff. Its
+// error is a *Refusal if the attempts or the budget are used up or the call ends.
 func (a *attempts) waitForRetry(ctx context.Context) error {
 	h, c := a.handler, a.call
 	a.retries++
@@ -186,15 +194,15 @@
 	if a.lastFailure.Leaving {
 		return nil
 	}
-	ask := h.config.Retry.Retry
+	allow := h.config.Retry.Retry
 	if a.lastFailure.Failure == zinniamast.FailureDial {
-		ask = h.config.Retry.GoOn
+		allow = h.config.Retry.GoOn
 	}
-	pause, err := ask(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
+	backoff, err := allow(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
 	if err != nil {
 		return zinniamast.AsRefusal(err).With(a.ran)
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -204,7 +212,7 @@
 	}
 }
 
-// exhausted refuses after the last attempt.
+// exhausted returns the refusal after the last allowed attempt.
 func (a *attempts) exhausted() *zinniamast.Refusal {
 	reason := zinniamast.ReasonUpstreamFailed
 	if a.lastFailure.Failure == zinniamast.FailureCutShort {
@@ -214,7 +222,8 @@
 		a.retries+a.hedges, a.call.service.Name, a.lastFailure.Failure).With(a.ran).After(time.Second)
 }
 
-// contextRefusal refuses for the deadline, or because the caller has gone.
+// contextRefusal returns the refusal of a call whose deadline has passed or
+// whose caller has cancelled it.
 func contextRefusal(ctx context.Context) *zinniamast.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return zinniamast.Refuse(zinniamast.ReasonCancelled, "the request was given up")
--- a/services/call.go
+++ b/services/call.go
@@ -13,10 +13,11 @@
 	"zinniamast/request"
 )
 
-// pathPrefix begins every path that this package serves.
+// pathPrefix is the prefix of every path that this package serves.
 const pathPrefix = "/services/"
 
-// issueKeysPath asks for keys instead of the service.
+// issueKeysPath is the path below a service's root at which callers request keys;
+// a POST to it does not reach the service.
 const issueKeysPath = "/keys"
 
 const maxKeyLength = 255
@@ -40,13 +41,13 @@
 	fingerprint    uint64
 }
 
-// isRepeatable says whether sending the call twice harms nobody: it is marked
+// isRepeatable reports whether the call may be sent twice: it is marked
 // idempotent, or the service itself runs each key at most once.
 func (c *call) isRepeatable() bool {
 	return c.isIdempotent || (c.service.ChecksKeys && c.key != "")
 }
 
-// claimsCall returns what a claim on the call's key is for.
+// claimsCall returns the call in the form that package claims takes.
 func (c *call) claimsCall() claims.Call {
 	return claims.Call{
 		Organisation: c.organisation,
@@ -60,7 +61,8 @@
 	}
 }
 
-// parse reads and checks a request; the call is filled as far as it was understood.
+// parse reads and checks a request. If it returns a refusal, the call holds the
+// fields that were parsed before.
 func (h *Handler) parse(w http.ResponseWriter, q *http.Request) (*call, *zinniamast.Refusal) {
 	c := &call{
 		id:           newID(),
@@ -90,7 +92,7 @@
 	return c, c.readBody(w, q)
 }
 
-// readHeaders reads key, class and deadline.
+// readHeaders reads the key, the class and the deadline.
 func (h *Handler) readHeaders(c *call, q *http.Request, current *config.Config) *zinniamast.Refusal {
 	c.key = q.Header.Get(caller.HeaderKey)
 	c.isFirstSending = q.Header.Get(caller.HeaderFirst) == "true"
@@ -112,17 +114,17 @@
 		FailureDomain: h.config.FailureDomain,
 		Class:         string(c.class),
 	})
-	wait, refusal := caller.ReadDeadline(q.Header, c.policy.Deadline)
+	timeout, refusal := caller.ReadDeadline(q.Header, c.policy.Deadline)
 	if refusal != nil {
 		return refusal
 	}
-	c.deadline = time.Now().Add(wait)
+	c.deadline = time.Now().Add(timeout)
 	return nil
 }
 
 func isUnprintable(r rune) bool { return r < ' ' || r > '~' }
 
-// readBody reads the whole body within its bound.
+// readBody reads the whole body, up to the policy's limit.
 func (c *call) readBody(w http.ResponseWriter, q *http.Request) *zinniamast.Refusal {
 	body, refusal := caller.ReadBody(w, q, c.policy.MaxBody)
 	if refusal != nil {
--- a/services/forward.go
+++ b/services/forward.go
@@ -15,15 +15,15 @@
 // ErrNotForwarded means that no byte of a call reached the issuing node.
 var ErrNotForwarded = errors.New("services: call was not forwarded")
 
-// Forwarder carries a call to the process that issued its key.
+// Forwarder forwards a call to the process that issued its key.
 type Forwarder interface {
-	// Forward asks a node to run the call; any error but ErrNotForwarded leaves
-	// open whether it did.
+	// Forward has a node run the call. After any error other than ErrNotForwarded
+	// the call may or may not have run.
 	Forward(ctx context.Context, node string, call ForwardedCall) (ForwardedAnswer, error)
 }
 
-// ForwardedCall is a call that crosses from the node that got it to the node
-// that issued its key.
+// ForwardedCall is a call that the receiving node forwards to the node that
+// issued its key.
 type ForwardedCall struct {
 	Organisation string
 	Service      string
@@ -33,7 +33,8 @@
 	Class        request.Class
 	Header       http.Header
 	Body         []byte
-	// Wait is how long the caller still waits; clocks need not agree.
+	// Wait is the time until the deadline. It is relative because the clocks of
+	// nodes may differ.
 	Wait time.Duration
 }
 
@@ -45,11 +46,12 @@
 	Refusal *zinniamast.Refusal
 }
 
-// issuerRetryAfter is when the issuing node may be reachable again.
+// issuerRetryAfter is the delay after which a caller may retry a call whose
+// issuing node is unreachable.
 const issuerRetryAfter = 5 * time.Second
 
-// forwardToIssuer has the issuing node run the call. Nobody else may: the issuing
-// process may have run it and be cut off.
+// forwardToIssuer has the issuing node run the call. No other node may run it,
+// since the issuing process may have run it and then become unreachable.
 func (h *Handler) forwardToIssuer(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
 	if h.config.Forwarder == nil {
 		return h.answerWithoutIssuer(ctx, c, key)
@@ -66,7 +68,7 @@
 		Wait:         time.Until(c.deadline),
 	})
 	if err != nil {
-		h.config.Logger.Info("issuing instance not reached", "instance", key.Node, "cause", err)
+		h.config.Logger.Info("forwarding call to the issuing instance failed", "instance", key.Node, "cause", err)
 		if errors.Is(err, ErrNotForwarded) && c.isFirstSending {
 			return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
 				"only instance %s may run this key and it cannot be reached; ask for a new key", key.Node).After(time.Second)
@@ -82,8 +84,8 @@
 	}, nil
 }
 
-// answerWithoutIssuer answers for a key whose issuing process cannot be asked: with the
-// outcome that it left in the table, or with what cannot be known.
+// answerWithoutIssuer answers a call whose issuing process cannot be reached: with
+// the outcome that the process saved to the table, or with an unknown outcome.
 func (h *Handler) answerWithoutIssuer(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
 	record, err := h.config.Claims.Read(ctx, c.claimsCall())
 	if err == nil && record.State != claims.StateFree {
@@ -95,9 +97,10 @@
 		With(zinniamast.Unknown).After(issuerRetryAfter)
 }
 
-// RunForwarded runs a call that another node forwarded. Errors are in the answer.
-func (h *Handler) RunForwarded(ctx context.Context, forwarded ForwardedCall) ForwardedAnswer {
-	done, err := h.runForwarded(ctx, forwarded)
+// RunForwarded runs a call that another node forwarded. An error is returned as
+// the answer's refusal.
+func (h *Handler) RunForwarded(ctx context.Context, call ForwardedCall) ForwardedAnswer {
+	outcome, err := h.runForwarded(ctx, call)
 	if err != nil {
 		refusal := zinniamast.AsRefusal(err)
 		h.metrics.countRefusal(refusal)
@@ -106,24 +109,24 @@
 		}
 	}
 	return ForwardedAnswer{
-		Answer:   done.answer,
-		Replayed: done.replayed,
+		Answer:   outcome.answer,
+		Replayed: outcome.replayed,
 	}
 }
 
 var errNoIssuer = errors.New("services: this node issues no keys")
 
-func (h *Handler) runForwarded(ctx context.Context, f ForwardedCall) (*result, error) {
+func (h *Handler) runForwarded(ctx context.Context, forwarded ForwardedCall) (*result, error) {
 	if h.config.Issuer == nil {
 		return nil, errNoIssuer
 	}
-	c, refusal := h.rebuildCall(f)
+	c, refusal := h.rebuildCall(forwarded)
 	if refusal != nil {
 		return nil, refusal
 	}
 	key, err := h.config.Issuer.Verify(c.organisation, c.service.Name, c.key)
 	if err != nil || key.Epoch != h.config.Issuer.Epoch() {
-		// The process that issued the key is gone and this one has its name.
+		// An earlier process with this node's name issued the key and has exited.
 		return h.answerWithoutIssuer(ctx, c, key)
 	}
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
--- a/services/hedge.go
+++ b/services/hedge.go
@@ -11,40 +11,41 @@
 	"zinniamast/retry"
 )
 
-// errSuperseded is why an attempt ends whose call another attempt has answered.
+// errSuperseded is the cancellation cause of an attempt whose call was answered
+// by another attempt.
 var errSuperseded = errors.New("services: another attempt answered first")
 
-// attemptResult is how one of two attempts ended.
+// attemptResult is the result of one of two parallel attempts.
 type attemptResult struct {
 	answer zinniamast.ServiceAnswer
 	err    error
 	hedge  bool
 }
 
-// attemptWithHedge makes one attempt, and a second at another replica if the first is
-// late; the first whole answer wins. Only calls marked idempotent come here:
-// both attempts may run.
+// attemptWithHedge makes one attempt, and a second one at another replica if the
+// first has not ended after the hedge delay. The first whole answer is returned.
+// Both attempts may run, so it is used only for calls marked idempotent.
 func (a *attempts) attemptWithHedge(ctx context.Context) (zinniamast.ServiceAnswer, error) {
 	first, err := a.prepare(ctx)
 	if err != nil {
 		return zinniamast.ServiceAnswer{}, err
 	}
-	late := a.handler.latency.hedgeDelay(a.call.service.Name)
-	// A suspect stays alone: its copy could take a second replica with it.
-	if late == 0 || a.isSuspect || a.handler.config.Hedge == nil {
+	delay := a.handler.latency.hedgeDelay(a.call.service.Name)
+	// A suspect call is not hedged: its copy could crash a second replica.
+	if delay == 0 || a.isSuspect || a.handler.config.Hedge == nil {
 		return a.send(ctx, first)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(errSuperseded)
-	timer := time.NewTimer(late)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	ends := make(chan attemptResult, 2)
+	results := make(chan attemptResult, 2)
 	running := 0
 	run := func(upstream *blackboard.Upstream, hedge bool) {
 		running++
 		go func() {
 			answer, err := a.send(ctx, upstream)
-			ends <- attemptResult{
+			results <- attemptResult{
 				answer: answer,
 				err:    err,
 				hedge:  hedge,
@@ -58,20 +59,21 @@
 			if second := a.chooseHedge(ctx, first); second != nil {
 				run(second, true)
 			}
-		case e := <-ends:
+		case result := <-results:
 			running--
-			if e.err == nil || running == 0 {
-				a.countHedgeResult(e)
-				return e.answer, e.err
+			if result.err == nil || running == 0 {
+				a.countHedgeResult(result)
+				return result.answer, result.err
 			}
-			if failed := zinniamast.AsUpstreamError(e.err); failed != nil {
+			if failed := zinniamast.AsUpstreamError(result.err); failed != nil {
 				a.recordFailure(failed)
 			}
 		}
 	}
 }
 
-// chooseHedge chooses where a late call is sent again and pays for it, or returns nil.
+// chooseHedge selects the replica of a hedge and takes the hedge from the
+// budget. It returns nil if the call is not to be hedged.
 func (a *attempts) chooseHedge(ctx context.Context, first *blackboard.Upstream) *blackboard.Upstream {
 	h, c := a.handler, a.call
 	h.latency.recordUnanswered(c.service.Name)
@@ -82,17 +84,17 @@
 		h.metrics.countHedge(hedgeAttempts)
 		return nil
 	}
-	// Failure: every call of a service that is down is late, and a second copy
-	// of each meets it when it tries to come back.
+	// If a service is down, every call of it is late, and a second copy of each
+	// call would double its load while it tries to recover.
 	if h.latency.isDown(c.service.Name) {
 		h.metrics.countHedge(hedgeDown)
 		return nil
 	}
-	before := a.avoid
-	a.avoid = append(slices.Clone(before), first.Instance.ID)
+	previous := a.avoid
+	a.avoid = append(slices.Clone(previous), first.Instance.ID)
 	upstream, err := a.choose()
 	avoided := a.avoid
-	a.avoid = before
+	a.avoid = previous
 	if err != nil || a.isSuspect || upstream.Leaving() || slices.Contains(avoided, upstream.Instance.ID) {
 		h.metrics.countHedge(hedgeNoReplica)
 		return nil
@@ -113,14 +115,14 @@
 	return upstream
 }
 
-// countHedgeResult counts what a hedge was good for.
-func (a *attempts) countHedgeResult(e attemptResult) {
+// countHedgeResult counts whether the call's hedge won, lost or failed.
+func (a *attempts) countHedgeResult(result attemptResult) {
 	switch {
 	case a.hedges == a.countedHedges:
 		return
-	case e.err != nil:
+	case result.err != nil:
 		a.handler.metrics.countHedge(hedgeFailed)
-	case e.hedge:
+	case result.hedge:
 		a.handler.metrics.countHedge(hedgeWon)
 	default:
 		a.handler.metrics.countHedge(hedgeLost)
--- a/services/issued.go
+++ b/services/issued.go
@@ -12,24 +12,24 @@
 	"zinniamast/issuedkeys"
 )
 
-// issueRequest is the body of a request for keys.
+// issueRequest is the body of a request that asks for keys.
 type issueRequest struct {
-	// Count is how many keys are wanted; zero means one.
+	// Count is how many keys are requested; without it, one is issued.
 	Count int `json:"count"`
 }
 
-// issueAnswer is the answer to a request for keys.
+// issueAnswer is the body of the answer to an issueRequest.
 type issueAnswer struct {
 	Keys    []string  `json:"keys"`
 	Expires time.Time `json:"expires"`
 }
 
-// issueKeys answers a request for keys that this process alone dispatches.
+// issueKeys issues keys whose calls only this process dispatches.
 func (h *Handler) issueKeys(w http.ResponseWriter, c *call) {
-	asked := issueRequest{
+	request := issueRequest{
 		Count: 1,
 	}
-	if len(c.body) > 0 && json.Unmarshal(c.body, &asked) != nil || asked.Count < 1 || asked.Count > issuedkeys.MaxCount {
+	if len(c.body) > 0 && json.Unmarshal(c.body, &request) != nil || request.Count < 1 || request.Count > issuedkeys.MaxCount {
 		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonMalformed,
 			`the body must be {"count": n} with n from 1 to %d`, issuedkeys.MaxCount))
 		return
@@ -38,7 +38,7 @@
 		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").After(stoppingRetryAfter))
 		return
 	}
-	keys, expires := h.config.Issuer.Issue(c.organisation, c.service.Name, asked.Count)
+	keys, expires := h.config.Issuer.Issue(c.organisation, c.service.Name, request.Count)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(issueAnswer{
 		Keys:    keys,
@@ -46,8 +46,8 @@
 	})
 }
 
-// runIssued runs a call under an issued key: here if this process issued it, at
-// the issuing process otherwise.
+// runIssued runs a call with an issued key: in this process if it issued the key,
+// otherwise in the issuing process.
 func (h *Handler) runIssued(ctx context.Context, c *call) (*result, error) {
 	if h.config.Issuer == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonMalformed, "this instance takes no issued keys")
@@ -60,10 +60,11 @@
 	return h.runUnderKey(ctx, c, key)
 }
 
-// runUnderKey runs a call under a key that has been proved.
+// runUnderKey runs a call with a verified key, or returns the outcome of the
+// request that used the key first.
 func (h *Handler) runUnderKey(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
-	asked := c.claimsCall()
-	use, mine, err := h.config.Issuer.Take(key, asked.Hash())
+	claim := c.claimsCall()
+	use, isOwner, err := h.config.Issuer.Take(key, claim.Hash())
 	switch {
 	case errors.Is(err, issuedkeys.ErrElsewhere):
 		return h.forwardToIssuer(ctx, c, key)
@@ -72,7 +73,7 @@
 	case err != nil:
 		return nil, zinniamast.Refuse(zinniamast.ReasonKeyRequired,
 			"the key has expired; ask for a new one").With(h.config.Issuer.Known(c.key))
-	case mine:
+	case isOwner:
 		return h.dispatchUse(c, use)
 	}
 	select {
@@ -89,16 +90,17 @@
 	}, nil
 }
 
-// dispatchUse dispatches a call under a key of this process. The table is told the
-// outcome when it can be, for those who ask after this process has gone.
+// dispatchUse dispatches a call with a key that this process issued. The outcome
+// is also saved to the table in the background, so that it can be read after
+// this process has exited.
 func (h *Handler) dispatchUse(c *call, use *issuedkeys.Use) (*result, error) {
 	ctx, cancel := h.detachedContext(c)
 	defer cancel()
-	done, err := h.dispatch(ctx, c, h.newAttempts(c))
+	outcome, err := h.dispatch(ctx, c, h.newAttempts(c))
 	if err == nil {
-		use.End(&done.answer, nil)
-		h.config.Claims.Keep(c.claimsCall(), claims.EventAnswer, &done.answer)
-		return done, nil
+		use.End(&outcome.answer, nil)
+		h.config.Claims.Keep(c.claimsCall(), claims.EventAnswer, &outcome.answer)
+		return outcome, nil
 	}
 	refusal := zinniamast.AsRefusal(err)
 	use.End(nil, refusal)
--- a/services/latency.go
+++ b/services/latency.go
@@ -7,38 +7,41 @@
 )
 
 const (
-	// samplesPerReplica is how many of a replica's last answers are kept; with fewer
-	// than paceLeast it has no say.
+	// samplesPerReplica is how many of a replica's latest attempts are retained.
+	// Replicas with fewer than minSamplesPerReplica are left out of the hedge delay.
 	samplesPerReplica    = 128
 	minSamplesPerReplica = 20
 	// latencyQuantile is the share of a replica's answers that are not late.
 	latencyQuantile = 0.98
-	// hedgeDelayMaxAge is how long the result of learning is used.
+	// hedgeDelayMaxAge is how long a computed hedge delay is used.
 	hedgeDelayMaxAge = time.Second
-	// replicaIdleTimeout is when a replica that answered nothing more is forgotten.
+	// replicaIdleTimeout is the time after its last sample at which a replica is
+	// dropped.
 	replicaIdleTimeout = 10 * time.Minute
-	// downAfterUnanswered is after how many late or failed calls, with no answer in
-	// between, a service counts as down.
+	// downAfterUnanswered is the number of late or failed calls, with no answer in
+	// between, after which a service counts as down.
 	downAfterUnanswered = 4
 )
 
-// latencyTracker learns when an answer of each service is late.
+// latencyTracker measures the latency of each service's replicas and derives the
+// hedge delay from it.
 type latencyTracker struct {
 	mu       sync.Mutex
 	services map[string]*serviceLatency
 }
 
-// serviceLatency is what is known of one service.
+// serviceLatency holds the measurements of one service.
 type serviceLatency struct {
 	replicas map[string]*replicaLatency
-	// hedgeDelay is after how long an answer is late; zero while that is not known.
+	// hedgeDelay is the time after which an answer is late; zero if there are too
+	// few samples.
 	hedgeDelay time.Duration
 	computedAt time.Time
-	// unanswered counts late and failed calls since the last answer.
+	// unanswered counts the late and failed calls since the last answer.
 	unanswered int
 }
 
-// replicaLatency holds a replica's last answers.
+// replicaLatency holds the durations of a replica's latest attempts.
 type replicaLatency struct {
 	samples      [samplesPerReplica]time.Duration
 	count        int
@@ -49,7 +52,7 @@
 	return &latencyTracker{services: map[string]*serviceLatency{}}
 }
 
-// service returns what is known of a service; the caller holds the lock.
+// service returns the measurements of a service; the caller holds the lock.
 func (p *latencyTracker) service(name string) *serviceLatency {
 	s := p.services[name]
 	if s == nil {
@@ -59,8 +62,9 @@
 	return s
 }
 
-// record enters how long an attempt took, at least: one that was overtaken counts
-// with the time it had, or a slow replica would look quicker with every hedge.
+// record adds the duration of an attempt. A superseded attempt counts with the
+// time until its cancellation; without it, a slow replica would appear faster
+// with every hedge.
 func (p *latencyTracker) record(service, replica string, elapsed time.Duration, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,22 +82,23 @@
 	r.lastRecorded = time.Now()
 }
 
-// recordUnanswered enters a call that is late or has failed.
+// recordUnanswered counts a call that is late or has failed.
 func (p *latencyTracker) recordUnanswered(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.service(service).unanswered++
 }
 
-// isDown says whether several calls went by without an answer from any replica.
+// isDown reports whether several calls in succession got no answer from any
+// replica.
 func (p *latencyTracker) isDown(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service(service).unanswered >= downAfterUnanswered
 }
 
-// hedgeDelay returns after how long an answer of the service is late; zero means
-// that too few answers have been seen.
+// hedgeDelay returns the time after which an answer of the service is late, or
+// zero if there are too few samples.
 func (p *latencyTracker) hedgeDelay(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,11 +109,11 @@
 	return s.hedgeDelay
 }
 
-// computeHedgeDelay takes the middle of the replicas' own quantiles.
+// computeHedgeDelay sets the hedge delay to the median of the replicas' quantiles.
 //
-// Failure: one of four replicas is slow, a quarter of all answers are, and the
-// quantile over all of them calls nothing late. The middle one of the replicas
-// is a well one's as long as at least half are well.
+// If one of four replicas is slow, a quarter of all answers is slow, and by a
+// quantile over all answers none of them would be late. The median over the
+// replicas belongs to a healthy one as long as at least half are healthy.
 func (s *serviceLatency) computeHedgeDelay(now time.Time) {
 	var quantiles []time.Duration
 	for id, r := range s.replicas {
--- a/services/lookup.go
+++ b/services/lookup.go
@@ -10,25 +10,26 @@
 	"zinniamast"
 )
 
-// lookupRetryAfter is when an unknown outcome may have been cleared up.
+// lookupRetryAfter is the delay after which an unknown outcome may have been
+// resolved.
 const lookupRetryAfter = 30 * time.Second
 
-// lookupKeyPlaceholder stands for the key in a service's lookup path.
+// lookupKeyPlaceholder is the placeholder of the key in a service's lookup path.
 const lookupKeyPlaceholder = "{key}"
 
-// resolveByLookup asks the service what became of a key whose outcome is unknown, and
-// reports whether the claim was decided. "Not run" is decided only once the
-// claim has settled: until then the call may still be on its way.
+// resolveByLookup queries the service for a key whose outcome is unknown and
+// reports whether the claim was resolved. A claim is resolved as "not run" only
+// after it has settled: until then the call may still be in flight.
 func (h *Handler) resolveByLookup(ctx context.Context, c *call) bool {
 	if c.service.LookupPath == "" {
 		return false
 	}
-	asked := *c
-	asked.method = http.MethodGet
-	asked.path = strings.ReplaceAll(c.service.LookupPath, lookupKeyPlaceholder, url.PathEscape(c.upstreamKey()))
-	asked.body = nil
-	asked.header = http.Header{}
-	answer, err := h.newAttempts(&asked).attempt(ctx)
+	query := *c
+	query.method = http.MethodGet
+	query.path = strings.ReplaceAll(c.service.LookupPath, lookupKeyPlaceholder, url.PathEscape(c.upstreamKey()))
+	query.body = nil
+	query.header = http.Header{}
+	answer, err := h.newAttempts(&query).attempt(ctx)
 	if err != nil {
 		return false
 	}
@@ -42,7 +43,7 @@
 	}
 	err = h.config.Claims.Resolve(ctx, c.organisation, c.service.Name, c.key, ran, "lookup")
 	if err != nil {
-		h.config.Logger.Info("lookup decided nothing", "service", c.service.Name, "key", c.key,
+		h.config.Logger.Info("lookup did not resolve the claim", "service", c.service.Name, "key", c.key,
 			"ran", ranFromBool(ran), "cause", err)
 	}
 	return err == nil
--- a/services/metrics.go
+++ b/services/metrics.go
@@ -7,7 +7,7 @@
 	"zinniamast"
 )
 
-// metrics counts refusals and retries by reason.
+// metrics counts refusals, retries, answers and hedges.
 type metrics struct {
 	refusals *prometheus.CounterVec
 	retries  *prometheus.CounterVec
@@ -15,7 +15,8 @@
 	hedges   *prometheus.CounterVec
 }
 
-// Decisions about late calls, and ends of those that were sent again, as metric labels.
+// Values of the label "decision": whether a late call was hedged, and the results
+// of the hedges sent.
 const (
 	hedgeSent      = "sent"
 	hedgeBudget    = "refused_budget"
--- a/services/once.go
+++ b/services/once.go
@@ -8,22 +8,23 @@
 	"zinniamast/claims"
 )
 
-// runUnkeyed runs a call that may not be repeated and has no key: every request is
-// a call of its own.
+// runUnkeyed runs a call that may not be repeated and has no key: every request
+// is a separate call.
 func (h *Handler) runUnkeyed(c *call) (*result, error) {
 	ctx, cancel := h.detachedContext(c)
 	defer cancel()
 	return h.dispatch(ctx, c, h.newAttempts(c))
 }
 
-// detachedContext bounds a call by its deadline alone. A caller that goes away must
-// not break off a booking halfway, whose outcome nobody would know then.
+// detachedContext returns a context that ends with the call's deadline or the
+// node, not with the caller's request. A caller that disconnects must not
+// cancel a booking midway, since its outcome would then be unknown.
 func (h *Handler) detachedContext(c *call) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(h.config.Context, c.deadline)
 }
 
-// dispatch runs a call that may not be repeated. Only attempts that are proven
-// not to have run are followed by another.
+// dispatch runs a call that may not be repeated. It makes another attempt only
+// if all attempts before are proven not to have run.
 func (h *Handler) dispatch(ctx context.Context, c *call, a *attempts) (*result, error) {
 	for {
 		answer, err := a.attempt(ctx)
@@ -47,10 +48,11 @@
 	}
 }
 
-// maxQuotedBytes bounds how much of a service's own error a refusal quotes.
+// maxQuotedBytes limits how much of a service's error body a refusal quotes.
 const maxQuotedBytes = 200
 
-// refuseUnanswered refuses a call that ran or may have run and has no whole answer.
+// refuseUnanswered returns the refusal of a call that ran or may have run but
+// has no whole answer.
 func (a *attempts) refuseUnanswered(answer zinniamast.ServiceAnswer) *zinniamast.Refusal {
 	switch a.lastFailure.Failure {
 	case zinniamast.FailureError:
@@ -67,14 +69,14 @@
 	}
 }
 
-// outcomeUnknown refuses a call of which nobody knows whether it ran.
+// outcomeUnknown returns the refusal of a call that may or may not have run.
 func outcomeUnknown(c *call, cause any) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonOutcomeUnknown,
 		"whether %s ran the call is not known (%v); %s", c.service.Name, cause, c.nextStep()).
 		With(zinniamast.Unknown)
 }
 
-// nextStep says what the caller can do about an outcome that is not known.
+// nextStep describes what the caller can do about an unknown outcome.
 func (c *call) nextStep() string {
 	switch {
 	case c.key == "":
@@ -86,7 +88,8 @@
 	}
 }
 
-// runClaimed runs a call under a claim on its key.
+// runClaimed runs a call under a claim on its key, or returns the outcome of an
+// earlier request with the key.
 func (h *Handler) runClaimed(ctx context.Context, c *call) (*result, error) {
 	standing, err := h.config.Claims.Begin(ctx, c.claimsCall())
 	if err != nil {
@@ -109,16 +112,16 @@
 	return h.earlierOutcome(c, &record)
 }
 
-// runUnderClaim runs the call and ends its claim by what the attempts proved.
+// runUnderClaim runs the call and ends its claim with what the attempts prove.
 func (h *Handler) runUnderClaim(c *call, claim *claims.Claim) (*result, error) {
 	ctx, cancel := h.detachedContext(c)
 	defer cancel()
 	a := h.newAttempts(c)
 	a.mayDispatch = claim.MayDispatch
-	done, err := h.dispatch(ctx, c, a)
+	outcome, err := h.dispatch(ctx, c, a)
 	if err == nil {
-		claim.Answer(done.answer)
-		return done, nil
+		claim.Answer(outcome.answer)
+		return outcome, nil
 	}
 	refusal := zinniamast.AsRefusal(err)
 	switch refusal.Ran {
@@ -132,7 +135,7 @@
 	return nil, refusal
 }
 
-// earlierOutcome answers with what an earlier request under the key came to.
+// earlierOutcome returns the outcome of an earlier request with the key.
 func (h *Handler) earlierOutcome(c *call, record *claims.Record) (*result, error) {
 	switch {
 	case record.State == claims.StateDone && record.Answer != nil:
--- a/services/peer.go
+++ b/services/peer.go
@@ -12,28 +12,29 @@
 	"zinniamast/peer"
 )
 
-// PeerName is the name under which a Receiver is registered with the peers' server.
+// PeerName is the net/rpc service name under which a Receiver is registered with
+// the peer server.
 const PeerName = "Services"
 
-// Receiver answers forwarded calls over net/rpc.
+// Receiver serves forwarded calls over net/rpc.
 type Receiver struct {
-	// Handler runs them.
+	// Handler runs the forwarded calls.
 	Handler *Handler
-	// Context ends when the node may run nothing any more.
+	// Context ends when the node must not run calls any longer.
 	Context context.Context
 }
 
-// Run implements the remote call.
+// Run implements the net/rpc method that PeerForwarder calls.
 func (r *Receiver) Run(call ForwardedCall, answer *ForwardedAnswer) error {
 	*answer = r.Handler.RunForwarded(r.Context, call)
 	return nil
 }
 
-// PeerForwarder implements Forwarder over the peers' pool.
+// PeerForwarder implements Forwarder over the pool of peer connections.
 type PeerForwarder struct {
-	// Pool holds the connections.
+	// Pool holds the connections to peers.
 	Pool *peer.Pool
-	// Members says where the nodes are.
+	// Members holds the addresses of the nodes.
 	Members *blackboard.Members
 }
 
@@ -51,7 +52,7 @@
 	return answer, err
 }
 
-// rebuildCall rebuilds a call that another node has parsed and checked.
+// rebuildCall returns the call that another node has parsed and checked.
 func (h *Handler) rebuildCall(f ForwardedCall) (*call, *zinniamast.Refusal) {
 	current := h.config.Board.Configuration.Config()
 	service := current.Service(f.Service)
@@ -80,7 +81,8 @@
 	}, nil
 }
 
-// fingerprint tells calls apart by content, for the quarantine.
+// fingerprint returns a hash of a call's content, by which the quarantine
+// identifies it.
 func fingerprint(service, method, path string, body []byte) uint64 {
 	return xxh3.HashString(service+" "+method+" "+path+"\n") ^ xxh3.Hash(body)
 }
--- a/services/repeatable.go
+++ b/services/repeatable.go
@@ -6,7 +6,8 @@
 	"zinniamast"
 )
 
-// runRepeatable runs a call that may be repeated, on other replicas if need be.
+// runRepeatable runs a call that may be repeated. It retries failed attempts on
+// other replicas and hedges calls that are marked idempotent.
 func (h *Handler) runRepeatable(ctx context.Context, c *call) (*result, error) {
 	a := h.newAttempts(c)
 	attempt := a.attempt
@@ -36,7 +37,8 @@
 	}
 }
 
-// refusalWithRan returns a refusal that came between attempts, with what those before it proved.
+// refusalWithRan returns a refusal that occurred between two attempts, with what
+// the earlier attempts prove.
 func (a *attempts) refusalWithRan(err error) *zinniamast.Refusal {
 	return zinniamast.AsRefusal(err).With(a.ran)
 }
--- a/services/result.go
+++ b/services/result.go
@@ -7,13 +7,15 @@
 	"zinniamast"
 )
 
-// result is a whole answer for the caller.
+// result is a whole answer for the caller. It is replayed if it was stored for an
+// earlier request with the same key.
 type result struct {
 	answer   zinniamast.ServiceAnswer
 	replayed bool
 }
 
-// write sends the answer. A caller that has gone cannot be told.
+// write sends the answer. A write error is ignored, since a caller that has
+// disconnected cannot be notified.
 func (r *result) write(w http.ResponseWriter) {
 	header := w.Header()
 	for name, values := range forwardedHeaders(r.answer.Header) {
--- a/services/services.go
+++ b/services/services.go
@@ -1,5 +1,5 @@
 // Package services serves plain services to callers: it routes each call to a
-// replica, repeats what may be repeated, and runs what may not at most once.
+// replica, retries calls that may be repeated, and runs all others at most once.
 package services
 
 import (
@@ -19,29 +19,31 @@
 	"zinniamast/retry"
 )
 
-// HeaderReplayed marks an answer that was kept from an earlier request under
-// the key; docs/operators/services.md describes the headers.
+// HeaderReplayed marks an answer that was stored for an earlier request with the
+// same key; docs/operators/services.md describes the headers.
 const HeaderReplayed = "Zinniamast-Replayed"
 
-// Config says what a handler works with.
+// Config holds the dependencies of a Handler.
 type Config struct {
 	Board   *blackboard.Board
 	Router  zinniamast.Router
 	Limiter zinniamast.Limiter
 	Retry   zinniamast.RetryPolicy
-	// Hedge pays for a second attempt beside a late one; nil sends none.
+	// Hedge takes a hedge from the budget and reports whether it may be sent; nil
+	// disables hedging.
 	Hedge      func(ask retry.HedgeAsk) bool
 	Quarantine zinniamast.Quarantine
 	Claims     *claims.Claims
-	// Issuer issues keys that this node alone dispatches; nil issues none.
+	// Issuer issues keys whose calls only this process dispatches; nil issues none.
 	Issuer *issuedkeys.Issuer
-	// Forwarder carries calls under other nodes' keys to them; nil refuses them.
+	// Forwarder forwards calls with another node's key to that node; with nil they
+	// are answered from the table or refused.
 	Forwarder Forwarder
-	// FailureDomain is the node's own, for the policy in force.
+	// FailureDomain is the node's own; it selects the policy that applies.
 	FailureDomain string
-	// Stopping says whether the node takes no new requests; nil never does.
+	// Stopping reports whether the node refuses new requests; nil means never.
 	Stopping func() bool
-	// Context ends when the node may run nothing any more; nil means never.
+	// Context ends when the node must not run calls any longer; nil means never.
 	Context    context.Context
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
@@ -93,7 +95,7 @@
 	result.write(w)
 }
 
-// serve admits a call and runs it the way its service allows.
+// serve admits a call and runs it in the way that its key and its service allow.
 func (h *Handler) serve(ctx context.Context, c *call) (*result, error) {
 	if h.config.Stopping() {
 		return nil, h.withKeyRan(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
@@ -126,11 +128,12 @@
 
 const stoppingRetryAfter = time.Second
 
-// withKeyRan makes a refusal honest about a key that may have been sent before.
+// withKeyRan corrects a refusal that says "not run" if the key may have been
+// sent before.
 //
-// Failure: a caller loses the answer to its booking, sends the key again, and
-// this node refuses for a reason of its own. Nothing ran for the second
-// request, but a caller who reads "not run" and takes a new key books twice.
+// If a caller loses the answer to its booking and sends the key again, this node
+// may refuse the second request for an unrelated reason. Nothing ran for that
+// request, but a caller that reads "not run" and takes a new key books twice.
 func (h *Handler) withKeyRan(ctx context.Context, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
 	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.isIdempotent {
 		return refusal
@@ -138,7 +141,8 @@
 	return refusal.With(h.keyRan(ctx, c))
 }
 
-// keyRan tells what can be known of a key.
+// keyRan returns whether an earlier request with the call's key ran, as far as
+// it is known.
 func (h *Handler) keyRan(ctx context.Context, c *call) zinniamast.Ran {
 	switch {
 	case c.isFirstSending:
@@ -152,7 +156,7 @@
 	}
 }
 
-// refuse answers, counts and logs a refusal.
+// refuse counts and logs a refusal and writes it to the caller.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refusal *zinniamast.Refusal) {
 	h.metrics.countRefusal(refusal)
 	h.config.Logger.Info("service call refused", "organisation", c.organisation, "path", c.path,
@@ -160,5 +164,5 @@
 	caller.WriteRefusal(w, refusal)
 }
 
-// newID returns a name for an attempt or a request.
+// newID returns a random ID for an attempt or a request.
 func newID() string { return rand.Text() }
