--- a/engine/stream.go
+++ b/engine/stream.go
@@ -51,14 +51,14 @@
 }
 
 func newStream(upstream, attempt string, next int, body io.ReadCloser) *stream {
-	s := bufferPool.Get().(*buffers)
-	s.reader.Reset(body)
+	b := bufferPool.Get().(*buffers)
+	b.reader.Reset(body)
 	return &stream{
 		upstream:  upstream,
 		attempt:   []byte(attempt),
 		nextIndex: next,
 		body:      body,
-		buffers:   s,
+		buffers:   b,
 	}
 }
 
--- a/services/forward.go
+++ b/services/forward.go
@@ -126,7 +126,8 @@
 	}
 	key, err := h.config.Issuer.Verify(c.organisation, c.service.Name, c.key)
 	if err != nil || key.Epoch != h.config.Issuer.Epoch() {
-		// An earlier process with this node's name issued the key and has exited.
+		// The key was issued by an earlier process with this node's name, which has
+		// exited.
 		return h.answerWithoutIssuer(ctx, c, key)
 	}
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
--- a/services/hedge.go
+++ b/services/hedge.go
@@ -17,9 +17,9 @@
 
 // attemptResult is the result of one of two parallel attempts.
 type attemptResult struct {
-	answer zinniamast.ServiceAnswer
-	err    error
-	hedge  bool
+	answer  zinniamast.ServiceAnswer
+	err     error
+	isHedge bool
 }
 
 // attemptWithHedge makes one attempt, and a second one at another replica if the
@@ -41,14 +41,14 @@
 	defer timer.Stop()
 	results := make(chan attemptResult, 2)
 	running := 0
-	run := func(upstream *blackboard.Upstream, hedge bool) {
+	run := func(upstream *blackboard.Upstream, isHedge bool) {
 		running++
 		go func() {
 			answer, err := a.send(ctx, upstream)
 			results <- attemptResult{
-				answer: answer,
-				err:    err,
-				hedge:  hedge,
+				answer:  answer,
+				err:     err,
+				isHedge: isHedge,
 			}
 		}()
 	}
@@ -122,7 +122,7 @@
 		return
 	case result.err != nil:
 		a.handler.metrics.countHedge(hedgeFailed)
-	case result.hedge:
+	case result.isHedge:
 		a.handler.metrics.countHedge(hedgeWon)
 	default:
 		a.handler.metrics.countHedge(hedgeLost)
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -25,7 +25,8 @@
 	"zinniamast/services"
 )
 
-// lookupFleet is a service of four replicas in virtual time, with what was seen of it.
+// lookupFleet is a lookup service of four replicas in virtual time. It is also the
+// router and the quarantine of the handler, and counts what they observe.
 type lookupFleet struct {
 	firstRouter
 	allowAll
@@ -37,39 +38,40 @@
 	attempts     map[string]int
 	observedEnds []zinniamast.Observation
 	crashed      int
-	// nextRoutes are the next choices; without them every replica is as likely.
+	// nextRoutes are the router's next choices; without them it chooses uniformly.
 	nextRoutes []string
 	isSuspect  bool
-	// learningRouter chooses instead, if it is set.
+	// learningRouter, if set, makes the choices.
 	learningRouter *routing.Router
-	// answer plays an attempt at a replica.
+	// answer simulates an attempt at a replica.
 	answer func(ctx context.Context, l *lookupFleet, replica int) error
 }
 
-// answerAfter answers after a time, unless it is given up before.
-func answerAfter(ctx context.Context, wait time.Duration) error {
+// answerAfter returns after a delay, with an error if ctx ends before.
+func answerAfter(ctx context.Context, delay time.Duration) error {
 	select {
-	case <-time.After(wait):
+	case <-time.After(delay):
 		return nil
 	case <-ctx.Done():
 		return &zinniamast.UpstreamError{Failure: zinniamast.FailureReset, Cause: ctx.Err()}
 	}
 }
 
-// normalLatency is how long a well replica takes: 5 to 15 ms.
+// normalLatency returns a random latency of a healthy replica: 5 to 15 ms.
 func (l *lookupFleet) normalLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 5*time.Millisecond + time.Duration(l.random.Int64N(int64(10*time.Millisecond)))
 }
 
-func (l *lookupFleet) chance(share float64) bool {
+// chance returns true with the given probability.
+func (l *lookupFleet) chance(probability float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.random.Float64() < share
+	return l.random.Float64() < probability
 }
 
-// replicaClient is one replica of the lookups.
+// replicaClient is the client of one replica of a lookupFleet.
 type replicaClient struct {
 	fleet  *lookupFleet
 	number int
@@ -83,7 +85,7 @@
 	return zinniamast.ServiceAnswer{Status: 200}, l.answer(ctx, l, r.number)
 }
 
-// Route chooses evenly among the replicas that are not avoided.
+// Route chooses uniformly among the replicas that are not to be avoided.
 func (l *lookupFleet) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
 	if l.learningRouter != nil {
 		return l.learningRouter.Route(need)
@@ -95,16 +97,16 @@
 		l.nextRoutes = l.nextRoutes[1:]
 		return zinniamast.Choice{Upstream: next}, nil
 	}
-	var left []string
+	var candidates []string
 	for i := range 4 {
 		if id := fmt.Sprintf("booking-%d", i); !slices.Contains(need.Avoid, id) {
-			left = append(left, id)
+			candidates = append(candidates, id)
 		}
 	}
-	if len(left) == 0 {
+	if len(candidates) == 0 {
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "none left")
 	}
-	return zinniamast.Choice{Upstream: left[l.random.IntN(len(left))]}, nil
+	return zinniamast.Choice{Upstream: candidates[l.random.IntN(len(candidates))]}, nil
 }
 
 func (l *lookupFleet) Observe(o zinniamast.Observation) {
@@ -133,8 +135,8 @@
 		answer:   answer,
 	}
 	board := blackboard.New()
-	described := config.Service{Calls: []config.Call{{Method: "GET", Path: "/lookups/", Idempotent: true}}}
-	board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(described)})
+	serviceConfig := config.Service{Calls: []config.Call{{Method: "GET", Path: "/lookups/", Idempotent: true}}}
+	board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(serviceConfig)})
 	for i := range 4 {
 		board.Upstreams.Add(&blackboard.Upstream{
 			Instance: zinniamast.Instance{ID: fmt.Sprintf("booking-%d", i), Service: "booking"},
@@ -161,26 +163,26 @@
 	return l
 }
 
-// send makes calls at a rate a second and returns how long each took.
-func (l *lookupFleet) send(method string, calls, rate int) []time.Duration {
-	var done sync.WaitGroup
-	took := make([]time.Duration, calls)
+// send makes calls at a rate per second and returns the duration of each.
+func (l *lookupFleet) send(method string, calls, callsPerSecond int) []time.Duration {
+	var pending sync.WaitGroup
+	durations := make([]time.Duration, calls)
 	for i := range calls {
-		done.Go(func() {
+		pending.Go(func() {
 			q := httptest.NewRequest(method, "/services/booking/lookups/x", nil)
 			q.Header.Set("Authorization", "Bearer "+apiKey)
 			q.Header.Set("Zinniamast-Deadline", "2s")
-			began := time.Now()
+			started := time.Now()
 			l.http.ServeHTTP(httptest.NewRecorder(), q)
-			took[i] = time.Since(began)
+			durations[i] = time.Since(started)
 		})
-		time.Sleep(time.Second / time.Duration(rate))
+		time.Sleep(time.Second / time.Duration(callsPerSecond))
 	}
-	done.Wait()
-	return took
+	pending.Wait()
+	return durations
 }
 
-// total counts attempts at all replicas.
+// total returns the number of attempts at all replicas.
 func (l *lookupFleet) total() int {
 	total := 0
 	for _, count := range l.attempts {
@@ -189,28 +191,28 @@
 	return total
 }
 
-// One of four replicas is slow, always or now and then. Measured are the p99 of
-// 6,000 lookups and attempts per lookup with and without hedging. An attempt
-// that was overtaken is stopped, and neither routing nor the quarantine blames
-// its replica.
+// One of four replicas is slow, always or for a fifth of its answers. Hedging must
+// bound the p99 of 6,000 lookups with at most 1.1 attempts per lookup. A superseded
+// attempt is observed as stopped, and neither the router nor the quarantine counts
+// it against its replica.
 func TestHedgingBoundsTailLatency(t *testing.T) {
 	is := is.New(t)
 	const calls = 6000
 	for _, c := range []struct {
-		slow     float64
-		learning bool
-		most     time.Duration
+		slowShare float64
+		learning  bool
+		maxP99    time.Duration
 	}{
-		{slow: 0.2, most: 50 * time.Millisecond},
-		{slow: 1, most: 500 * time.Millisecond}, // more calls are late than the budget pays for
-		{slow: 0.2, learning: true, most: 20 * time.Millisecond},
-		{slow: 1, learning: true, most: 20 * time.Millisecond},
+		{slowShare: 0.2, maxP99: 50 * time.Millisecond},
+		{slowShare: 1, maxP99: 500 * time.Millisecond}, // more calls are late than the budget allows to hedge
+		{slowShare: 0.2, learning: true, maxP99: 20 * time.Millisecond},
+		{slowShare: 1, learning: true, maxP99: 20 * time.Millisecond},
 	} {
-		tail := map[bool]time.Duration{}
+		p99 := map[bool]time.Duration{}
 		for _, hedging := range []bool{false, true} {
 			synctest.Test(t, func(*testing.T) {
 				l := newLookupFleet(hedging, func(ctx context.Context, l *lookupFleet, replica int) error {
-					if replica == 0 && l.chance(c.slow) {
+					if replica == 0 && l.chance(c.slowShare) {
 						return answerAfter(ctx, 500*time.Millisecond)
 					}
 					return answerAfter(ctx, l.normalLatency())
@@ -218,12 +220,12 @@
 				if c.learning {
 					l.learningRouter = routing.New(routing.Config{Board: l.board, Seed: 5})
 				}
-				took := l.send("GET", calls, 100)
-				slices.Sort(took)
-				tail[hedging] = took[calls*99/100]
-				late, _ := slices.BinarySearch(took, 400*time.Millisecond)
-				t.Logf("slow %.0f%% of one replica's answers, learning router %t, hedging %t: p50 %v p95 %v p99 %v, slow answers %.1f%%, attempts per lookup %.3f", 100*c.slow,
-					c.learning, hedging, took[calls/2], took[calls*95/100], tail[hedging], 100*float64(calls-late)/calls, float64(l.total())/calls)
+				durations := l.send("GET", calls, 100)
+				slices.Sort(durations)
+				p99[hedging] = durations[calls*99/100]
+				firstSlow, _ := slices.BinarySearch(durations, 400*time.Millisecond)
+				t.Logf("slow %.0f%% of one replica's answers, learning router %t, hedging %t: p50 %v p95 %v p99 %v, slow answers %.1f%%, attempts per lookup %.3f", 100*c.slowShare,
+					c.learning, hedging, durations[calls/2], durations[calls*95/100], p99[hedging], 100*float64(calls-firstSlow)/calls, float64(l.total())/calls)
 				is.True(float64(l.total()) <= 1.1*calls)
 				is.Equal(l.crashed, 0)
 				for _, end := range l.observedEnds {
@@ -231,77 +233,78 @@
 				}
 			})
 		}
-		is.True(tail[true] <= c.most)
+		is.True(p99[true] <= c.maxP99)
 	}
 }
 
-// A well minute, and then all replicas fail, at once or by silence until the
-// caller's deadline. Each call of a silent service is late; hedging them would
-// nearly double the load. Attempts per request stay under 1.1.
+// All replicas fail after a healthy minute, at once or by not answering until the
+// caller's deadline. Each call of a service that does not answer is late, and
+// hedging them would nearly double the load. Attempts per request must stay at or
+// below 1.1.
 func TestOutageDoesNotTriggerHedging(t *testing.T) {
-	for name, wait := range map[string]time.Duration{"fails at once": 0, "is silent": time.Hour} {
+	for name, delay := range map[string]time.Duration{"fails at once": 0, "does not answer": time.Hour} {
 		synctest.Test(t, func(*testing.T) {
 			is := is.New(t)
-			var down bool
+			var isDown bool
 			l := newLookupFleet(true, func(ctx context.Context, l *lookupFleet, _ int) error {
-				if !down {
+				if !isDown {
 					return answerAfter(ctx, l.normalLatency())
 				}
-				answerAfter(ctx, wait)
+				answerAfter(ctx, delay)
 				return &zinniamast.UpstreamError{Failure: zinniamast.FailureTimeout, Cause: context.DeadlineExceeded}
 			})
 			l.send("GET", 600, 10)
 			before := l.total()
-			down = true
+			isDown = true
 			l.send("GET", 600, 10)
-			each := float64(l.total()-before) / 600
-			t.Logf("%s: attempts per request %.3f", name, each)
-			is.True(each <= 1.1)
+			attemptsPerRequest := float64(l.total()-before) / 600
+			t.Logf("%s: attempts per request %.3f", name, attemptsPerRequest)
+			is.True(attemptsPerRequest <= 1.1)
 		})
 	}
 }
 
-// Replicas answer late, or 2 fails at once and the retry is late. A careless
-// router names each attempt's replica. A late lookup is sent again, but not to a
-// replica that leaves, that has the call already or that failed it, not while
-// the quarantine wants the call alone, and not if nothing marks it idempotent.
+// Replicas answer late, or replica 2 fails at once and the retry is late. The router
+// returns the listed replicas, also those to be avoided. A late lookup is hedged, but
+// not to a replica that is leaving, that already runs the call or that failed it, not
+// if the quarantine suspects the call, and not if the call is not marked idempotent.
 func TestHedgeConditions(t *testing.T) {
 	cases := []struct {
-		name   string
-		method string
-		routes []string
-		alone  bool
-		sent   int
+		name         string
+		method       string
+		routes       []string
+		isSuspect    bool
+		wantAttempts int
 	}{
-		{name: "to another replica", routes: []string{"booking-0", "booking-1"}, sent: 2},
-		{name: "to one that leaves", routes: []string{"booking-0", "booking-3"}, sent: 1},
-		{name: "to the same", routes: []string{"booking-0", "booking-0"}, sent: 1},
-		{name: "to one that failed it", routes: []string{"booking-2", "booking-0", "booking-2"}, sent: 2},
-		{name: "a suspect", routes: []string{"booking-0", "booking-1"}, alone: true, sent: 1},
-		{name: "a call that may not be repeated", method: "POST", routes: []string{"booking-0", "booking-1"}, sent: 1},
+		{name: "another replica", routes: []string{"booking-0", "booking-1"}, wantAttempts: 2},
+		{name: "a leaving replica", routes: []string{"booking-0", "booking-3"}, wantAttempts: 1},
+		{name: "the same replica", routes: []string{"booking-0", "booking-0"}, wantAttempts: 1},
+		{name: "a replica that failed the call", routes: []string{"booking-2", "booking-0", "booking-2"}, wantAttempts: 2},
+		{name: "a suspect call", routes: []string{"booking-0", "booking-1"}, isSuspect: true, wantAttempts: 1},
+		{name: "a call that may not be repeated", method: "POST", routes: []string{"booking-0", "booking-1"}, wantAttempts: 1},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(*testing.T) {
 			is := is.New(t)
-			late := false
+			isLate := false
 			l := newLookupFleet(true, func(ctx context.Context, l *lookupFleet, replica int) error {
 				switch {
-				case late && replica == 2:
+				case isLate && replica == 2:
 					return &zinniamast.UpstreamError{Upstream: "booking-2", Failure: zinniamast.FailureError}
-				case late:
+				case isLate:
 					return answerAfter(ctx, 100*time.Millisecond)
 				default:
 					return answerAfter(ctx, l.normalLatency())
 				}
 			})
 			l.send("GET", 600, 100)
-			late = true
+			isLate = true
 			l.board.Upstreams.MarkLeaving("booking-3", time.Time{})
-			l.nextRoutes, l.isSuspect = c.routes, c.alone
+			l.nextRoutes, l.isSuspect = c.routes, c.isSuspect
 			before := l.total()
 			l.send(cmp.Or(c.method, "GET"), 1, 10)
 			t.Logf("%s: %d attempts", c.name, l.total()-before)
-			is.Equal(l.total()-before, c.sent)
+			is.Equal(l.total()-before, c.wantAttempts)
 		})
 	}
 }
--- a/services/issued.go
+++ b/services/issued.go
@@ -60,8 +60,8 @@
 	return h.runUnderKey(ctx, c, key)
 }
 
-// runUnderKey runs a call with a verified key, or returns the outcome of the
-// request that used the key first.
+// runUnderKey runs a call with a verified key, forwards it to the process that
+// issued the key, or returns the outcome of an earlier request with the key.
 func (h *Handler) runUnderKey(ctx context.Context, c *call, key issuedkeys.Key) (*result, error) {
 	claim := c.claimsCall()
 	use, isOwner, err := h.config.Issuer.Take(key, claim.Hash())
@@ -90,9 +90,9 @@
 	}, nil
 }
 
-// dispatchUse dispatches a call with a key that this process issued. The outcome
-// is also saved to the table in the background, so that it can be read after
-// this process has exited.
+// dispatchUse dispatches a call with a key that this process issued. The outcome of
+// a call that ran or may have run is also saved to the table in the background, if
+// possible, so that it can be read after this process has exited.
 func (h *Handler) dispatchUse(c *call, use *issuedkeys.Use) (*result, error) {
 	ctx, cancel := h.detachedContext(c)
 	defer cancel()
--- a/services/latency.go
+++ b/services/latency.go
@@ -53,22 +53,22 @@
 }
 
 // service returns the measurements of a service; the caller holds the lock.
-func (p *latencyTracker) service(name string) *serviceLatency {
-	s := p.services[name]
+func (t *latencyTracker) service(name string) *serviceLatency {
+	s := t.services[name]
 	if s == nil {
 		s = &serviceLatency{replicas: map[string]*replicaLatency{}}
-		p.services[name] = s
+		t.services[name] = s
 	}
 	return s
 }
 
 // record adds the duration of an attempt. A superseded attempt counts with the
-// time until its cancellation; without it, a slow replica would appear faster
+// time until its cancellation, since otherwise a slow replica would appear faster
 // with every hedge.
-func (p *latencyTracker) record(service, replica string, elapsed time.Duration, answered bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s := p.service(service)
+func (t *latencyTracker) record(service, replica string, elapsed time.Duration, answered bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(service)
 	if answered {
 		s.unanswered = 0
 	}
@@ -83,26 +83,26 @@
 }
 
 // recordUnanswered counts a call that is late or has failed.
-func (p *latencyTracker) recordUnanswered(service string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.service(service).unanswered++
+func (t *latencyTracker) recordUnanswered(service string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.service(service).unanswered++
 }
 
 // isDown reports whether several calls in succession got no answer from any
 // replica.
-func (p *latencyTracker) isDown(service string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.service(service).unanswered >= downAfterUnanswered
+func (t *latencyTracker) isDown(service string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.service(service).unanswered >= downAfterUnanswered
 }
 
 // hedgeDelay returns the time after which an answer of the service is late, or
 // zero if there are too few samples.
-func (p *latencyTracker) hedgeDelay(service string) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s := p.service(service)
+func (t *latencyTracker) hedgeDelay(service string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.service(service)
 	if now := time.Now(); s.computedAt.IsZero() || now.Sub(s.computedAt) >= hedgeDelayMaxAge {
 		s.computeHedgeDelay(now)
 	}
--- a/services/outage_test.go
+++ b/services/outage_test.go
@@ -38,7 +38,8 @@
 	callerRetryDelay = time.Second
 )
 
-// bookingsPerSecond is lower with the race detector, under which time is dear.
+// bookingsPerSecond is lower in short mode, in which the race detector slows the
+// test down.
 func bookingsPerSecond() int {
 	if testing.Short() {
 		return 1
@@ -46,27 +47,27 @@
 	return 4
 }
 
-// keyStrategy says what keys callers use.
+// keyStrategy selects the keys that callers use.
 type keyStrategy int
 
 const (
 	// ownKeys are chosen by the caller.
 	ownKeys keyStrategy = iota
-	// issuedKeys are asked for before each booking.
+	// issuedKeys are requested from a node before each booking.
 	issuedKeys
-	// ownThenIssued turns to issued keys where an own key is refused as not run.
+	// ownThenIssued uses an issued key after an own key was refused as not run.
 	ownThenIssued
 )
 
-// inMemoryClient speaks to a stand-in without a network, so that time can be virtual.
+// inMemoryClient calls a stand-in without a network, so that time can be virtual.
 type inMemoryClient struct{ replica *service.Service }
 
-func (m inMemoryClient) Call(_ context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
+func (c inMemoryClient) Call(_ context.Context, call zinniamast.ServiceCall) (zinniamast.ServiceAnswer, error) {
 	q := httptest.NewRequest(call.Method, call.Path, bytes.NewReader(call.Body))
 	q.Header.Set(plain.HeaderAttempt, call.Attempt)
 	q.Header.Set(plain.HeaderKey, call.Key)
 	w := httptest.NewRecorder()
-	m.replica.ServeHTTP(w, q)
+	c.replica.ServeHTTP(w, q)
 	return zinniamast.ServiceAnswer{
 		Status: w.Code,
 		Header: w.Header(),
@@ -74,8 +75,8 @@
 	}, nil
 }
 
-// outage is a fleet of nine nodes in virtual time; two die during the outage
-// and two are cut off from the others for a minute.
+// outage is a fleet of nine nodes in virtual time. Two nodes die during the outage
+// of the table, and a network partition separates two others for a minute.
 type outage struct {
 	start    time.Time
 	nodes    []http.Handler
@@ -95,17 +96,17 @@
 	return node >= 2 && node < 4 && o.sinceOutageStart() > partitionStart && o.sinceOutageStart() < partitionEnd
 }
 
-// outageForwarder is one node's way to the others.
+// outageForwarder forwards calls from one node to the others.
 type outageForwarder struct {
 	outage *outage
 	own    int
 }
 
-func (b *outageForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
+func (f *outageForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
 	var target int
 	fmt.Sscanf(node, "node-%d", &target)
-	o := b.outage
-	if o.isDead(target) || o.isPartitioned(target) != o.isPartitioned(b.own) {
+	o := f.outage
+	if o.isDead(target) || o.isPartitioned(target) != o.isPartitioned(f.own) {
 		return services.ForwardedAnswer{}, services.ErrNotForwarded
 	}
 	time.Sleep(3 * time.Millisecond)
@@ -116,7 +117,8 @@
 	return answer, nil
 }
 
-// post sends to a random living node; false means that the connection broke.
+// post sends a request to a random live node. It returns false if the connection
+// broke before the answer arrived.
 func (o *outage) post(path, body, key string, first bool) (*httptest.ResponseRecorder, bool) {
 	o.mu.Lock()
 	node := o.random.IntN(outageNodes)
@@ -138,7 +140,7 @@
 	return w, !o.isDead(node)
 }
 
-// issue asks for a key.
+// issue requests a key; it returns an empty string on failure.
 func (o *outage) issue() string {
 	w, whole := o.post("/services/booking/keys", "", "", false)
 	var answer struct{ Keys []string }
@@ -148,11 +150,11 @@
 	return answer.Keys[0]
 }
 
-// book makes one booking the way its caller would, and returns what the caller
-// knows in the end.
-func (o *outage) book(id string, kind keyStrategy) zinniamast.Ran {
+// book makes one booking with retries, as its caller would, and returns whether the
+// booking ran as far as the caller knows in the end.
+func (o *outage) book(id string, strategy keyStrategy) zinniamast.Ran {
 	key, first := id, true
-	if kind == issuedKeys {
+	if strategy == issuedKeys {
 		key = o.issue()
 	}
 	known := zinniamast.NotRun
@@ -175,7 +177,7 @@
 			continue
 		}
 		known = refused.Error.Ran
-		if known == zinniamast.NotRun && kind != ownKeys {
+		if known == zinniamast.NotRun && strategy != ownKeys {
 			key = ""
 		} else if known == zinniamast.NotRun {
 			first = true
@@ -184,8 +186,8 @@
 	return known
 }
 
-// outageResult counts what callers knew in the end of bookings that began
-// during the outage, and bookings that ran twice.
+// outageResult counts the bookings of an outage by what their callers knew in the
+// end, and those that ran twice or were reported "not run" although they ran.
 type outageResult struct {
 	served, notRun, unknown, ranTwice, falseNotRun int
 }
@@ -194,10 +196,10 @@
 	return float64(r.served) / float64(r.served+r.notRun+r.unknown)
 }
 
-// runOutage plays an outage of the table of five minutes.
-func runOutage(t *testing.T, described config.Service, kind keyStrategy) (r outageResult) {
+// runOutage simulates a table outage of five minutes.
+func runOutage(t *testing.T, serviceConfig config.Service, strategy keyStrategy) (r outageResult) {
 	synctest.Test(t, func(*testing.T) {
-		store := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
+		cloud := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
 		o := &outage{
 			start:  time.Now(),
 			ledger: service.NewLedger(),
@@ -205,52 +207,52 @@
 		}
 		replica := service.New(service.Config{
 			Ledger:     o.ledger,
-			ChecksKeys: described.ChecksKeys,
+			ChecksKeys: serviceConfig.ChecksKeys,
 			Work:       20 * time.Millisecond,
 		})
-		var held []*claims.Claims
+		var stores []*claims.Claims
 		for n := range outageNodes {
 			board := blackboard.New()
-			board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(described)})
+			board.Configuration.Apply(&blackboard.Version{Number: 1, Config: newFleetConfig(serviceConfig)})
 			board.Upstreams.Add(&blackboard.Upstream{
 				Instance: zinniamast.Instance{ID: "booking-0", Service: "booking"},
 				Service:  inMemoryClient{replica: replica},
 			})
-			claimed, handler, node := newNode(n, board, store.Table, &outageForwarder{outage: o, own: n})
-			held = append(held, claimed)
+			store, handler, node := newNode(n, board, cloud.Table, &outageForwarder{outage: o, own: n})
+			stores = append(stores, store)
 			o.handlers = append(o.handlers, handler)
 			o.nodes = append(o.nodes, node)
 		}
 		time.Sleep(outageStart)
-		store.SetFault(platform.ServiceTable, platform.Fault{Down: true})
-		var done sync.WaitGroup
+		cloud.SetFault(platform.ServiceTable, platform.Fault{Down: true})
+		var pending sync.WaitGroup
 		var mu sync.Mutex
-		told := map[string]zinniamast.Ran{}
+		reported := map[string]zinniamast.Ran{}
 		for i := range int(outageDuration.Seconds()-callerTimeout.Seconds()) * bookingsPerSecond() {
 			id := fmt.Sprint("booking ", i)
-			done.Go(func() {
-				known := o.book(id, kind)
+			pending.Go(func() {
+				known := o.book(id, strategy)
 				mu.Lock()
 				defer mu.Unlock()
-				told[id] = known
+				reported[id] = known
 			})
 			time.Sleep(time.Second / time.Duration(bookingsPerSecond()))
 		}
-		done.Wait()
-		store.SetFault(platform.ServiceTable, platform.Fault{})
+		pending.Wait()
+		cloud.SetFault(platform.ServiceTable, platform.Fault{})
 		time.Sleep(time.Minute)
-		for _, claimed := range held {
-			claimed.Close(context.Background())
+		for _, store := range stores {
+			store.Close(context.Background())
 		}
-		r.count(told, o.ledger.Counts().Bodies)
+		r.count(reported, o.ledger.Counts().Bodies)
 	})
 	return r
 }
 
 // count compares what callers know with what ran.
-func (r *outageResult) count(told map[string]zinniamast.Ran, ran map[string]int) {
-	for id, known := range told {
-		runs := ran[fmt.Sprintf(`{"booking":%q}`, id)]
+func (r *outageResult) count(reported map[string]zinniamast.Ran, runsByBody map[string]int) {
+	for id, known := range reported {
+		runs := runsByBody[fmt.Sprintf(`{"booking":%q}`, id)]
 		if runs > 1 {
 			r.ranTwice++
 		}
@@ -268,28 +270,29 @@
 	}
 }
 
-// The table is out for five minutes. Four bookings a second come to nine nodes,
-// two of which die without notice and two of which are cut off from the rest
-// for a minute. Measured is the share of bookings that their callers have
-// within 30 s, by what the caller and the service can do; none runs twice.
+// The table is unavailable for five minutes. Nine nodes receive four bookings per
+// second; two of the nodes die without notice and a network partition separates two
+// others for a minute. For each way to handle keys, a minimum share of the callers
+// must have their booking within 30 s. No booking runs twice, and none that ran is
+// reported as "not run".
 func TestBookingsDuringTableOutage(t *testing.T) {
 	is := is.New(t)
 	cases := []struct {
-		name    string
-		service config.Service
-		kind    keyStrategy
-		least   float64
+		name     string
+		service  config.Service
+		strategy keyStrategy
+		minShare float64
 	}{
-		{name: "a: refuse", kind: ownKeys},
-		{name: "b: the service checks keys", service: config.Service{ChecksKeys: true}, kind: ownKeys, least: 0.99},
-		{name: "c: issued keys", kind: issuedKeys, least: 0.98},
-		{name: "combined: own keys, issued ones where refused", kind: ownThenIssued, least: 0.98},
+		{name: "a: refuse", strategy: ownKeys},
+		{name: "b: the service checks keys", service: config.Service{ChecksKeys: true}, strategy: ownKeys, minShare: 0.99},
+		{name: "c: issued keys", strategy: issuedKeys, minShare: 0.98},
+		{name: "combined: own keys, issued ones where refused", strategy: ownThenIssued, minShare: 0.98},
 	}
 	for _, c := range cases {
-		r := runOutage(t, c.service, c.kind)
+		r := runOutage(t, c.service, c.strategy)
 		t.Logf("%s: served %.4f %+v", c.name, r.servedShare(), r)
 		is.Equal(r.ranTwice, 0)
 		is.Equal(r.falseNotRun, 0)
-		is.True(r.servedShare() >= c.least)
+		is.True(r.servedShare() >= c.minShare)
 	}
 }
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -29,7 +29,7 @@
 	"zinniamast/standin/service"
 )
 
-// firstRouter sends each attempt to the first replica that is not to be avoided.
+// firstRouter routes each attempt to the first replica that is not to be avoided.
 type firstRouter struct{ board *blackboard.Board }
 
 func (r firstRouter) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
@@ -49,7 +49,7 @@
 func (firstRouter) Observe(zinniamast.Observation) {}
 func (firstRouter) Explain(string) string          { return "" }
 
-// allowAll admits and quarantines nothing.
+// allowAll admits every request and quarantines none.
 type allowAll struct{}
 
 func (allowAll) Admit(zinniamast.Admission) (zinniamast.Ticket, error) { return allowAll{}, nil }
@@ -62,7 +62,7 @@
 func (allowAll) Ended(string, uint64)   {}
 func (allowAll) Crashed(string)         {}
 
-// testFleet is two nodes before one service of two replicas.
+// testFleet consists of two nodes in front of a service with two replicas.
 type testFleet struct {
 	platform *platform.Platform
 	ledger   *service.Ledger
@@ -72,43 +72,44 @@
 	claims   []*claims.Claims
 }
 
-// nodeForwarder forwards from one node of the site to the other, unless cut.
+// nodeForwarder forwards calls between the nodes of a testFleet; isCut makes it fail.
 type nodeForwarder struct {
 	fleet *testFleet
 	isCut bool
 }
 
-func (o *nodeForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
-	if o.isCut {
+func (f *nodeForwarder) Forward(ctx context.Context, node string, call services.ForwardedCall) (services.ForwardedAnswer, error) {
+	if f.isCut {
 		return services.ForwardedAnswer{}, io.ErrUnexpectedEOF
 	}
 	var index int
 	fmt.Sscanf(node, "node-%d", &index)
-	return o.fleet.handlers[index].RunForwarded(ctx, call), nil
+	return f.fleet.handlers[index].RunForwarded(ctx, call), nil
 }
 
 const apiKey = "key-of-north"
 
-// newFleetConfig lets one organisation call one service.
-func newFleetConfig(described config.Service) *config.Config {
+// newFleetConfig returns a configuration in which one organisation may call one
+// service.
+func newFleetConfig(serviceConfig config.Service) *config.Config {
 	hash := sha256.Sum256([]byte(apiKey))
-	described.Name = "booking"
+	serviceConfig.Name = "booking"
 	attempts := 3
 	return &config.Config{
 		Defaults:      config.Policy{MaxAttempts: &attempts},
 		Organisations: []config.Organisation{{Name: "north", KeyHashes: []string{hex.EncodeToString(hash[:])}}},
-		Services:      []config.Service{described},
+		Services:      []config.Service{serviceConfig},
 	}
 }
 
-func newTestFleet(t *testing.T, described config.Service, behaviour service.Config) (*testFleet, *nodeForwarder) {
+func newTestFleet(t *testing.T, serviceConfig config.Service, behaviour service.Config) (*testFleet, *nodeForwarder) {
 	t.Helper()
 	s := &testFleet{
 		platform: platform.New(platform.Config{}),
 		ledger:   service.NewLedger(),
 	}
 	behaviour.Ledger = s.ledger
-	fleet := newFleetConfig(described)
+	fleetConfig := newFleetConfig(serviceConfig)
 	var servers []*httptest.Server
 	for range 2 {
 		replica := service.New(behaviour)
@@ -117,10 +118,10 @@
 		t.Cleanup(server.Close)
 		servers = append(servers, server)
 	}
-	other := &nodeForwarder{fleet: s}
+	forwarder := &nodeForwarder{fleet: s}
 	for n := range 2 {
 		board := blackboard.New()
-		board.Configuration.Apply(&blackboard.Version{Number: 1, Config: fleet})
+		board.Configuration.Apply(&blackboard.Version{Number: 1, Config: fleetConfig})
 		for i, server := range servers {
 			id := fmt.Sprintf("booking-%d", i)
 			board.Upstreams.Add(&blackboard.Upstream{
@@ -128,22 +129,22 @@
 				Service:  plain.New(plain.Config{Upstream: id, Address: server.URL}),
 			})
 		}
-		held, handler, node := newNode(n, board, s.platform.Table, other)
+		store, handler, node := newNode(n, board, s.platform.Table, forwarder)
 		t.Cleanup(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			held.Close(ctx)
+			store.Close(ctx)
 		})
-		s.claims = append(s.claims, held)
+		s.claims = append(s.claims, store)
 		s.handlers = append(s.handlers, handler)
 		s.nodes = append(s.nodes, node)
 	}
-	return s, other
+	return s, forwarder
 }
 
-// newNode builds the callers' side of one node.
+// newNode returns the claims, the services handler and the HTTP handler of one node.
 func newNode(n int, board *blackboard.Board, table zinniamast.Table, forwarder services.Forwarder) (*claims.Claims, *services.Handler, http.Handler) {
-	held := claims.New(claims.Config{
+	store := claims.New(claims.Config{
 		Table:    table,
 		Node:     fmt.Sprint("node-", n),
 		Patience: 100 * time.Millisecond,
@@ -154,7 +155,7 @@
 		Limiter:    allowAll{},
 		Retry:      retry.New(retry.Config{Base: time.Millisecond, Reserve: 100}),
 		Quarantine: allowAll{},
-		Claims:     held,
+		Claims:     store,
 		Issuer: issuedkeys.New(issuedkeys.Config{
 			Node:    fmt.Sprint("node-", n),
 			Secrets: []string{"a shared key of at least 32 characters"},
@@ -167,10 +168,10 @@
 		Services: handler,
 		Metrics:  caller.NewMetrics(prometheus.NewRegistry()),
 	})
-	return held, handler, server
+	return store, handler, server
 }
 
-// response is what a caller got.
+// response is what a caller receives.
 type response struct {
 	status   int
 	body     string
@@ -215,30 +216,30 @@
 	return s.send(node, "POST", "/services/booking/reservations", `{"cage":"B-12"}`, append(headers, "Idempotency-Key", key)...)
 }
 
-// A caller loses its answer and sends the booking again, to the same node and
-// to another. It gets the first answer, marked, and the booking ran once; the
-// same key with another body is refused.
+// A caller that lost the answer sends its booking again, to the same node and to
+// another one. It receives the first answer, marked as replayed, and the booking runs
+// once. The same key with another body is refused.
 func TestResentBookingIsReplayed(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestFleet(t, config.Service{}, service.Config{})
 	first := s.book(0, "k")
 	is.Equal(first.status, 200)
 	is.True(!first.replayed)
-	again := s.book(0, "k")
-	is.Equal(again.body, first.body)
-	is.True(again.replayed)
-	is.Equal(s.claims[0].Close(t.Context()), 0) // the outcome is in the table
-	elsewhere := s.book(1, "k")
-	is.Equal(elsewhere.body, first.body)
-	is.True(elsewhere.replayed)
-	other := s.send(1, "POST", "/services/booking/reservations", `{"cage":"B-13"}`, "Idempotency-Key", "k")
-	is.Equal(other.reason, zinniamast.ReasonKeyConflict)
+	resent := s.book(0, "k")
+	is.Equal(resent.body, first.body)
+	is.True(resent.replayed)
+	is.Equal(s.claims[0].Close(t.Context()), 0) // the outcome is saved to the table
+	fromOtherNode := s.book(1, "k")
+	is.Equal(fromOtherNode.body, first.body)
+	is.True(fromOtherNode.replayed)
+	otherBody := s.send(1, "POST", "/services/booking/reservations", `{"cage":"B-13"}`, "Idempotency-Key", "k")
+	is.Equal(otherBody.reason, zinniamast.ReasonKeyConflict)
 	is.Equal(s.ledger.Counts().Runs, 1)
 }
 
-// Each way in which the first replica fails a booking. Only what is proven not
-// to have run goes to the second replica; everything else ends there, and a
-// later sending of the key says the same.
+// The first replica fails a booking in each possible way. The booking goes to the
+// second replica only if it is proven not to have run. All other failures end it, and
+// a later request with the key reports the same outcome.
 func TestBookingFailures(t *testing.T) {
 	cases := []struct {
 		fault  service.Kind
@@ -266,14 +267,15 @@
 			is.Equal(got.reason, c.reason)
 			is.Equal(got.ran, c.ran)
 			is.Equal(s.claims[0].Close(t.Context()), 0)
-			again := s.book(1, "k")
-			is.Equal(again.ran, c.ran) // the second sending hears no other story
+			resent := s.book(1, "k")
+			is.Equal(resent.ran, c.ran) // the second request reports the same outcome
 			is.Equal(s.ledger.Counts().Runs, c.runs)
 		})
 	}
 }
 
-// Lookups are marked idempotent and go to the second replica, whatever the first does.
+// Lookups are marked idempotent and are retried on the second replica after any
+// failure of the first.
 func TestIdempotentCallsAreRepeated(t *testing.T) {
 	for _, fault := range []service.Kind{service.ResetAfter, service.CutShort, service.Cross, service.Fail, service.Refuse} {
 		is := is.New(t)
@@ -287,14 +289,15 @@
 	}
 }
 
-// The table is out. A booking is refused, and "not run" is said only to a
-// caller who vouches for its key; a service that checks keys goes on, and so
-// do issued keys, from either node, each once.
+// The table is unavailable. A booking with the caller's own key is refused, as "not
+// run" only if the caller states that nothing can have run under the key. Bookings at
+// a service that checks keys and bookings with issued keys, at either node, run once
+// each.
 func TestBookingsDuringTableFault(t *testing.T) {
 	is := is.New(t)
-	out := platform.Fault{Down: true}
+	unavailable := platform.Fault{Down: true}
 	s, _ := newTestFleet(t, config.Service{}, service.Config{})
-	is.NoErr(s.platform.SetFault(platform.ServiceTable, out))
+	is.NoErr(s.platform.SetFault(platform.ServiceTable, unavailable))
 	is.Equal(s.book(0, "k").ran, zinniamast.Unknown)
 	fresh := s.book(0, "k2", caller.HeaderFirst, "true")
 	is.Equal(fresh.reason, zinniamast.ReasonStoreUnavailable)
@@ -310,35 +313,35 @@
 	is.Equal(s.ledger.Counts().Runs, 1)
 
 	checked, _ := newTestFleet(t, config.Service{ChecksKeys: true}, service.Config{ChecksKeys: true})
-	is.NoErr(checked.platform.SetFault(platform.ServiceTable, out))
+	is.NoErr(checked.platform.SetFault(platform.ServiceTable, unavailable))
 	checked.replicas[0].SetFaults(service.Fault{Kind: service.ResetAfter})
 	is.Equal(checked.book(0, "k").status, 200)
 	is.Equal(checked.ledger.Counts().Runs, 1)
 }
 
-// The node that issued a key is cut off after it ran the booking. The other
-// node must not run it, nor say that it did not run.
+// The node that issued a key becomes unreachable after it ran the booking. The other
+// node must neither run the booking nor report it as not run.
 func TestIssuingNodeUnreachable(t *testing.T) {
 	is := is.New(t)
-	s, other := newTestFleet(t, config.Service{}, service.Config{})
+	s, forwarder := newTestFleet(t, config.Service{}, service.Config{})
 	var keys struct{ Keys []string }
 	is.NoErr(json.Unmarshal([]byte(s.send(0, "POST", "/services/booking/keys", "").body), &keys))
 	is.NoErr(s.platform.SetFault(platform.ServiceTable, platform.Fault{Down: true}))
 	is.Equal(s.book(0, keys.Keys[0]).status, 200)
-	other.isCut = true
+	forwarder.isCut = true
 	got := s.book(1, keys.Keys[0])
 	is.Equal(got.reason, zinniamast.ReasonOutcomeUnknown)
 	is.Equal(got.ran, zinniamast.Unknown)
 	is.NoErr(s.platform.SetFault(platform.ServiceTable, platform.Fault{}))
 	is.Equal(s.claims[0].Close(t.Context()), 0)
-	is.True(s.book(1, keys.Keys[0]).replayed) // the issuing node left the outcome in the table
+	is.True(s.book(1, keys.Keys[0]).replayed) // the issuing node saved the outcome to the table
 	forged := strings.Replace(keys.Keys[0], ".1.", ".2.", 1)
 	is.Equal(s.book(1, forged).reason, zinniamast.ReasonMalformed)
 	is.Equal(s.ledger.Counts().Runs, 1)
 }
 
-// The answer is lost after the booking ran, and the service can be asked by
-// key: the next sending learns that it ran.
+// The answer is lost after the booking ran, and the service has a lookup by key. The
+// next request with the key must report that the booking ran.
 func TestLookupResolvesUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestFleet(t, config.Service{LookupPath: "/keys/{key}"}, service.Config{})
@@ -355,8 +358,8 @@
 	is.Equal(s.ledger.Counts().Runs, 1)
 }
 
-// What must not cross: paths that the node and the service could resolve
-// differently, the caller's API key, and headers that only the product sets.
+// Paths that the node and the service could resolve differently, unknown services,
+// invalid headers and oversized bodies are refused and do not reach the service.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestFleet(t, config.Service{}, service.Config{})
@@ -379,8 +382,8 @@
 	is.Equal(s.ledger.Counts().Runs, 0)
 }
 
-// A caller's API key and hop-by-hop headers do not reach the service, and the
-// service cannot set headers that only the product sets.
+// A caller's API key, hop-by-hop headers and the product's own headers do not reach
+// the service, and the service cannot set headers that only the product sets.
 func TestHeadersNotForwarded(t *testing.T) {
 	is := is.New(t)
 	var seen http.Header
