--- a/engine/stream.go
+++ b/engine/stream.go
@@ -161,7 +161,7 @@
 	// An answer that arrives on the wrong connection carries the ID of another
 	// attempt; no part of it may reach this caller.
 	if !bytes.Equal(value.GetStringBytes("id"), s.attempt) {
-		return false, s.upstreamError(zinniamast.FailureCrossed, ErrWrongAttempt)
+		return false, s.upstreamError(zinniamast.FailureWrongAttempt, ErrWrongAttempt)
 	}
 	if usage := value.Get("usage"); usage != nil && usage.Type() == fastjson.TypeObject {
 		s.promptTokens = usage.GetInt("prompt_tokens")
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -75,7 +75,7 @@
 	if alone {
 		a.avoidForSuspect()
 	}
-	choice, err := h.config.Router.Route(&zinniamast.Need{
+	choice, err := h.config.Router.Route(&zinniamast.RouteRequest{
 		Request:      c.id,
 		Service:      c.service.Name,
 		Organisation: c.organisation,
@@ -91,7 +91,7 @@
 	upstream := h.config.Board.Upstreams.Get(choice.Upstream)
 	if upstream == nil || upstream.Service == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
-			"the replica chosen for %s has just gone", c.service.Name).After(time.Second)
+			"the replica chosen for %s has just gone", c.service.Name).WithRetryAfter(time.Second)
 	}
 	return upstream, nil
 }
@@ -104,7 +104,7 @@
 			replicas = append(replicas, upstream.Instance.ID)
 		}
 	}
-	a.avoid = append(a.avoid, a.handler.config.Quarantine.Apart(a.call.fingerprint, replicas)...)
+	a.avoid = append(a.avoid, a.handler.config.Quarantine.ReplicasToAvoid(a.call.fingerprint, replicas)...)
 }
 
 // send makes an attempt at a replica and reports its start and end to the
@@ -115,8 +115,8 @@
 	attempt := newID()
 	upstream.Enter()
 	defer upstream.Exit()
-	h.config.Quarantine.Running(id, c.fingerprint)
-	defer h.config.Quarantine.Ended(id, c.fingerprint)
+	h.config.Quarantine.AttemptStarted(id, c.fingerprint)
+	defer h.config.Quarantine.AttemptEnded(id, c.fingerprint)
 	h.config.Router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedStart,
 		Attempt:  attempt,
@@ -151,7 +151,7 @@
 	} else if failed := zinniamast.AsUpstreamError(err); failed != nil {
 		end.Failure = failed.Failure
 		if failed.Outcome().MayHaveCrashed && !upstream.Leaving() {
-			h.config.Quarantine.Crashed(id)
+			h.config.Quarantine.ReplicaCrashed(id)
 		}
 	}
 	h.config.Router.Observe(end)
@@ -196,11 +196,11 @@
 	}
 	allow := h.config.Retry.Retry
 	if a.lastFailure.Failure == zinniamast.FailureDial {
-		allow = h.config.Retry.GoOn
+		allow = h.config.Retry.Failover
 	}
 	backoff, err := allow(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
 	if err != nil {
-		return zinniamast.AsRefusal(err).With(a.ran)
+		return zinniamast.AsRefusal(err).WithRan(a.ran)
 	}
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
@@ -208,7 +208,7 @@
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return contextRefusal(ctx).With(a.ran)
+		return contextRefusal(ctx).WithRan(a.ran)
 	}
 }
 
@@ -219,7 +219,7 @@
 		reason = zinniamast.ReasonAnswerCutShort
 	}
 	return zinniamast.Refuse(reason, "%d attempts at %s failed, the last with %s",
-		a.retries+a.hedges, a.call.service.Name, a.lastFailure.Failure).With(a.ran).After(time.Second)
+		a.retries+a.hedges, a.call.service.Name, a.lastFailure.Failure).WithRan(a.ran).WithRetryAfter(time.Second)
 }
 
 // contextRefusal returns the refusal of a call whose deadline has passed or
--- a/services/call.go
+++ b/services/call.go
@@ -57,7 +57,7 @@
 		Path:         c.path,
 		Body:         c.body,
 		Deadline:     c.deadline,
-		First:        c.isFirstSending,
+		FirstSending: c.isFirstSending,
 	}
 }
 
--- a/services/forward.go
+++ b/services/forward.go
@@ -71,7 +71,7 @@
 		h.config.Logger.Info("forwarding call to the issuing instance failed", "instance", key.Node, "cause", err)
 		if errors.Is(err, ErrNotForwarded) && c.isFirstSending {
 			return nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
-				"only instance %s may run this key and it cannot be reached; ask for a new key", key.Node).After(time.Second)
+				"only instance %s may run this key and it cannot be reached; ask for a new key", key.Node).WithRetryAfter(time.Second)
 		}
 		return h.answerWithoutIssuer(ctx, c, key)
 	}
@@ -94,7 +94,7 @@
 	return nil, zinniamast.Refuse(zinniamast.ReasonOutcomeUnknown,
 		"only instance %s may run this key and it cannot be reached; if you never sent the key before, "+
 			"ask for a new one, otherwise send the same key again", key.Node).
-		With(zinniamast.Unknown).After(issuerRetryAfter)
+		WithRan(zinniamast.Unknown).WithRetryAfter(issuerRetryAfter)
 }
 
 // RunForwarded runs a call that another node forwarded. An error is returned as
--- a/services/hedge.go
+++ b/services/hedge.go
@@ -99,7 +99,7 @@
 		h.metrics.countHedge(hedgeNoReplica)
 		return nil
 	}
-	if !h.config.Hedge(retry.HedgeAsk{
+	if !h.config.Hedge(retry.HedgeRequest{
 		Organisation: c.organisation,
 		Service:      c.service.Name,
 		Idempotent:   c.isIdempotent,
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -86,7 +86,7 @@
 }
 
 // Route chooses uniformly among the replicas that are not to be avoided.
-func (l *lookupFleet) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
+func (l *lookupFleet) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	if l.learningRouter != nil {
 		return l.learningRouter.Route(need)
 	}
@@ -122,7 +122,7 @@
 
 func (l *lookupFleet) Check(uint64) (bool, error) { return l.isSuspect, nil }
 
-func (l *lookupFleet) Crashed(string) {
+func (l *lookupFleet) ReplicaCrashed(string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashed++
--- a/services/issued.go
+++ b/services/issued.go
@@ -35,7 +35,7 @@
 		return
 	}
 	if h.config.Stopping() {
-		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").After(stoppingRetryAfter))
+		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").WithRetryAfter(stoppingRetryAfter))
 		return
 	}
 	keys, expires := h.config.Issuer.Issue(c.organisation, c.service.Name, request.Count)
@@ -72,7 +72,7 @@
 		return nil, claims.Conflict(c.key)
 	case err != nil:
 		return nil, zinniamast.Refuse(zinniamast.ReasonKeyRequired,
-			"the key has expired; ask for a new one").With(h.config.Issuer.Known(c.key))
+			"the key has expired; ask for a new one").WithRan(h.config.Issuer.Known(c.key))
 	case isOwner:
 		return h.dispatchUse(c, use)
 	}
@@ -99,16 +99,16 @@
 	outcome, err := h.dispatch(ctx, c, h.newAttempts(c))
 	if err == nil {
 		use.End(&outcome.answer, nil)
-		h.config.Claims.Keep(c.claimsCall(), claims.EventAnswer, &outcome.answer)
+		h.config.Claims.SaveOutcome(c.claimsCall(), claims.EventAnswer, &outcome.answer)
 		return outcome, nil
 	}
 	refusal := zinniamast.AsRefusal(err)
 	use.End(nil, refusal)
 	switch refusal.Ran {
 	case zinniamast.DidRun:
-		h.config.Claims.Keep(c.claimsCall(), claims.EventRun, nil)
+		h.config.Claims.SaveOutcome(c.claimsCall(), claims.EventRun, nil)
 	case zinniamast.Unknown:
-		h.config.Claims.Keep(c.claimsCall(), claims.EventLose, nil)
+		h.config.Claims.SaveOutcome(c.claimsCall(), claims.EventLose, nil)
 	}
 	return nil, refusal
 }
--- a/services/once.go
+++ b/services/once.go
@@ -59,11 +59,11 @@
 		quoted := string(answer.Body[:min(len(answer.Body), maxQuotedBytes)])
 		return zinniamast.Refuse(zinniamast.ReasonUpstreamFailed,
 			"%s ran the call and failed with status %d: %s", a.call.service.Name, answer.Status, quoted).
-			With(a.ran)
+			WithRan(a.ran)
 	case zinniamast.FailureCutShort:
 		return zinniamast.Refuse(zinniamast.ReasonAnswerCutShort,
 			"%s ran the call and its answer was cut short; %s", a.call.service.Name, a.call.nextStep()).
-			With(a.ran)
+			WithRan(a.ran)
 	default:
 		return outcomeUnknown(a.call, a.lastFailure.Failure)
 	}
@@ -73,7 +73,7 @@
 func outcomeUnknown(c *call, cause any) *zinniamast.Refusal {
 	return zinniamast.Refuse(zinniamast.ReasonOutcomeUnknown,
 		"whether %s ran the call is not known (%v); %s", c.service.Name, cause, c.nextStep()).
-		With(zinniamast.Unknown)
+		WithRan(zinniamast.Unknown)
 }
 
 // nextStep describes what the caller can do about an unknown outcome.
@@ -99,7 +99,7 @@
 		return h.runUnderClaim(c, standing.Claim)
 	}
 	record := standing.Record
-	if record.Lost() && h.resolveByLookup(ctx, c) {
+	if record.IsOutcomeUnknown() && h.resolveByLookup(ctx, c) {
 		standing, err = h.config.Claims.Begin(ctx, c.claimsCall())
 		if err != nil {
 			return nil, err
@@ -128,9 +128,9 @@
 	case zinniamast.NotRun:
 		refusal.Ran = claim.Release()
 	case zinniamast.DidRun:
-		claim.Run()
+		claim.EndAsRan()
 	default:
-		claim.Lose()
+		claim.EndAsUnknown()
 	}
 	return nil, refusal
 }
@@ -146,9 +146,9 @@
 	case record.State.Ran() == zinniamast.DidRun:
 		return nil, zinniamast.Refuse(zinniamast.ReasonUpstreamFailed,
 			"the call under this key ran and its answer is not kept; ask the service for %s", c.upstreamKey()).
-			With(zinniamast.DidRun)
-	case record.Lost():
-		return nil, outcomeUnknown(c, "an earlier request under the key").After(lookupRetryAfter)
+			WithRan(zinniamast.DidRun)
+	case record.IsOutcomeUnknown():
+		return nil, outcomeUnknown(c, "an earlier request under the key").WithRetryAfter(lookupRetryAfter)
 	default:
 		return nil, claims.InProgress()
 	}
--- a/services/peer.go
+++ b/services/peer.go
@@ -58,7 +58,7 @@
 	service := current.Service(f.Service)
 	if service == nil {
 		return nil, zinniamast.Refuse(zinniamast.ReasonUnknownService, "there is no service %q", f.Service).
-			With(zinniamast.Unknown)
+			WithRan(zinniamast.Unknown)
 	}
 	return &call{
 		id:           newID(),
--- a/services/repeatable.go
+++ b/services/repeatable.go
@@ -29,7 +29,7 @@
 		a.recordFailure(failed)
 		h.latency.recordUnanswered(c.service.Name)
 		if ctx.Err() != nil {
-			return nil, h.withKeyRan(ctx, c, contextRefusal(ctx).With(a.ran))
+			return nil, h.withKeyRan(ctx, c, contextRefusal(ctx).WithRan(a.ran))
 		}
 		if err := a.waitForRetry(ctx); err != nil {
 			return nil, h.withKeyRan(ctx, c, zinniamast.AsRefusal(err))
@@ -40,5 +40,5 @@
 // refusalWithRan returns a refusal that occurred between two attempts, with what
 // the earlier attempts prove.
 func (a *attempts) refusalWithRan(err error) *zinniamast.Refusal {
-	return zinniamast.AsRefusal(err).With(a.ran)
+	return zinniamast.AsRefusal(err).WithRan(a.ran)
 }
--- a/services/services.go
+++ b/services/services.go
@@ -31,7 +31,7 @@
 	Retry   zinniamast.RetryPolicy
 	// Hedge takes a hedge from the budget and reports whether it may be sent; nil
 	// disables hedging.
-	Hedge      func(ask retry.HedgeAsk) bool
+	Hedge      func(ask retry.HedgeRequest) bool
 	Quarantine zinniamast.Quarantine
 	Claims     *claims.Claims
 	// Issuer issues keys whose calls only this process dispatches; nil issues none.
@@ -99,7 +99,7 @@
 func (h *Handler) serve(ctx context.Context, c *call) (*result, error) {
 	if h.config.Stopping() {
 		return nil, h.withKeyRan(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
-			"the instance is stopping; ask again").After(stoppingRetryAfter))
+			"the instance is stopping; ask again").WithRetryAfter(stoppingRetryAfter))
 	}
 	ticket, err := h.config.Limiter.Admit(zinniamast.Admission{
 		Organisation: c.organisation,
@@ -138,7 +138,7 @@
 	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.isIdempotent {
 		return refusal
 	}
-	return refusal.With(h.keyRan(ctx, c))
+	return refusal.WithRan(h.keyRan(ctx, c))
 }
 
 // keyRan returns whether an earlier request with the call's key ran, as far as
@@ -152,7 +152,7 @@
 	case c.service.ChecksKeys:
 		return zinniamast.Unknown
 	default:
-		return h.config.Claims.Known(context.WithoutCancel(ctx), c.claimsCall())
+		return h.config.Claims.RunState(context.WithoutCancel(ctx), c.claimsCall())
 	}
 }
 
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -32,7 +32,7 @@
 // firstRouter routes each attempt to the first replica that is not to be avoided.
 type firstRouter struct{ board *blackboard.Board }
 
-func (r firstRouter) Route(need *zinniamast.Need) (zinniamast.Choice, error) {
+func (r firstRouter) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	for i := range 4 {
 		id := fmt.Sprintf("%s-%d", need.Service, i)
 		avoided := false
@@ -43,7 +43,7 @@
 			return zinniamast.Choice{Upstream: id}, nil
 		}
 	}
-	return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "none left").After(time.Second)
+	return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "none left").WithRetryAfter(time.Second)
 }
 
 func (firstRouter) Observe(zinniamast.Observation) {}
@@ -56,11 +56,11 @@
 func (allowAll) Grow(int) bool                                         { return true }
 func (allowAll) Release()                                              {}
 func (allowAll) Check(uint64) (bool, error)                            { return false, nil }
-func (allowAll) Apart(uint64, []string) []string                       { return nil }
+func (allowAll) ReplicasToAvoid(uint64, []string) []string             { return nil }
 
-func (allowAll) Running(string, uint64) {}
-func (allowAll) Ended(string, uint64)   {}
-func (allowAll) Crashed(string)         {}
+func (allowAll) AttemptStarted(string, uint64) {}
+func (allowAll) AttemptEnded(string, uint64)   {}
+func (allowAll) ReplicaCrashed(string)         {}
 
 // testFleet consists of two nodes in front of a service with two replicas.
 type testFleet struct {
@@ -145,9 +145,9 @@
 // newNode returns the claims, the services handler and the HTTP handler of one node.
 func newNode(n int, board *blackboard.Board, table zinniamast.Table, forwarder services.Forwarder) (*claims.Claims, *services.Handler, http.Handler) {
 	store := claims.New(claims.Config{
-		Table:    table,
-		Node:     fmt.Sprint("node-", n),
-		Patience: 100 * time.Millisecond,
+		Table:          table,
+		Node:           fmt.Sprint("node-", n),
+		AcquireTimeout: 100 * time.Millisecond,
 	})
 	handler := services.New(services.Config{
 		Board:      board,
