--- a/engine/client.go
+++ b/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine speaks to model engines: the chat-completions protocol over
-// HTTP with the extensions that docs/design/0001-engine-protocol.md lists.
+// Package engine is a client of model engines. It uses the chat-completions
+// protocol over HTTP with the extensions that docs/design/0001-engine-protocol.md lists.
 package engine
 
 import (
@@ -19,7 +19,7 @@
 	"zinniamast"
 )
 
-// Errors of this layer; callers see them inside *zinniamast.UpstreamError.
+// Errors of this package; they are returned inside *zinniamast.UpstreamError.
 var (
 	// ErrStatus means that the engine answered with an unexpected status.
 	ErrStatus = merry.Sentinel("unexpected status")
@@ -27,30 +27,31 @@
 	ErrProtocol = merry.Sentinel("answer does not follow the protocol")
 	// ErrNoEndMark means that the answer ended before its end mark.
 	ErrNoEndMark = merry.Sentinel("answer ended without its end mark")
-	// ErrCrossed means that the answer carried another attempt's identity.
-	ErrCrossed = merry.Sentinel("answer of another attempt")
+	// ErrWrongAttempt means that the answer carried the ID of another attempt.
+	ErrWrongAttempt = merry.Sentinel("answer of another attempt")
 )
 
 const (
 	pathGenerate = "/v1/chat/completions"
-	// maxControlAnswer bounds answers other than streams, in bytes.
-	maxControlAnswer = 4 << 20
-	dialTimeout      = 2 * time.Second
-	idleTimeout      = 90 * time.Second
-	idlePerReplica   = 256
+	// maxControlAnswerBytes limits answers other than streams.
+	maxControlAnswerBytes  = 4 << 20
+	dialTimeout            = 2 * time.Second
+	idleConnTimeout        = 90 * time.Second
+	maxIdleConnsPerReplica = 256
 )
 
-// Config says which replica the client speaks to.
+// Config identifies the replica that a client calls.
 type Config struct {
-	// ID is the upstream's ID, for errors.
+	// ID is the upstream's ID; errors carry it.
 	ID string
 	// Address is the replica's base URL.
 	Address string
-	// Transport is shared by the clients of one node; nil makes one.
+	// Transport is shared by the clients of one node; with nil the client creates
+	// its own.
 	Transport *http.Transport
 }
 
-// Client speaks to one replica. It implements zinniamast.Engine.
+// Client calls one replica. It implements zinniamast.Engine.
 type Client struct {
 	id     string
 	base   string
@@ -59,18 +60,18 @@
 
 var _ zinniamast.Engine = (*Client)(nil)
 
-// NewTransport returns a transport to share between clients.
+// NewTransport returns a transport that clients can share.
 func NewTransport() *http.Transport {
 	return &http.Transport{
 		DialContext: (&net.Dialer{
 			Timeout: dialTimeout,
 		}).DialContext,
-		MaxIdleConnsPerHost: idlePerReplica,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerReplica,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 }
 
-// New returns a client.
+// New returns a Client.
 func New(config Config) *Client {
 	transport := config.Transport
 	if transport == nil {
@@ -87,15 +88,15 @@
 
 // Generate implements zinniamast.Engine.
 func (c *Client) Generate(ctx context.Context, call zinniamast.GenerateCall) (zinniamast.Stream, error) {
-	answer, err := c.post(ctx, pathGenerate, appendCall(nil, &call))
+	answer, err := c.post(ctx, pathGenerate, appendGenerateBody(nil, &call))
 	if err != nil {
 		return nil, err
 	}
 	return newStream(c.id, call.Attempt, len(call.Resume), answer.Body), nil
 }
 
-// appendCall writes the body of a generate call.
-func appendCall(b []byte, call *zinniamast.GenerateCall) []byte {
+// appendGenerateBody appends the JSON body of a generate call.
+func appendGenerateBody(b []byte, call *zinniamast.GenerateCall) []byte {
 	b = append(b, `{"stream":true,"stream_options":{"include_usage":true},"return_token_ids":true,"model":`...)
 	b = appendString(b, call.Model)
 	b = append(b, `,"request_id":`...)
@@ -130,7 +131,7 @@
 	return append(b, '}')
 }
 
-// appendString writes a JSON string.
+// appendString appends s as a JSON string.
 func appendString(b []byte, s string) []byte {
 	quoted, err := json.Marshal(s)
 	if err != nil {
@@ -141,20 +142,20 @@
 
 // Cancel implements zinniamast.Engine.
 func (c *Client) Cancel(ctx context.Context, attempt string) error {
-	return c.control(ctx, "/v1/cancel", requestName{
+	return c.postControl(ctx, "/v1/cancel", attemptRequest{
 		RequestID: attempt,
 	}, nil)
 }
 
-// requestName names an attempt to the engine.
-type requestName struct {
+// attemptRequest is the body of a request that concerns one attempt.
+type attemptRequest struct {
 	RequestID string `json:"request_id"`
 }
 
 // ExportKV implements zinniamast.Engine.
 func (c *Client) ExportKV(ctx context.Context, attempt string) (zinniamast.KVHandle, error) {
 	var handle zinniamast.KVHandle
-	err := c.control(ctx, "/kv/export", requestName{
+	err := c.postControl(ctx, "/kv/export", attemptRequest{
 		RequestID: attempt,
 	}, &handle)
 	handle.Source = c.base
@@ -163,76 +164,78 @@
 
 // ImportKV implements zinniamast.Engine.
 func (c *Client) ImportKV(ctx context.Context, handle zinniamast.KVHandle) error {
-	return c.control(ctx, "/kv/import", handle, nil)
+	return c.postControl(ctx, "/kv/import", handle, nil)
 }
 
 // Load implements zinniamast.Engine.
 func (c *Client) Load(ctx context.Context) (zinniamast.LoadReport, error) {
 	var report zinniamast.LoadReport
-	err := c.control(ctx, "/load", struct{}{}, &report)
+	err := c.postControl(ctx, "/load", struct{}{}, &report)
 	return report, err
 }
 
 // CacheEvents implements zinniamast.Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) ([]zinniamast.CacheEvent, error) {
 	var events []zinniamast.CacheEvent
-	err := c.control(ctx, "/cache_events", map[string]uint64{"after": after}, &events)
+	err := c.postControl(ctx, "/cache_events", map[string]uint64{"after": after}, &events)
 	return events, err
 }
 
 // Order implements zinniamast.Engine.
 func (c *Client) Order(ctx context.Context, order zinniamast.Order) error {
-	return c.control(ctx, "/orders", order, nil)
+	return c.postControl(ctx, "/orders", order, nil)
 }
 
-// control sends a small call and reads its small answer.
-func (c *Client) control(ctx context.Context, path string, question, result any) error {
-	body, err := json.Marshal(question)
+// postControl sends a request other than a generate call and decodes its answer
+// into result, unless result is nil.
+func (c *Client) postControl(ctx context.Context, path string, request, result any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return c.failed(zinniamast.FailureInvalid, err)
+		return c.upstreamError(zinniamast.FailureInvalid, err)
 	}
 	answer, err := c.post(ctx, path, body)
 	if err != nil {
 		return err
 	}
 	defer answer.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxControlAnswer))
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxControlAnswerBytes))
 	if err != nil {
-		return c.failed(zinniamast.FailureCutShort, err)
+		return c.upstreamError(zinniamast.FailureCutShort, err)
 	}
 	if result == nil {
 		return nil
 	}
 	if err := json.Unmarshal(content, result); err != nil {
-		return c.failed(zinniamast.FailureError, merry.Wrap(ErrProtocol, merry.WithCause(err)))
+		return c.upstreamError(zinniamast.FailureError, merry.Wrap(ErrProtocol, merry.WithCause(err)))
 	}
 	return nil
 }
 
-// post sends a body and returns an answer with status 200, or an error.
+// post sends a body and returns the answer, or an error if its status is not 200.
 func (c *Client) post(ctx context.Context, path string, body []byte) (*http.Response, error) {
-	ask, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, c.failed(zinniamast.FailureInvalid, err)
+		return nil, c.upstreamError(zinniamast.FailureInvalid, err)
 	}
-	ask.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Content-Type", "application/json")
 	if path == pathGenerate {
-		// Cache events shrink to a fraction when compressed; a stream's tokens
-		// would only wait in the compressor's window.
-		ask.Header.Set("Accept-Encoding", "identity")
+		// Compression reduces cache events to a fraction of their size, but it would
+		// delay a stream's tokens in the compressor's window.
+		request.Header.Set("Accept-Encoding", "identity")
 	}
-	answer, err := c.client.Do(ask)
+	answer, err := c.client.Do(request)
 	if err != nil {
-		return nil, c.failed(transportFailure(err), err)
+		return nil, c.upstreamError(transportFailure(err), err)
 	}
 	if answer.StatusCode == http.StatusOK {
 		return answer, nil
 	}
 	defer answer.Body.Close()
-	return nil, c.refused(answer)
+	return nil, c.statusError(answer)
 }
 
-// transportFailure tells a connection that was never made from one that died.
+// transportFailure classifies an error of the transport. It distinguishes a
+// connection that was never established from one that broke.
 func transportFailure(err error) zinniamast.Failure {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -247,33 +250,34 @@
 	return zinniamast.FailureReset
 }
 
-// codeLeaving is the error code of an engine that is going away.
+// codeLeaving is the error code of an engine that is shutting down.
 const codeLeaving = "leaving"
 
-// refused turns an answer without success into an error.
-func (c *Client) refused(answer *http.Response) error {
+// statusError converts an answer with an error status to an error.
+func (c *Client) statusError(answer *http.Response) error {
 	var content struct {
 		Error struct {
 			Code    string `json:"code"`
 			Message string `json:"message"`
 		} `json:"error"`
 	}
-	// An unreadable error body leaves the status to speak for itself.
-	_ = json.NewDecoder(io.LimitReader(answer.Body, maxControlAnswer)).Decode(&content)
+	// If the error body is unreadable, the error carries the status alone.
+	_ = json.NewDecoder(io.LimitReader(answer.Body, maxControlAnswerBytes)).Decode(&content)
 	cause := merry.Wrap(ErrStatus, merry.AppendMessage(fmt.Sprintf("%d %s %s", answer.StatusCode, content.Error.Code, content.Error.Message)))
 	return &zinniamast.UpstreamError{
-		Failure:  failureOf(answer.StatusCode),
+		Failure:  statusFailure(answer.StatusCode),
 		Upstream: c.id,
 		Leaving:  content.Error.Code == codeLeaving,
 		Cause:    cause,
 	}
 }
 
-// failureOf says what a status without success proves. A 4xx is the engine's
-// judgement of the request, which another engine would share: sending it again
-// would spend retries and hide the engine's reason behind "the budget is spent".
-// 404 and 409 speak of what this replica has loaded.
-func failureOf(status int) zinniamast.Failure {
+// statusFailure returns the failure that an error status stands for. With a 4xx
+// the engine rejects the request itself, and so would every other engine:
+// a retry would spend the retry budget, and the caller would read "the budget is
+// spent" instead of the engine's reason. 404 and 409 depend on what this replica
+// has loaded, so they are retried on another one.
+func statusFailure(status int) zinniamast.Failure {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusNotFound || status == http.StatusConflict:
@@ -285,7 +289,7 @@
 	}
 }
 
-func (c *Client) failed(failure zinniamast.Failure, cause error) error {
+func (c *Client) upstreamError(failure zinniamast.Failure, cause error) error {
 	return &zinniamast.UpstreamError{
 		Failure:  failure,
 		Upstream: c.id,
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -11,25 +11,28 @@
 	"zinniamast/claims"
 )
 
-// attempts is the run of attempts at one call.
+// attempts holds the state of the successive attempts at one call.
 type attempts struct {
 	handler *Handler
 	call    *call
 	avoid   []string
 	retries int
-	// hedges counts second attempts beside slow ones, counted those whose end is counted.
-	hedges, counted int
-	// alone means that the last choice was made for a suspect.
-	alone bool
-	// ran is the most that any attempt has proved.
+	// hedges counts the hedges sent; countedHedges counts those whose result is in
+	// the metrics.
+	hedges, countedHedges int
+	// isSuspect means that the quarantine suspected the call at the last choice.
+	isSuspect bool
+	// ran is the strongest evidence of the failed attempts that the call ran:
+	// DidRun, else Unknown, else NotRun.
 	ran zinniamast.Ran
-	// failed is the last attempt's failure.
-	failed *zinniamast.UpstreamError
-	// mayDispatch is asked right before each attempt.
+	// lastFailure is the failure of the last attempt that failed.
+	lastFailure *zinniamast.UpstreamError
+	// mayDispatch reports whether an attempt may be sent; it is called right before
+	// each one.
 	mayDispatch func() bool
 }
 
-func (h *Handler) attempts(c *call) *attempts {
+func (h *Handler) newAttempts(c *call) *attempts {
 	return &attempts{
 		handler:     h,
 		call:        c,
@@ -38,9 +41,9 @@
 	}
 }
 
-// once makes one attempt. Its errors are *Refusal where no attempt was made
-// and *UpstreamError where one failed.
-func (a *attempts) once(ctx context.Context) (zinniamast.ServiceAnswer, error) {
+// attempt makes one attempt. Its error is a *Refusal if no attempt was made and
+// an *UpstreamError if the attempt failed.
+func (a *attempts) attempt(ctx context.Context) (zinniamast.ServiceAnswer, error) {
 	upstream, err := a.prepare(ctx)
 	if err != nil {
 		return zinniamast.ServiceAnswer{}, err
@@ -48,28 +51,29 @@
 	return a.send(ctx, upstream)
 }
 
-// prepare chooses the replica of an attempt that may still be sent.
+// prepare chooses the replica of the next attempt and checks that the attempt
+// may still be sent.
 func (a *attempts) prepare(ctx context.Context) (*blackboard.Upstream, error) {
 	upstream, err := a.choose()
 	if err != nil {
 		return nil, err
 	}
 	if ctx.Err() != nil || !a.mayDispatch() {
-		return nil, pastDeadline(ctx)
+		return nil, contextRefusal(ctx)
 	}
 	return upstream, nil
 }
 
-// choose picks the replica of the next attempt.
+// choose selects the replica of the next attempt.
 func (a *attempts) choose() (*blackboard.Upstream, error) {
 	h, c := a.handler, a.call
 	alone, err := h.config.Quarantine.Check(c.fingerprint)
 	if err != nil {
 		return nil, err
 	}
-	a.alone = alone
+	a.isSuspect = alone
 	if alone {
-		a.keepApart()
+		a.avoidForSuspect()
 	}
 	choice, err := h.config.Router.Route(&zinniamast.RouteRequest{
 		Request:      c.id,
@@ -92,8 +96,8 @@
 	return upstream, nil
 }
 
-// keepApart adds the replicas where a suspect should not run.
-func (a *attempts) keepApart() {
+// avoidForSuspect avoids the replicas on which a suspect call should not run.
+func (a *attempts) avoidForSuspect() {
 	var replicas []string
 	for _, upstream := range a.handler.config.Board.Upstreams.Of(a.call.service.Name) {
 		if !upstream.Leaving() && !slices.Contains(a.avoid, upstream.Instance.ID) {
@@ -103,7 +107,8 @@
 	a.avoid = append(a.avoid, a.handler.config.Quarantine.ReplicasToAvoid(a.call.fingerprint, replicas)...)
 }
 
-// send makes an attempt at a replica and tells everybody who learns from it.
+// send makes an attempt at a replica and reports its start and end to the
+// router, the quarantine, the retry policy and the latency tracker.
 func (a *attempts) send(ctx context.Context, upstream *blackboard.Upstream) (zinniamast.ServiceAnswer, error) {
 	h, c := a.handler, a.call
 	id := upstream.Instance.ID
@@ -132,15 +137,16 @@
 		Upstream: id,
 		Elapsed:  time.Since(started),
 	}
-	// Overtaken, not failed: whatever its end looks like, nothing speaks against the replica.
-	overtaken := err != nil && context.Cause(ctx) == errOvertaken
+	// A superseded attempt was cancelled because another one answered first, so its
+	// error does not count against the replica.
+	superseded := err != nil && context.Cause(ctx) == errSuperseded
 	if err == nil {
 		h.config.Retry.Succeeded(c.service.Name)
 	}
-	if c.idempotent && (err == nil || overtaken) {
-		h.pace.took(c.service.Name, id, end.Elapsed, err == nil)
+	if c.isIdempotent && (err == nil || superseded) {
+		h.latency.record(c.service.Name, id, end.Elapsed, err == nil)
 	}
-	if overtaken {
+	if superseded {
 		end.Failure = zinniamast.FailureStopped
 	} else if failed := zinniamast.AsUpstreamError(err); failed != nil {
 		end.Failure = failed.Failure
@@ -152,7 +158,8 @@
 	return answer, err
 }
 
-// upstreamKey is the key that the service sees; empty if the caller gave none.
+// upstreamKey returns the key that the service receives; it is empty if the
+// caller sent none.
 func (c *call) upstreamKey() string {
 	if c.key == "" {
 		return ""
@@ -160,9 +167,9 @@
 	return claims.UpstreamKey(c.organisation, c.key)
 }
 
-// note records a failed attempt.
-func (a *attempts) note(failed *zinniamast.UpstreamError) {
-	a.failed = failed
+// recordFailure records and logs a failed attempt and avoids its replica.
+func (a *attempts) recordFailure(failed *zinniamast.UpstreamError) {
+	a.lastFailure = failed
 	a.avoid = append(a.avoid, failed.Upstream)
 	if failed.Leaving {
 		a.handler.config.Board.Upstreams.MarkLeaving(failed.Upstream, time.Time{})
@@ -175,47 +182,49 @@
 		"upstream", failed.Upstream, "failure", failed.Failure, "ran", ran, "cause", failed.Cause)
 }
 
-// again pays for one more attempt and waits, or refuses.
-func (a *attempts) again(ctx context.Context) error {
+// waitForRetry takes a retry from the budget and waits for the backoff. Its
+// error is a *Refusal if the attempts or the budget are used up or the call ends.
+func (a *attempts) waitForRetry(ctx context.Context) error {
 	h, c := a.handler, a.call
 	a.retries++
 	if a.retries+a.hedges >= c.policy.MaxAttempts {
 		return a.exhausted()
 	}
-	h.metrics.retried(a.failed.Failure)
-	if a.failed.Leaving {
+	h.metrics.countRetry(a.lastFailure.Failure)
+	if a.lastFailure.Leaving {
 		return nil
 	}
-	ask := h.config.Retry.Retry
-	if a.failed.Failure == zinniamast.FailureDial {
-		ask = h.config.Retry.Failover
+	allow := h.config.Retry.Retry
+	if a.lastFailure.Failure == zinniamast.FailureDial {
+		allow = h.config.Retry.Failover
 	}
-	pause, err := ask(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
+	backoff, err := allow(c.organisation, c.service.Name, a.retries, c.policy.RetryBudget)
 	if err != nil {
 		return zinniamast.AsRefusal(err).WithRan(a.ran)
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return pastDeadline(ctx).WithRan(a.ran)
+		return contextRefusal(ctx).WithRan(a.ran)
 	}
 }
 
-// exhausted refuses after the last attempt.
+// exhausted returns the refusal after the last allowed attempt.
 func (a *attempts) exhausted() *zinniamast.Refusal {
 	reason := zinniamast.ReasonUpstreamFailed
-	if a.failed.Failure == zinniamast.FailureCutShort {
+	if a.lastFailure.Failure == zinniamast.FailureCutShort {
 		reason = zinniamast.ReasonAnswerCutShort
 	}
 	return zinniamast.Refuse(reason, "%d attempts at %s failed, the last with %s",
-		a.retries+a.hedges, a.call.service.Name, a.failed.Failure).WithRan(a.ran).WithRetryAfter(time.Second)
+		a.retries+a.hedges, a.call.service.Name, a.lastFailure.Failure).WithRan(a.ran).WithRetryAfter(time.Second)
 }
 
-// pastDeadline refuses for the deadline, or because the caller has gone.
-func pastDeadline(ctx context.Context) *zinniamast.Refusal {
+// contextRefusal returns the refusal of a call whose deadline has passed or
+// whose caller has cancelled it.
+func contextRefusal(ctx context.Context) *zinniamast.Refusal {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return zinniamast.Refuse(zinniamast.ReasonCancelled, "the request was given up")
 	}
--- a/services/call.go
+++ b/services/call.go
@@ -13,41 +13,42 @@
 	"zinniamast/request"
 )
 
-// prefix begins every path that this package serves.
-const prefix = "/services/"
+// pathPrefix is the prefix of every path that this package serves.
+const pathPrefix = "/services/"
 
-// issuePath asks for keys instead of the service.
-const issuePath = "/keys"
+// issueKeysPath is the path below a service's root at which callers request keys;
+// a POST to it does not reach the service.
+const issueKeysPath = "/keys"
 
 const maxKeyLength = 255
 
 // call is a caller's request, parsed and checked.
 type call struct {
-	id           string
-	organisation string
-	service      *config.Service
-	policy       config.Effective
-	class        request.Class
-	key          string
-	first        bool
-	idempotent   bool
-	issue        bool
-	method       string
-	path         string
-	header       http.Header
-	body         []byte
-	deadline     time.Time
-	fingerprint  uint64
+	id             string
+	organisation   string
+	service        *config.Service
+	policy         config.Effective
+	class          request.Class
+	key            string
+	isFirstSending bool
+	isIdempotent   bool
+	isIssueRequest bool
+	method         string
+	path           string
+	header         http.Header
+	body           []byte
+	deadline       time.Time
+	fingerprint    uint64
 }
 
-// repeatable says whether sending the call twice harms nobody: it is marked
+// isRepeatable reports whether the call may be sent twice: it is marked
 // idempotent, or the service itself runs each key at most once.
-func (c *call) repeatable() bool {
-	return c.idempotent || (c.service.ChecksKeys && c.key != "")
+func (c *call) isRepeatable() bool {
+	return c.isIdempotent || (c.service.ChecksKeys && c.key != "")
 }
 
-// claim returns what a claim on the call's key is for.
-func (c *call) claim() claims.Call {
+// claimsCall returns the call in the form that package claims takes.
+func (c *call) claimsCall() claims.Call {
 	return claims.Call{
 		Organisation: c.organisation,
 		Service:      c.service.Name,
@@ -56,18 +57,19 @@
 		Path:         c.path,
 		Body:         c.body,
 		Deadline:     c.deadline,
-		FirstSending: c.first,
+		FirstSending: c.isFirstSending,
 	}
 }
 
-// parse reads and checks a request; the call is filled as far as it was understood.
+// parse reads and checks a request. If it returns a refusal, the call holds the
+// fields that were parsed before.
 func (h *Handler) parse(w http.ResponseWriter, q *http.Request) (*call, *zinniamast.Refusal) {
 	c := &call{
 		id:           newID(),
 		organisation: caller.OrganisationFrom(q.Context()),
 		method:       q.Method,
 		path:         q.URL.Path,
-		header:       passOn(q.Header),
+		header:       forwardedHeaders(q.Header),
 	}
 	current := h.config.Board.Configuration.Config()
 	name, rest, err := splitPath(q.URL.EscapedPath())
@@ -78,8 +80,8 @@
 	if c.service == nil {
 		return c, zinniamast.Refuse(zinniamast.ReasonUnknownService, "there is no service %q", name)
 	}
-	c.idempotent = c.service.Idempotent(c.method, rest)
-	c.issue = c.method == http.MethodPost && rest == issuePath && h.config.Issuer != nil
+	c.isIdempotent = c.service.Idempotent(c.method, rest)
+	c.isIssueRequest = c.method == http.MethodPost && rest == issueKeysPath && h.config.Issuer != nil
 	c.path = rest
 	if q.URL.RawQuery != "" {
 		c.path += "?" + q.URL.RawQuery
@@ -90,11 +92,11 @@
 	return c, c.readBody(w, q)
 }
 
-// readHeaders reads key, class and deadline.
+// readHeaders reads the key, the class and the deadline.
 func (h *Handler) readHeaders(c *call, q *http.Request, current *config.Config) *zinniamast.Refusal {
 	c.key = q.Header.Get(caller.HeaderKey)
-	c.first = q.Header.Get(caller.HeaderFirst) == "true"
-	if len(c.key) > maxKeyLength || strings.ContainsFunc(c.key, unprintable) {
+	c.isFirstSending = q.Header.Get(caller.HeaderFirst) == "true"
+	if len(c.key) > maxKeyLength || strings.ContainsFunc(c.key, isUnprintable) {
 		return zinniamast.Refuse(zinniamast.ReasonMalformed,
 			"%s: must be at most %d printable ASCII characters", caller.HeaderKey, maxKeyLength)
 	}
@@ -112,17 +114,17 @@
 		FailureDomain: h.config.FailureDomain,
 		Class:         string(c.class),
 	})
-	wait, refusal := caller.ReadDeadline(q.Header, c.policy.Deadline)
+	timeout, refusal := caller.ReadDeadline(q.Header, c.policy.Deadline)
 	if refusal != nil {
 		return refusal
 	}
-	c.deadline = time.Now().Add(wait)
+	c.deadline = time.Now().Add(timeout)
 	return nil
 }
 
-func unprintable(r rune) bool { return r < ' ' || r > '~' }
+func isUnprintable(r rune) bool { return r < ' ' || r > '~' }
 
-// readBody reads the whole body within its bound.
+// readBody reads the whole body, up to the policy's limit.
 func (c *call) readBody(w http.ResponseWriter, q *http.Request) *zinniamast.Refusal {
 	body, refusal := caller.ReadBody(w, q, c.policy.MaxBody)
 	if refusal != nil {
--- a/services/metrics.go
+++ b/services/metrics.go
@@ -7,7 +7,7 @@
 	"zinniamast"
 )
 
-// metrics counts refusals and retries by reason.
+// metrics counts refusals, retries, answers and hedges.
 type metrics struct {
 	refusals *prometheus.CounterVec
 	retries  *prometheus.CounterVec
@@ -15,7 +15,8 @@
 	hedges   *prometheus.CounterVec
 }
 
-// Decisions about late calls, and ends of those that were sent again, as metric labels.
+// Values of the label "decision": whether a late call was hedged, and the results
+// of the hedges sent.
 const (
 	hedgeSent      = "sent"
 	hedgeBudget    = "refused_budget"
@@ -59,14 +60,14 @@
 	return m
 }
 
-func (m *metrics) refused(refusal *zinniamast.Refusal) {
+func (m *metrics) countRefusal(refusal *zinniamast.Refusal) {
 	m.refusals.WithLabelValues(string(refusal.Reason), string(refusal.Ran)).Inc()
 }
 
-func (m *metrics) retried(failure zinniamast.Failure) {
+func (m *metrics) countRetry(failure zinniamast.Failure) {
 	m.retries.WithLabelValues(string(failure)).Inc()
 }
 
-func (m *metrics) hedged(decision string) { m.hedges.WithLabelValues(decision).Inc() }
+func (m *metrics) countHedge(decision string) { m.hedges.WithLabelValues(decision).Inc() }
 
-func (m *metrics) answered(service string) { m.answers.WithLabelValues(service).Inc() }
+func (m *metrics) countAnswer(service string) { m.answers.WithLabelValues(service).Inc() }
--- a/services/services.go
+++ b/services/services.go
@@ -1,5 +1,5 @@
 // Package services serves plain services to callers: it routes each call to a
-// replica, repeats what may be repeated, and runs what may not at most once.
+// replica, retries calls that may be repeated, and runs all others at most once.
 package services
 
 import (
@@ -19,29 +19,31 @@
 	"zinniamast/retry"
 )
 
-// HeaderReplayed marks an answer that was kept from an earlier request under
-// the key; docs/operators/services.md describes the headers.
+// HeaderReplayed marks an answer that was stored for an earlier request with the
+// same key; docs/operators/services.md describes the headers.
 const HeaderReplayed = "Zinniamast-Replayed"
 
-// Config says what a handler works with.
+// Config holds the dependencies of a Handler.
 type Config struct {
 	Board   *blackboard.Board
 	Router  zinniamast.Router
 	Limiter zinniamast.Limiter
 	Retry   zinniamast.RetryPolicy
-	// Hedge pays for a second attempt beside a late one; nil sends none.
+	// Hedge takes a hedge from the budget and reports whether it may be sent; nil
+	// disables hedging.
 	Hedge      func(ask retry.HedgeRequest) bool
 	Quarantine zinniamast.Quarantine
 	Claims     *claims.Claims
-	// Issuer issues keys that this node alone dispatches; nil issues none.
+	// Issuer issues keys whose calls only this process dispatches; nil issues none.
 	Issuer *issuedkeys.Issuer
-	// Forwarder carries calls under other nodes' keys to them; nil refuses them.
+	// Forwarder forwards calls with another node's key to that node; with nil they
+	// are answered from the table or refused.
 	Forwarder Forwarder
-	// FailureDomain is the node's own, for the policy in force.
+	// FailureDomain is the node's own; it selects the policy that applies.
 	FailureDomain string
-	// Stopping says whether the node takes no new requests; nil never does.
+	// Stopping reports whether the node refuses new requests; nil means never.
 	Stopping func() bool
-	// Context ends when the node may run nothing any more; nil means never.
+	// Context ends when the node must not run calls any longer; nil means never.
 	Context    context.Context
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
@@ -51,7 +53,7 @@
 type Handler struct {
 	config  Config
 	metrics *metrics
-	pace    *pace
+	latency *latencyTracker
 }
 
 // New returns a handler.
@@ -68,7 +70,7 @@
 	return &Handler{
 		config:  config,
 		metrics: newMetrics(config.Registerer),
-		pace:    newPace(),
+		latency: newLatencyTracker(),
 	}
 }
 
@@ -79,7 +81,7 @@
 		h.refuse(w, c, refusal)
 		return
 	}
-	if c.issue {
+	if c.isIssueRequest {
 		h.issueKeys(w, c)
 		return
 	}
@@ -93,11 +95,11 @@
 	result.write(w)
 }
 
-// serve admits a call and runs it the way its service allows.
+// serve admits a call and runs it in the way that its key and its service allow.
 func (h *Handler) serve(ctx context.Context, c *call) (*result, error) {
 	if h.config.Stopping() {
-		return nil, h.vouch(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
-			"the instance is stopping; ask again").WithRetryAfter(stoppingRetry))
+		return nil, h.withKeyRan(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
+			"the instance is stopping; ask again").WithRetryAfter(stoppingRetryAfter))
 	}
 	ticket, err := h.config.Limiter.Admit(zinniamast.Admission{
 		Organisation: c.organisation,
@@ -108,57 +110,59 @@
 		Deadline:     c.deadline,
 	})
 	if err != nil {
-		return nil, h.vouch(ctx, c, zinniamast.AsRefusal(err))
+		return nil, h.withKeyRan(ctx, c, zinniamast.AsRefusal(err))
 	}
 	defer ticket.Release()
 	h.config.Retry.Started(c.organisation, c.service.Name)
 	switch {
-	case c.repeatable():
-		return h.repeat(ctx, c)
+	case c.isRepeatable():
+		return h.runRepeatable(ctx, c)
 	case c.key == "":
-		return h.single(c)
+		return h.runUnkeyed(c)
 	case issuedkeys.Is(c.key):
-		return h.issued(ctx, c)
+		return h.runIssued(ctx, c)
 	default:
-		return h.claimed(ctx, c)
+		return h.runClaimed(ctx, c)
 	}
 }
 
-const stoppingRetry = time.Second
+const stoppingRetryAfter = time.Second
 
-// vouch makes a refusal honest about a key that may have been sent before.
+// withKeyRan corrects a refusal that says "not run" if the key may have been
+// sent before.
 //
-// Failure: a caller loses the answer to its booking, sends the key again, and
-// this node refuses for a reason of its own. Nothing ran for the second
-// request, but a caller who reads "not run" and takes a new key books twice.
-func (h *Handler) vouch(ctx context.Context, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
-	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.idempotent {
+// If a caller loses the answer to its booking and sends the key again, this node
+// may refuse the second request for an unrelated reason. Nothing ran for that
+// request, but a caller that reads "not run" and takes a new key books twice.
+func (h *Handler) withKeyRan(ctx context.Context, c *call, refusal *zinniamast.Refusal) *zinniamast.Refusal {
+	if refusal.Ran != zinniamast.NotRun || c.key == "" || c.isIdempotent {
 		return refusal
 	}
-	return refusal.WithRan(h.known(ctx, c))
+	return refusal.WithRan(h.keyRan(ctx, c))
 }
 
-// known tells what can be known of a key.
-func (h *Handler) known(ctx context.Context, c *call) zinniamast.Ran {
+// keyRan returns whether an earlier request with the call's key ran, as far as
+// it is known.
+func (h *Handler) keyRan(ctx context.Context, c *call) zinniamast.Ran {
 	switch {
-	case c.first:
+	case c.isFirstSending:
 		return zinniamast.NotRun
 	case issuedkeys.Is(c.key) && h.config.Issuer != nil:
 		return h.config.Issuer.Known(c.key)
 	case c.service.ChecksKeys:
 		return zinniamast.Unknown
 	default:
-		return h.config.Claims.RunState(context.WithoutCancel(ctx), c.claim())
+		return h.config.Claims.RunState(context.WithoutCancel(ctx), c.claimsCall())
 	}
 }
 
-// refuse answers, counts and logs a refusal.
+// refuse counts and logs a refusal and writes it to the caller.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refusal *zinniamast.Refusal) {
-	h.metrics.refused(refusal)
+	h.metrics.countRefusal(refusal)
 	h.config.Logger.Info("service call refused", "organisation", c.organisation, "path", c.path,
 		"reason", refusal.Reason, "ran", refusal.Ran, "message", refusal.Message)
 	caller.WriteRefusal(w, refusal)
 }
 
-// newID returns a name for an attempt or a request.
+// newID returns a random ID for an attempt or a request.
 func newID() string { return rand.Text() }
