--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -7,7 +7,7 @@
 	"zinniamast/peer"
 )
 
-// BenchmarkCall measures one small call over a standing connection.
+// BenchmarkCall measures one small call over an open connection.
 func BenchmarkCall(b *testing.B) {
 	server, err := peer.NewServer(peer.ServerConfig{
 		Listen:   "127.0.0.1:0",
--- a/peer/certificate.go
+++ b/peer/certificate.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// certificateLife outlasts any process; the certificate dies with its process.
-const certificateLife = 10 * 365 * 24 * time.Hour
+// certificateLifetime exceeds the lifetime of any process; a certificate is never stored.
+const certificateLifetime = 10 * 365 * 24 * time.Hour
 
-// newServerTLS makes a certificate for this process. It proves nothing: the
-// handshake that follows binds a shared key to the connection.
+// newServerTLS returns a TLS configuration with a new self-signed certificate.
+// The certificate does not authenticate the server; the handshake after TLS
+// does, with a shared key bound to the connection.
 func newServerTLS() (*tls.Config, error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
-		NotAfter:     time.Now().Add(certificateLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, template, private.Public(), private)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, privateKey.Public(), privateKey)
 	if err != nil {
 		return nil, err
 	}
@@ -32,14 +33,15 @@
 		MinVersion: tls.VersionTLS13,
 		Certificates: []tls.Certificate{{
 			Certificate: [][]byte{der},
-			PrivateKey:  private,
+			PrivateKey:  privateKey,
 		}},
 		SessionTicketsDisabled: true,
 	}, nil
 }
 
-// newClientTLS accepts any certificate: an impostor's is found out by the
-// handshake, where it cannot prove the shared key for this connection.
+// newClientTLS returns a TLS configuration that accepts any certificate. An
+// impostor fails in the handshake after TLS, since it cannot compute the MAC
+// of this connection without the shared key.
 func newClientTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -9,18 +9,19 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// keptBuffer is the largest write buffer kept between messages.
-const keptBuffer = 64 << 10
+// maxRetainedBufferBytes is the largest write buffer that is reused for the next message.
+const maxRetainedBufferBytes = 64 << 10
 
-// codec is the gob codec of net/rpc with a bound on each message, for both ends.
+// codec is the gob codec of net/rpc with a limit on the size of each message.
+// Clients and servers use it.
 type codec struct {
 	conn    *limitedConn
 	decoder *gob.Decoder
 	encoder *gob.Encoder
 	buffer  bytes.Buffer
-	// calls bounds a server's running calls; nil on the client's end.
-	calls chan struct{}
-	close sync.Once
+	// callSlots limits the running calls of a server; it is nil on a client.
+	callSlots chan struct{}
+	closeOnce sync.Once
 }
 
 func newCodec(conn *limitedConn, maxCalls int) *codec {
@@ -30,20 +31,20 @@
 	}
 	c.encoder = gob.NewEncoder(&c.buffer)
 	if maxCalls > 0 {
-		c.calls = make(chan struct{}, maxCalls)
+		c.callSlots = make(chan struct{}, maxCalls)
 	}
 	return c
 }
 
-// send encodes header and body whole before the first byte goes out, so that
-// what is too large is known not to have been sent.
+// send encodes header and body completely before it writes the first byte, so
+// that nothing of a message above the limit is sent.
 func (c *codec) send(header, body any) error {
 	c.buffer.Reset()
 	if err := c.encode(header, body); err != nil {
 		return err
 	}
 	_, err := c.conn.Write(c.buffer.Bytes())
-	if c.buffer.Cap() > keptBuffer {
+	if c.buffer.Cap() > maxRetainedBufferBytes {
 		c.buffer = bytes.Buffer{}
 	}
 	return err
@@ -64,18 +65,18 @@
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *codec) ReadRequestHeader(request *rpc.Request) error {
-	c.calls <- struct{}{}
+	c.callSlots <- struct{}{}
 	c.conn.nextMessage()
 	err := c.decoder.Decode(request)
 	if err != nil {
-		<-c.calls
+		<-c.callSlots
 	}
 	return err
 }
 
 // ReadRequestBody implements rpc.ServerCodec. After a message above the limit
-// nothing more can be read, so the connection ends here: net/rpc would first
-// answer with an error, and the other end would send its next call into a
+// nothing more can be read, so it closes the connection: net/rpc would
+// first answer with an error, and the client would send its next call on a
 // connection that is about to close.
 func (c *codec) ReadRequestBody(body any) error {
 	err := c.decoder.Decode(body)
@@ -85,10 +86,10 @@
 	return err
 }
 
-// WriteResponse implements rpc.ServerCodec. A response that cannot be sent
-// ends the connection: the caller would otherwise wait for it for ever.
+// WriteResponse implements rpc.ServerCodec. It closes the connection if the
+// response cannot be sent; the caller would otherwise wait for it indefinitely.
 func (c *codec) WriteResponse(response *rpc.Response, body any) error {
-	defer func() { <-c.calls }()
+	defer func() { <-c.callSlots }()
 	err := c.send(response, body)
 	if err != nil {
 		_ = c.Close()
@@ -99,7 +100,7 @@
 // WriteRequest implements rpc.ClientCodec.
 func (c *codec) WriteRequest(request *rpc.Request, body any) error {
 	out := body.(*outgoing)
-	out.begun.Store(true)
+	out.writeStarted.Store(true)
 	return c.send(request, out.args)
 }
 
@@ -112,9 +113,9 @@
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *codec) ReadResponseBody(body any) error { return c.decoder.Decode(body) }
 
-// Close implements both codecs.
+// Close implements rpc.ServerCodec and rpc.ClientCodec.
 func (c *codec) Close() error {
 	var err error
-	c.close.Do(func() { err = c.conn.Close() })
+	c.closeOnce.Do(func() { err = c.conn.Close() })
 	return err
 }
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -10,14 +10,14 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Traffic counts bytes below TLS, in both directions.
+// Traffic counts the encrypted bytes of connections in both directions.
 type Traffic struct {
-	// In and Out are bytes received and sent.
+	// In and Out count the bytes received and sent.
 	In  atomic.Int64
 	Out atomic.Int64
 }
 
-// countedConn counts what passes below TLS.
+// countedConn counts the bytes of the connection that TLS runs on.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
@@ -35,31 +35,33 @@
 	return n, err
 }
 
-// limitedConn bounds each message that is read and how long either direction
-// may stand still.
+// limitedConn limits the size of each message that is read and the time that
+// reads and writes may take without progress.
 type limitedConn struct {
 	net.Conn
-	// idle bounds the wait for input, stall the wait for a write to move on.
-	idle  time.Duration
-	stall time.Duration
-
-	reader *bufio.Reader
-	limit  int64
-	left   int64
-	// exceeded stays set: what follows on the connection cannot be told apart.
+	// idleTimeout bounds the wait for input, stallTimeout the wait for a write
+	// to make progress.
+	idleTimeout  time.Duration
+	stallTimeout time.Duration
+
+	reader    *bufio.Reader
+	limit     int64
+	remaining int64
+	// exceeded is never reset: after a message above the limit, the start of
+	// the next message is unknown.
 	exceeded bool
 
 	mu       sync.Mutex
 	draining bool
 }
 
-func newLimitedConn(conn net.Conn, limit int64, idle, stall time.Duration) *limitedConn {
+func newLimitedConn(conn net.Conn, limit int64, idleTimeout, stallTimeout time.Duration) *limitedConn {
 	c := &limitedConn{
-		Conn:  conn,
-		idle:  idle,
-		stall: stall,
-		limit: limit,
-		left:  limit,
+		Conn:         conn,
+		idleTimeout:  idleTimeout,
+		stallTimeout: stallTimeout,
+		limit:        limit,
+		remaining:    limit,
 	}
 	c.reader = bufio.NewReader(deadlineReader{
 		conn: c,
@@ -67,64 +69,67 @@
 	return c
 }
 
-// deadlineReader moves the read deadline on before each read, unless draining.
+// deadlineReader extends the read deadline before each read, unless the
+// connection is draining.
 type deadlineReader struct{ conn *limitedConn }
 
 func (r deadlineReader) Read(p []byte) (int, error) {
 	r.conn.mu.Lock()
 	if !r.conn.draining {
-		_ = r.conn.Conn.SetReadDeadline(time.Now().Add(r.conn.idle))
+		_ = r.conn.Conn.SetReadDeadline(time.Now().Add(r.conn.idleTimeout))
 	}
 	r.conn.mu.Unlock()
 	return r.conn.Conn.Read(p)
 }
 
-// nextMessage starts the count for the next message.
+// nextMessage resets the byte count for the next message.
 func (c *limitedConn) nextMessage() {
 	if !c.exceeded {
-		c.left = c.limit
+		c.remaining = c.limit
 	}
 }
 
-// spent reports that the message in reading is above the limit.
-func (c *limitedConn) spent() error {
-	if c.left > 0 {
+// checkLimit returns ErrTooLarge if the message being read has used up the limit.
+func (c *limitedConn) checkLimit() error {
+	if c.remaining > 0 {
 		return nil
 	}
 	c.exceeded = true
 	return merry.Wrap(ErrTooLarge, merry.NoCaptureStack())
 }
 
-// Read implements io.Reader. A message above the limit ends the connection:
-// without this one peer could make us hold as much memory as it cares to send.
+// Read implements io.Reader. A message above the limit ends the connection;
+// without the limit a peer could make this process allocate as much memory as
+// the peer sends.
 func (c *limitedConn) Read(p []byte) (int, error) {
-	if err := c.spent(); err != nil {
+	if err := c.checkLimit(); err != nil {
 		return 0, err
 	}
-	if int64(len(p)) > c.left {
-		p = p[:c.left]
+	if int64(len(p)) > c.remaining {
+		p = p[:c.remaining]
 	}
 	n, err := c.reader.Read(p)
-	c.left -= int64(n)
+	c.remaining -= int64(n)
 	return n, err
 }
 
-// ReadByte implements io.ByteReader, which keeps gob from buffering past a message.
+// ReadByte implements io.ByteReader. With it gob does not wrap the connection
+// in a buffer that reads past the end of a message.
 func (c *limitedConn) ReadByte() (byte, error) {
-	if err := c.spent(); err != nil {
+	if err := c.checkLimit(); err != nil {
 		return 0, err
 	}
-	c.left--
+	c.remaining--
 	return c.reader.ReadByte()
 }
 
-// Write implements io.Writer with a bound on standing still.
+// Write implements io.Writer. Each chunk must be written within stallTimeout.
 func (c *limitedConn) Write(p []byte) (int, error) {
-	const piece = 1 << 20
+	const chunkSize = 1 << 20
 	written := 0
 	for written < len(p) {
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(c.stall))
-		n, err := c.Conn.Write(p[written:min(written+piece, len(p))])
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(c.stallTimeout))
+		n, err := c.Conn.Write(p[written:min(written+chunkSize, len(p))])
 		written += n
 		if err != nil {
 			return written, err
@@ -133,7 +138,8 @@
 	return written, nil
 }
 
-// drain ends reading, so that the server loop finishes running calls and closes.
+// drain stops reading, so that the server loop finishes its running calls and
+// closes the connection.
 func (c *limitedConn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between this system's own processes: net/rpc
-// over TLS 1.3, where both ends prove a shared key bound to the connection.
+// Package peer implements calls between the processes of this system: net/rpc
+// over TLS 1.3, where both ends authenticate with a shared key.
 //
-// Certificates are self-signed and live as long as the process; they only
-// encrypt. Identity comes from the keys: each end sends a MAC over the
-// connection's exported keying material, so a proof overheard or relayed on
-// another connection is worthless.
+// Certificates are self-signed, last as long as the process and serve only
+// for encryption. The shared keys authenticate: each end sends a MAC over the
+// exported keying material of the TLS connection, so a MAC that was captured
+// or relayed is not valid on any other connection.
 package peer
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -8,23 +8,23 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Errors that callers of a pool tell apart.
+// Errors that callers of a pool distinguish.
 var (
-	// ErrUnreachable means no connection stood, so the call did not run.
+	// ErrUnreachable means that no connection was established; the call did not run.
 	ErrUnreachable = merry.Sentinel("peer unreachable")
-	// ErrRefused means the other end did not believe our key; the call did not run.
+	// ErrRefused means that one end did not accept the key of the other; the call did not run.
 	ErrRefused = merry.Sentinel("peer refused the key")
-	// ErrTooLarge means the message is above the limit; the call did not run.
+	// ErrTooLarge means that the message is above the limit; the call did not run.
 	ErrTooLarge = merry.Sentinel("message too large")
-	// ErrTimeout means no answer came in time; the call may have run.
+	// ErrTimeout means that no reply arrived in time; the call may have run.
 	ErrTimeout = merry.Sentinel("peer timed out")
-	// ErrLost means the connection died after the call went out; it may have run.
+	// ErrLost means that the connection was lost after the call was sent; the call may have run.
 	ErrLost = merry.Sentinel("connection to peer lost")
-	// ErrClosed means the pool or server was closed; the call did not run.
+	// ErrClosed means that the pool or server was closed; the call did not run.
 	ErrClosed = merry.Sentinel("closed")
 )
 
-// RemoteError is what the called method itself returned.
+// RemoteError is an error returned by the called method.
 type RemoteError struct {
 	// Message is the text of the method's error.
 	Message string
@@ -33,13 +33,13 @@
 // Error implements error.
 func (e *RemoteError) Error() string { return e.Message }
 
-// DidNotRun says whether the error proves that the called method did not run.
+// DidNotRun reports whether the error shows that the called method did not run.
 func DidNotRun(err error) bool {
 	return errors.Is(err, ErrUnreachable) || errors.Is(err, ErrRefused) ||
 		errors.Is(err, ErrTooLarge) || errors.Is(err, ErrClosed)
 }
 
-// translateDial turns an error met before a connection stood.
+// translateDial translates an error of dialling or of the handshake.
 func translateDial(err error) error {
 	if errors.Is(err, ErrRefused) || errors.Is(err, ErrClosed) {
 		return err
@@ -47,7 +47,7 @@
 	return wrap(ErrUnreachable, err)
 }
 
-// translateCall turns an error met after a call was given to a connection.
+// translateCall translates an error of a call that was passed to a connection.
 func translateCall(err error) error {
 	var remote rpc.ServerError
 	if errors.As(err, &remote) {
@@ -61,7 +61,7 @@
 	return wrap(ErrLost, err)
 }
 
-// translateContext turns the end of a caller's context.
+// translateContext translates the error of a caller's context.
 func translateContext(err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return wrap(ErrTimeout, err)
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -11,18 +11,18 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Role says what a connection may ask for.
+// Role determines which methods a connection may call.
 type Role byte
 
-// The roles a connection can prove; each has its own keys and methods.
+// The roles of connections; each has its own keys and methods.
 const (
 	// RolePeer is another node of the fleet.
 	RolePeer Role = 1
-	// RoleOperator is a command line.
+	// RoleOperator is an operator's command line.
 	RoleOperator Role = 2
 )
 
-// The hello is magic, role and MAC; the answer is one byte and a MAC.
+// The hello consists of magic, role and MAC, the answer of one byte and a MAC.
 const (
 	magic         = "zmp1"
 	macSize       = sha256.Size
@@ -33,21 +33,22 @@
 	exporterLabel = "EXPORTER-zinniamast-peer"
 )
 
-// Labels keep a proof of one side from being sent back as the other's.
+// Labels of the two sides in the MAC, so that a MAC of one side can't be sent
+// back as the MAC of the other.
 const (
 	clientSide = "client"
 	serverSide = "server"
 )
 
-// Hello is the first message on a connection.
+// Hello is the first message of a client on a connection.
 type Hello struct {
-	// Role is what the dialling end asks to be.
+	// Role is the role that the client authenticates for.
 	Role Role
-	// MAC is its proof.
+	// MAC proves that the client holds a key of the role.
 	MAC [macSize]byte
 }
 
-// Encode returns the hello's fixed-size form.
+// Encode returns the hello in its fixed-size encoding.
 func (h Hello) Encode() []byte {
 	raw := make([]byte, 0, helloSize)
 	raw = append(raw, magic...)
@@ -55,10 +56,10 @@
 	return append(raw, h.MAC[:]...)
 }
 
-// DecodeHello reads a hello strictly.
+// DecodeHello decodes a hello. It rejects any other length, magic or role.
 func DecodeHello(raw []byte) (Hello, error) {
 	if len(raw) != helloSize || string(raw[:len(magic)]) != magic {
-		return Hello{}, errors.New("not a hello of this protocol")
+		return Hello{}, errors.New("hello has the wrong length or magic")
 	}
 	hello := Hello{
 		Role: Role(raw[len(magic)]),
@@ -70,9 +71,9 @@
 	return hello, nil
 }
 
-// prove computes one side's MAC. The exporter differs on each connection, so
-// whoever relays or replays a proof on another connection proves nothing.
-func prove(key string, role Role, side string, exporter []byte) [macSize]byte {
+// computeMAC computes the MAC of one side. The exporter differs on each
+// connection, so a MAC relayed or replayed on another connection is not valid.
+func computeMAC(key string, role Role, side string, exporter []byte) [macSize]byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte(side))
 	mac.Write([]byte{byte(role)})
@@ -80,34 +81,35 @@
 	return [macSize]byte(mac.Sum(nil))
 }
 
-// believe returns the listed key that made the MAC.
-func believe(keys []string, role Role, side string, exporter []byte, proof [macSize]byte) (string, bool) {
+// findKey returns the key among keys that the MAC was computed with.
+func findKey(keys []string, role Role, side string, exporter []byte, mac [macSize]byte) (string, bool) {
 	for _, key := range keys {
-		expect := prove(key, role, side, exporter)
-		if hmac.Equal(expect[:], proof[:]) {
+		expected := computeMAC(key, role, side, exporter)
+		if hmac.Equal(expected[:], mac[:]) {
 			return key, true
 		}
 	}
 	return "", false
 }
 
-func exported(conn *tls.Conn) ([]byte, error) {
+func exportKeyingMaterial(conn *tls.Conn) ([]byte, error) {
 	state := conn.ConnectionState()
 	return state.ExportKeyingMaterial(exporterLabel, nil, macSize)
 }
 
-// greet proves our first key to a server and checks that it holds it too.
-func greet(conn *tls.Conn, role Role, key string) error {
+// clientHandshake authenticates to a server with the key and verifies that the
+// server holds it too.
+func clientHandshake(conn *tls.Conn, role Role, key string) error {
 	if err := conn.Handshake(); err != nil {
 		return err
 	}
-	exporter, err := exported(conn)
+	exporter, err := exportKeyingMaterial(conn)
 	if err != nil {
 		return err
 	}
 	hello := Hello{
 		Role: role,
-		MAC:  prove(key, role, clientSide, exporter),
+		MAC:  computeMAC(key, role, clientSide, exporter),
 	}
 	if _, err := conn.Write(hello.Encode()); err != nil {
 		return err
@@ -119,19 +121,20 @@
 	if answer[0] != accepted {
 		return merry.Wrap(ErrRefused, merry.NoCaptureStack())
 	}
-	if _, ok := believe([]string{key}, role, serverSide, exporter, [macSize]byte(answer[1:])); !ok {
+	if _, ok := findKey([]string{key}, role, serverSide, exporter, [macSize]byte(answer[1:])); !ok {
 		return merry.Wrap(ErrRefused, merry.NoCaptureStack(), merry.AppendMessage("the server proved no shared key"))
 	}
 	return nil
 }
 
-// welcome checks a client's proof and answers with the same key, which the
-// client knows: during a rotation the two ends list keys in different orders.
-func welcome(conn *tls.Conn, keysOf func(Role) []string) (Role, error) {
+// serverHandshake verifies a client's MAC and answers with a MAC of the same
+// key: during a key rotation the two ends list their keys in different orders,
+// but the client is known to hold this one.
+func serverHandshake(conn *tls.Conn, keysOf func(Role) []string) (Role, error) {
 	if err := conn.Handshake(); err != nil {
 		return 0, err
 	}
-	exporter, err := exported(conn)
+	exporter, err := exportKeyingMaterial(conn)
 	if err != nil {
 		return 0, err
 	}
@@ -144,15 +147,15 @@
 		return 0, err
 	}
 	var answer [answerSize]byte
-	key, ok := believe(keysOf(hello.Role), hello.Role, clientSide, exporter, hello.MAC)
+	key, ok := findKey(keysOf(hello.Role), hello.Role, clientSide, exporter, hello.MAC)
 	if !ok {
 		answer[0] = refused
 		_, _ = conn.Write(answer[:])
 		return 0, merry.Wrap(ErrRefused, merry.NoCaptureStack())
 	}
 	answer[0] = accepted
-	proof := prove(key, hello.Role, serverSide, exporter)
-	copy(answer[1:], proof[:])
+	mac := computeMAC(key, hello.Role, serverSide, exporter)
+	copy(answer[1:], mac[:])
 	_, err = conn.Write(answer[:])
 	return hello.Role, err
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,33 +12,34 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// clientIdle bounds how long a client's connection lives without input; a
-// call that takes longer must be asked for in pieces.
-const clientIdle = 10 * time.Minute
+// clientIdleTimeout bounds how long a client's connection stays open without
+// input. A call that may take longer must be split into several calls.
+const clientIdleTimeout = 10 * time.Minute
 
-// link is the pool's one connection to a peer, with its state of redialling.
+// link is the pool's only connection to a peer and the state of its redials.
 type link struct {
 	pool    *Pool
 	address string
 
-	mu     sync.Mutex
-	client *rpc.Client
-	used   time.Time
-	// dialling is closed when the dial in progress ends; nil when none is.
+	mu       sync.Mutex
+	client   *rpc.Client
+	lastUsed time.Time
+	// dialling is closed when the dial in progress ends; it is nil if none is
+	// in progress.
 	dialling chan struct{}
-	failure  error
+	dialErr  error
 	backoff  time.Duration
 	retryAt  time.Time
 	closed   bool
 }
 
-// connect returns the standing connection or waits for a new one.
+// connect returns the open connection or waits for a new one.
 func (l *link) connect(ctx context.Context) (*rpc.Client, error) {
 	l.mu.Lock()
-	l.retire()
+	l.closeIfIdle()
 	if l.client != nil {
 		client := l.client
-		l.used = time.Now()
+		l.lastUsed = time.Now()
 		l.mu.Unlock()
 		return client, nil
 	}
@@ -46,10 +47,10 @@
 		l.mu.Unlock()
 		return nil, merry.Wrap(ErrClosed, merry.NoCaptureStack())
 	}
-	// During the backoff callers fail at once; all dialling a dead peer at
-	// every call would cost more than the calls.
+	// During the backoff calls fail immediately: a dial to a dead peer for
+	// every call would cost more than the calls themselves.
 	if l.dialling == nil && time.Now().Before(l.retryAt) {
-		failure := l.failure
+		failure := l.dialErr
 		l.mu.Unlock()
 		return nil, failure
 	}
@@ -61,7 +62,7 @@
 	l.mu.Unlock()
 	select {
 	case <-dialling:
-		return l.dialled()
+		return l.dialResult()
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			return nil, wrap(ErrUnreachable, ctx.Err())
@@ -70,24 +71,25 @@
 	}
 }
 
-// retire drops a connection that the server may be about to close for
-// idleness: a call sent into the closing would be lost with its fate unknown.
-func (l *link) retire() {
-	if l.client == nil || time.Since(l.used) < l.pool.config.IdleTimeout {
+// closeIfIdle closes a connection that the server may be about to close as
+// idle. A call sent while the server closes it would be lost, and whether it
+// ran would be unknown.
+func (l *link) closeIfIdle() {
+	if l.client == nil || time.Since(l.lastUsed) < l.pool.config.IdleTimeout {
 		return
 	}
 	_ = l.client.Close()
 	l.client = nil
 }
 
-func (l *link) dialled() (*rpc.Client, error) {
+func (l *link) dialResult() (*rpc.Client, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client != nil {
 		return l.client, nil
 	}
-	if l.failure != nil {
-		return nil, l.failure
+	if l.dialErr != nil {
+		return nil, l.dialErr
 	}
 	return nil, merry.Wrap(ErrUnreachable, merry.NoCaptureStack())
 }
@@ -99,33 +101,34 @@
 	close(l.dialling)
 	l.dialling = nil
 	if err != nil {
-		l.failure = err
+		l.dialErr = err
 		l.backoff = min(max(2*l.backoff, l.pool.config.Backoff), l.pool.config.MaxBackoff)
 		l.retryAt = time.Now().Add(l.backoff)
 		return
 	}
-	l.failure = nil
+	l.dialErr = nil
 	l.backoff = 0
 	if l.closed {
 		_ = client.Close()
 		return
 	}
 	l.client = client
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 }
 
-// outgoing is a call's arguments with the mark that they began to go out.
+// outgoing holds the arguments of a call and whether the codec has started to
+// write them.
 type outgoing struct {
-	args  any
-	begun atomic.Bool
+	args         any
+	writeStarted atomic.Bool
 }
 
-// call makes one call over the link. It asks to be called again if it met a
-// connection that had died unnoticed and nothing of the call went out. Only
-// the codec's mark proves that: net/rpc gives one error both to calls it never
-// sent and to calls that were under way when the connection closed, and taking
-// the second for the first would say "not run" of what may run.
-func (l *link) call(ctx context.Context, method string, args, reply any) (again bool, err error) {
+// call makes one call over the link. It returns retry if the connection was
+// already dead and nothing of the call was written. Only writeStarted shows
+// that: net/rpc returns the same error for calls that it never sent and for
+// calls that were in flight when the connection closed, and treating the
+// latter as the former would report a call that may run as not run.
+func (l *link) call(ctx context.Context, method string, args, reply any) (retry bool, err error) {
 	client, err := l.connect(ctx)
 	if err != nil {
 		return false, err
@@ -133,8 +136,8 @@
 	out := &outgoing{
 		args: args,
 	}
-	// The reply is decoded into a fresh value: after a timeout the late answer
-	// would otherwise be written while the caller reads its own.
+	// The reply is decoded into a new value: a reply that arrives after the
+	// timeout would otherwise be written while the caller reads its value.
 	fresh := reflect.New(reflect.TypeOf(reply).Elem())
 	done := make(chan error, 1)
 	go func() { done <- client.Call(method, out, fresh.Interface()) }()
@@ -144,19 +147,20 @@
 		return false, translateContext(ctx.Err())
 	}
 	if err != nil {
-		return errors.Is(err, rpc.ErrShutdown) && !out.begun.Load(), l.failed(client, err)
+		return errors.Is(err, rpc.ErrShutdown) && !out.writeStarted.Load(), l.handleError(client, err)
 	}
-	l.touch()
+	l.markUsed()
 	reflect.ValueOf(reply).Elem().Set(fresh.Elem())
 	return false, nil
 }
 
-// failed translates a call's error and drops a connection that is of no more use.
-func (l *link) failed(client *rpc.Client, err error) error {
+// handleError translates the error of a call and drops a connection that is
+// no longer usable.
+func (l *link) handleError(client *rpc.Client, err error) error {
 	translated := translateCall(err)
 	var remote *RemoteError
 	if errors.As(translated, &remote) {
-		l.touch()
+		l.markUsed()
 		return translated
 	}
 	l.mu.Lock()
@@ -165,8 +169,9 @@
 		return translated
 	}
 	l.client = nil
-	// After a message too large to send the encoder's state is unknown to the
-	// other end; calls in flight may still be answered, so it closes later.
+	// After a message too large to send, the encoder's state no longer matches
+	// the decoder's of the other end, so no further call may use the connection.
+	// In-flight calls may still be answered, so it is closed later.
 	if errors.Is(translated, ErrTooLarge) {
 		time.AfterFunc(l.pool.config.IdleTimeout, func() { _ = client.Close() })
 		return translated
@@ -175,10 +180,10 @@
 	return translated
 }
 
-func (l *link) touch() {
+func (l *link) markUsed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used = time.Now()
+	l.lastUsed = time.Now()
 }
 
 func (l *link) close() {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -21,7 +21,7 @@
 	oldKey      = strings.Repeat("o", 32)
 	newKey      = strings.Repeat("n", 32)
 	operatorKey = strings.Repeat("p", 32)
-	strangerKey = strings.Repeat("s", 32)
+	unknownKey  = strings.Repeat("s", 32)
 )
 
 // Echo is a receiver for tests.
@@ -31,14 +31,14 @@
 	release chan struct{}
 }
 
-// Say returns what it is given.
+// Say returns its arguments.
 func (e *Echo) Say(args []byte, reply *[]byte) error {
 	e.calls.Add(1)
 	*reply = args
 	return nil
 }
 
-// Hold answers when released.
+// Hold signals that it has started and returns its arguments once released.
 func (e *Echo) Hold(args string, reply *string) error {
 	e.started <- struct{}{}
 	<-e.release
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Fail returns an error.
+// Fail always returns an error.
 func (e *Echo) Fail(string, *string) error { return errors.New("as asked") }
 
 func newEcho() *Echo {
@@ -56,7 +56,7 @@
 	}
 }
 
-func serve(t *testing.T, config peer.ServerConfig) (*peer.Server, *Echo, *Echo) {
+func startServer(t *testing.T, config peer.ServerConfig) (*peer.Server, *Echo, *Echo) {
 	t.Helper()
 	check := is.New(t)
 	config.Listen = "127.0.0.1:0"
@@ -74,7 +74,7 @@
 	return server, forPeers, forOperators
 }
 
-func pool(t *testing.T, config peer.PoolConfig) *peer.Pool {
+func newPool(t *testing.T, config peer.PoolConfig) *peer.Pool {
 	t.Helper()
 	p, err := peer.NewPool(config)
 	is.New(t).NoErr(err)
@@ -82,17 +82,17 @@
 	return p
 }
 
-func say(p *peer.Pool, address, method string) error {
+func callOnce(p *peer.Pool, address, method string) error {
 	var reply []byte
 	return p.Call(context.Background(), address, method, []byte("x"), &reply)
 }
 
-// A stranger, an operator and a peer each try the methods of both roles.
-// Whoever could call across roles could configure the fleet with a key that
-// lies on every node, or join it with an operator's; so the role is part of
-// the proof and each role has its own table of methods.
+// Guards against calls across roles: a peer key lies on every node and must
+// not allow changing the fleet's configuration, and an operator key must not
+// allow joining the fleet. The role is part of the MAC, and each role has its
+// own methods.
 func TestRolesAreSeparate(t *testing.T) {
-	server, forPeers, forOperators := serve(t, peer.ServerConfig{
+	server, forPeers, forOperators := startServer(t, peer.ServerConfig{
 		PeerKeys:     []string{oldKey},
 		OperatorKeys: []string{operatorKey},
 	})
@@ -105,118 +105,119 @@
 	}{
 		{name: "peer calls peer method", role: peer.RolePeer, key: oldKey, method: "Echo.Say"},
 		{name: "operator calls operator method", role: peer.RoleOperator, key: operatorKey, method: "Order.Say"},
-		{name: "stranger as peer", role: peer.RolePeer, key: strangerKey, method: "Echo.Say", err: peer.ErrRefused},
-		{name: "stranger as operator", role: peer.RoleOperator, key: strangerKey, method: "Order.Say", err: peer.ErrRefused},
+		{name: "unknown key as peer", role: peer.RolePeer, key: unknownKey, method: "Echo.Say", err: peer.ErrRefused},
+		{name: "unknown key as operator", role: peer.RoleOperator, key: unknownKey, method: "Order.Say", err: peer.ErrRefused},
 		{name: "operator key as peer", role: peer.RolePeer, key: operatorKey, method: "Echo.Say", err: peer.ErrRefused},
 		{name: "peer key as operator", role: peer.RoleOperator, key: oldKey, method: "Order.Say", err: peer.ErrRefused},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := pool(t, peer.PoolConfig{
+			p := newPool(t, peer.PoolConfig{
 				Role: c.role,
 				Keys: []string{c.key},
 			})
-			is.New(t).True(errors.Is(say(p, server.Address(), c.method), c.err))
+			is.New(t).True(errors.Is(callOnce(p, server.Address(), c.method), c.err))
 		})
 	}
 	check := is.New(t)
-	asOperator := pool(t, peer.PoolConfig{
+	asOperator := newPool(t, peer.PoolConfig{
 		Role: peer.RoleOperator,
 		Keys: []string{operatorKey},
 	})
 	var remote *peer.RemoteError
-	check.True(errors.As(say(asOperator, server.Address(), "Echo.Say"), &remote))
+	check.True(errors.As(callOnce(asOperator, server.Address(), "Echo.Say"), &remote))
 	check.Equal(forPeers.calls.Load(), int64(1))
 	check.Equal(forOperators.calls.Load(), int64(1))
 }
 
-// A stranger between two nodes ends TLS on both sides and passes the true
-// client's proof on. The server must refuse it: the proof is bound to the
-// client's own TLS connection, not to the stranger's.
+// A relay between two nodes terminates TLS on both sides and forwards the
+// client's MAC. The server must refuse it, since the MAC is bound to the
+// client's TLS connection and not to the relay's.
 func TestRelayedProofIsRefused(t *testing.T) {
 	check := is.New(t)
-	server, forPeers, _ := serve(t, peer.ServerConfig{
+	server, forPeers, _ := startServer(t, peer.ServerConfig{
 		PeerKeys: []string{oldKey},
 	})
-	between := relay(t, server.Address())
-	p := pool(t, peer.PoolConfig{
+	relay := startRelay(t, server.Address())
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
-	check.True(errors.Is(say(p, between.Addr().String(), "Echo.Say"), peer.ErrRefused))
+	check.True(errors.Is(callOnce(p, relay.Addr().String(), "Echo.Say"), peer.ErrRefused))
 	check.Equal(forPeers.calls.Load(), int64(0))
 }
 
-// An impostor's server holds no key: the client must not send it a call.
+// The client must not send a call to an impostor, a server without the client's key.
 func TestImpostorServerIsRefused(t *testing.T) {
-	impostor, calls, _ := serve(t, peer.ServerConfig{
-		PeerKeys: []string{strangerKey},
+	impostor, calls, _ := startServer(t, peer.ServerConfig{
+		PeerKeys: []string{unknownKey},
 	})
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
 	check := is.New(t)
-	check.True(errors.Is(say(p, impostor.Address(), "Echo.Say"), peer.ErrRefused))
+	check.True(errors.Is(callOnce(p, impostor.Address(), "Echo.Say"), peer.ErrRefused))
 	check.Equal(calls.calls.Load(), int64(0))
 }
 
-// Keys rotate in three steps, one node after another: every node first
-// believes the new key, then proves it, then forgets the old. At each moment
-// both ends of any connection must find a key they share.
-func TestRotationRefusesNobody(t *testing.T) {
+// Keys rotate in three steps, one node after another: every node first accepts
+// the new key, then authenticates with it, then removes the old one. Both ends
+// of any connection must share a key at every moment, also while only one of
+// them has made the next step.
+func TestKeyRotationKeepsEndsCompatible(t *testing.T) {
 	steps := [][]string{{oldKey}, {oldKey, newKey}, {newKey, oldKey}, {newKey}}
 	check := is.New(t)
 	for i := 1; i < len(steps); i++ {
 		for _, pair := range [][2][]string{{steps[i-1], steps[i]}, {steps[i], steps[i-1]}, {steps[i], steps[i]}} {
-			server, _, _ := serve(t, peer.ServerConfig{
+			server, _, _ := startServer(t, peer.ServerConfig{
 				PeerKeys: pair[0],
 			})
-			p := pool(t, peer.PoolConfig{
+			p := newPool(t, peer.PoolConfig{
 				Keys: pair[1],
 			})
-			check.NoErr(say(p, server.Address(), "Echo.Say"))
+			check.NoErr(callOnce(p, server.Address(), "Echo.Say"))
 		}
 	}
 }
 
-// A message above the limit must neither take memory at the other end nor be
-// left with its fate unknown; the next call goes through.
+// A message above the limit must neither use memory at the other end nor leave
+// the outcome of the call unknown; the next call succeeds.
 func TestMessagesAreBounded(t *testing.T) {
 	check := is.New(t)
-	server, calls, _ := serve(t, peer.ServerConfig{
+	server, calls, _ := startServer(t, peer.ServerConfig{
 		PeerKeys:   []string{oldKey},
 		MaxMessage: 1 << 20,
 	})
-	honest := pool(t, peer.PoolConfig{
+	smallLimit := newPool(t, peer.PoolConfig{
 		Keys:       []string{oldKey},
 		MaxMessage: 1 << 20,
 	})
 	var reply []byte
-	err := honest.Call(context.Background(), server.Address(), "Echo.Say", make([]byte, 2<<20), &reply)
+	err := smallLimit.Call(context.Background(), server.Address(), "Echo.Say", make([]byte, 2<<20), &reply)
 	check.True(errors.Is(err, peer.ErrTooLarge))
 	check.True(peer.DidNotRun(err))
-	check.NoErr(say(honest, server.Address(), "Echo.Say"))
-	greedy := pool(t, peer.PoolConfig{
+	check.NoErr(callOnce(smallLimit, server.Address(), "Echo.Say"))
+	defaultLimit := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
-	err = greedy.Call(context.Background(), server.Address(), "Echo.Say", make([]byte, 8<<20), &reply)
+	err = defaultLimit.Call(context.Background(), server.Address(), "Echo.Say", make([]byte, 8<<20), &reply)
 	check.True(err != nil)
 	check.Equal(calls.calls.Load(), int64(1))
 	big := make([]byte, 1<<20-1024)
-	if err := greedy.Call(context.Background(), server.Address(), "Echo.Say", big, &reply); err != nil {
+	if err := defaultLimit.Call(context.Background(), server.Address(), "Echo.Say", big, &reply); err != nil {
 		t.Fatalf("%+v", merry.Details(err))
 	}
 	check.Equal(len(reply), len(big))
 }
 
-// A planned stop comes while a call runs: the call is answered, then the
-// connection ends. No later call runs, and once this end has seen the close it
-// is known not to have run.
+// A server is closed while a call runs: the call is answered, then the
+// connection closes. No later call runs, and once the client has seen the
+// close, later calls are reported as not run.
 func TestCloseFinishesRunningCalls(t *testing.T) {
 	check := is.New(t)
-	server, echo, _ := serve(t, peer.ServerConfig{
+	server, echo, _ := startServer(t, peer.ServerConfig{
 		PeerKeys: []string{oldKey},
 	})
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
 	answered := make(chan error, 1)
@@ -229,36 +230,37 @@
 	go func() { closed <- server.Close(context.Background()) }()
 	select {
 	case <-closed:
-		t.Fatal("closed over a running call")
+		t.Fatal("Close returned while a call was running")
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(echo.release)
 	check.NoErr(<-answered)
 	check.NoErr(<-closed)
 	ran := echo.calls.Load()
-	err := say(p, server.Address(), "Echo.Say")
-	// A call that goes out before this end has seen the close is lost with it;
-	// saying that it did not run would be a guess, though here it is true.
+	err := callOnce(p, server.Address(), "Echo.Say")
+	// A call sent before the client has seen the close fails with ErrLost: the
+	// client can't know that it did not run.
 	if errors.Is(err, peer.ErrLost) {
-		err = say(p, server.Address(), "Echo.Say")
+		err = callOnce(p, server.Address(), "Echo.Say")
 	}
 	check.True(peer.DidNotRun(err))
 	check.Equal(echo.calls.Load(), ran)
 }
 
-// The caller gives up on a call that hangs; its context decides, not the peer,
-// and the connection serves the next call.
-func TestContextEndsACall(t *testing.T) {
+// A call that hangs ends with the caller's context, whatever the peer does, and
+// the connection serves the next call. The late reply must not overwrite the
+// caller's value.
+func TestContextDeadlineEndsCall(t *testing.T) {
 	check := is.New(t)
-	server, echo, _ := serve(t, peer.ServerConfig{
+	server, echo, _ := startServer(t, peer.ServerConfig{
 		PeerKeys: []string{oldKey},
 	})
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
-	// The connection stands before the time runs: one that ends while it is made
-	// is told otherwise.
-	check.NoErr(say(p, server.Address(), "Echo.Say"))
+	// Opens the connection first: a deadline that expires while connecting is
+	// reported as ErrUnreachable instead.
+	check.NoErr(callOnce(p, server.Address(), "Echo.Say"))
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	reply := "untouched"
@@ -266,22 +268,22 @@
 	check.True(errors.Is(err, peer.ErrTimeout))
 	check.True(!peer.DidNotRun(err))
 	close(echo.release)
-	check.NoErr(say(p, server.Address(), "Echo.Say"))
+	check.NoErr(callOnce(p, server.Address(), "Echo.Say"))
 	check.Equal(reply, "untouched")
 	var remote *peer.RemoteError
 	check.True(errors.As(p.Call(context.Background(), server.Address(), "Echo.Fail", "x", &reply), &remote))
 	check.Equal(remote.Message, "as asked")
 }
 
-// The caller gives up while the connection is still being made, on a machine
-// that is busy. Nothing went out, so the call has not run, and that is what it
-// is told; the next call uses the connection.
+// The caller's deadline expires while the connection is still being opened, as
+// happens on a busy instance. Nothing was sent, so the call must be reported as
+// not run; the next call uses the connection.
 func TestContextEndsWhileConnecting(t *testing.T) {
 	check := is.New(t)
-	server, echo, _ := serve(t, peer.ServerConfig{
+	server, echo, _ := startServer(t, peer.ServerConfig{
 		PeerKeys: []string{oldKey},
 	})
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(100 * time.Millisecond)
@@ -294,21 +296,21 @@
 	err := p.Call(ctx, server.Address(), "Echo.Say", []byte("x"), &reply)
 	check.True(errors.Is(err, peer.ErrUnreachable))
 	check.True(peer.DidNotRun(err))
-	check.NoErr(say(p, server.Address(), "Echo.Say"))
+	check.NoErr(callOnce(p, server.Address(), "Echo.Say"))
 	check.Equal(echo.calls.Load(), int64(1))
 }
 
-// A dead peer is dialled at a falling rate, however often it is called, and
-// is found again when it is back.
+// However often it is called, a dead peer is dialled at increasing intervals,
+// and calls succeed again once it is back.
 func TestRedialBacksOff(t *testing.T) {
 	check := is.New(t)
-	server, _, _ := serve(t, peer.ServerConfig{
+	server, _, _ := startServer(t, peer.ServerConfig{
 		PeerKeys: []string{oldKey},
 	})
 	var dials atomic.Int64
 	var down atomic.Bool
 	down.Store(true)
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys:    []string{oldKey},
 		Backoff: 30 * time.Millisecond,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
@@ -320,46 +322,47 @@
 		},
 	})
 	for range 100 {
-		check.True(errors.Is(say(p, server.Address(), "Echo.Say"), peer.ErrUnreachable))
+		check.True(errors.Is(callOnce(p, server.Address(), "Echo.Say"), peer.ErrUnreachable))
 	}
 	check.True(dials.Load() < 10)
 	down.Store(false)
-	for say(p, server.Address(), "Echo.Say") != nil {
+	for callOnce(p, server.Address(), "Echo.Say") != nil {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Strangers open connections and say nothing. They must neither hold the
-// places of proven connections nor stay: the handshake has its own bound.
-func TestSilentStrangersAreCut(t *testing.T) {
+// Clients open connections and send nothing. Handshakes have their own limit
+// and timeout, so such connections neither block authenticated ones nor stay
+// open. TLS 1.2 is refused.
+func TestSilentConnectionsTimeOut(t *testing.T) {
 	check := is.New(t)
-	server, _, _ := serve(t, peer.ServerConfig{
+	server, _, _ := startServer(t, peer.ServerConfig{
 		PeerKeys:         []string{oldKey},
 		HandshakeTimeout: 50 * time.Millisecond,
 		MaxHandshakes:    2,
 	})
-	var strangers []net.Conn
+	var silent []net.Conn
 	for range 4 {
 		conn, err := net.Dial("tcp", server.Address())
 		check.NoErr(err)
-		strangers = append(strangers, conn)
+		silent = append(silent, conn)
 	}
-	for _, conn := range strangers {
+	for _, conn := range silent {
 		_, _ = io.Copy(io.Discard, conn)
 		_ = conn.Close()
 	}
-	p := pool(t, peer.PoolConfig{
+	p := newPool(t, peer.PoolConfig{
 		Keys: []string{oldKey},
 	})
-	for say(p, server.Address(), "Echo.Say") != nil {
+	for callOnce(p, server.Address(), "Echo.Say") != nil {
 		time.Sleep(5 * time.Millisecond)
 	}
-	old, err := tls.Dial("tcp", server.Address(), &tls.Config{
+	conn, err := tls.Dial("tcp", server.Address(), &tls.Config{
 		MaxVersion:         tls.VersionTLS12,
 		InsecureSkipVerify: true,
 	})
 	check.True(err != nil)
-	check.True(old == nil)
+	check.True(conn == nil)
 }
 
 func FuzzDecodeHello(f *testing.F) {
@@ -373,7 +376,7 @@
 			return
 		}
 		if string(hello.Encode()) != string(raw) {
-			t.Fatalf("%x decodes to what encodes otherwise", raw)
+			t.Fatalf("%x decodes to a hello with a different encoding", raw)
 		}
 	})
 }
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -13,7 +13,7 @@
 	"zinniamast/httplimit"
 )
 
-// Limits of a pool where the configuration leaves a field zero.
+// Defaults of the fields of PoolConfig that are zero.
 const (
 	defaultDialTimeout = 3 * time.Second
 	defaultBackoff     = 100 * time.Millisecond
@@ -22,26 +22,27 @@
 
 // PoolConfig configures a pool.
 type PoolConfig struct {
-	// Role is what the pool's connections prove to be; zero means RolePeer.
+	// Role is the role that connections authenticate for; zero means RolePeer.
 	Role Role
-	// Keys are the shared keys of the role; the first proves.
+	// Keys are the shared keys of the role; connections authenticate with the first.
 	Keys []string
-	// MaxMessage bounds one message, in bytes; zero means 64 MiB.
+	// MaxMessage is the maximum size of a message in bytes; zero means 64 MiB.
 	MaxMessage int64
-	// DialTimeout bounds connecting and proving; zero means 3 s.
+	// DialTimeout bounds dialling and the handshake; zero means 3 s.
 	DialTimeout time.Duration
-	// Backoff is the wait after a failed dial, doubled up to MaxBackoff; zero means 100 ms.
+	// Backoff is the delay after a failed dial, doubled up to MaxBackoff; zero means 100 ms.
 	Backoff time.Duration
-	// MaxBackoff is the longest wait after failed dials; zero means 2 s.
+	// MaxBackoff is the maximum delay after failed dials; zero means 2 s.
 	MaxBackoff time.Duration
-	// IdleTimeout retires a connection not used for so long; it stays well
-	// under the servers' own. Zero means 1 minute.
+	// IdleTimeout is how long a connection may be unused before the pool
+	// replaces it. It must be well below the idle timeout of the servers. Zero
+	// means 1 minute.
 	IdleTimeout time.Duration
-	// Dial replaces net.Dialer in tests and behind proxies.
+	// Dial opens the TCP connections; nil means net.Dialer. Tests and proxies replace it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool keeps one connection per peer.
+// Pool holds one connection per peer.
 type Pool struct {
 	config  PoolConfig
 	tls     *tls.Config
@@ -53,17 +54,17 @@
 	closed bool
 }
 
-// NewPool returns an empty pool; connections are made by the first call.
+// NewPool returns an empty pool. The first call to a peer opens its connection.
 func NewPool(config PoolConfig) (*Pool, error) {
 	if len(config.Keys) == 0 {
 		return nil, merry.New("peer pool: no key to prove")
 	}
-	fill(&config.Role, RolePeer)
-	fill(&config.MaxMessage, defaultMaxMessage)
-	fill(&config.DialTimeout, defaultDialTimeout)
-	fill(&config.Backoff, defaultBackoff)
-	fill(&config.MaxBackoff, defaultMaxBackoff)
-	fill(&config.IdleTimeout, defaultIdleTimeout/2)
+	setDefault(&config.Role, RolePeer)
+	setDefault(&config.MaxMessage, defaultMaxMessage)
+	setDefault(&config.DialTimeout, defaultDialTimeout)
+	setDefault(&config.Backoff, defaultBackoff)
+	setDefault(&config.MaxBackoff, defaultMaxBackoff)
+	setDefault(&config.IdleTimeout, defaultIdleTimeout/2)
 	if config.Dial == nil {
 		config.Dial = dialTCP
 	}
@@ -82,8 +83,8 @@
 // Traffic returns the pool's byte counters.
 func (p *Pool) Traffic() *Traffic { return &p.traffic }
 
-// SetKeys changes the key that new connections prove; standing ones are kept.
-// An empty list changes nothing.
+// SetKeys changes the key that new connections authenticate with; existing
+// connections stay open. An empty list has no effect.
 func (p *Pool) SetKeys(keys []string) {
 	if len(keys) == 0 {
 		return
@@ -93,17 +94,18 @@
 	p.key = keys[0]
 }
 
-// Call calls a method of a peer. It returns when the reply is there or the
-// context ends; then the arguments may still be read for a while, so they
-// must not be changed, and the reply is left untouched.
+// Call calls a method of a peer and returns when the reply arrives or the
+// context ends. If the context ends, the reply is not written, and the
+// arguments may still be read after Call returns, so the caller must not
+// change them.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	l, err := p.link(address)
 	if err != nil {
 		return err
 	}
 	for {
-		again, err := l.call(ctx, method, args, reply)
-		if !again {
+		retry, err := l.call(ctx, method, args, reply)
+		if !retry {
 			return err
 		}
 	}
@@ -126,7 +128,7 @@
 	return l, nil
 }
 
-// Close closes all connections; calls in flight end with ErrLost.
+// Close closes all connections; in-flight calls fail with ErrLost.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	links := p.links
@@ -138,13 +140,14 @@
 	}
 }
 
-func (p *Pool) proof() string {
+func (p *Pool) currentKey() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.key
 }
 
-// dial connects and proves within the pool's own time, whoever waits.
+// dial opens and authenticates a connection within DialTimeout, independently
+// of the deadlines of the waiting callers.
 func (p *Pool) dial(address string) (*rpc.Client, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.config.DialTimeout)
 	defer cancel()
@@ -153,15 +156,15 @@
 		return nil, translateDial(err)
 	}
 	_ = conn.SetDeadline(time.Now().Add(p.config.DialTimeout))
-	secure := tls.Client(&countedConn{
+	tlsConn := tls.Client(&countedConn{
 		Conn:    conn,
 		traffic: &p.traffic,
 	}, p.tls)
-	if err := greet(secure, p.config.Role, p.proof()); err != nil {
+	if err := clientHandshake(tlsConn, p.config.Role, p.currentKey()); err != nil {
 		_ = conn.Close()
 		return nil, translateDial(err)
 	}
 	_ = conn.SetDeadline(time.Time{})
-	limited := newLimitedConn(secure, p.config.MaxMessage, clientIdle, defaultStallTimeout)
+	limited := newLimitedConn(tlsConn, p.config.MaxMessage, clientIdleTimeout, defaultStallTimeout)
 	return rpc.NewClientWithCodec(newCodec(limited, 0)), nil
 }
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -15,8 +15,9 @@
 	"github.com/matryer/is"
 )
 
-// certificate returns a self-signed certificate, as any stranger can make one.
-func certificate(t *testing.T) tls.Certificate {
+// selfSignedCertificate returns a self-signed certificate, as any process
+// without a key can create.
+func selfSignedCertificate(t *testing.T) tls.Certificate {
 	t.Helper()
 	check := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -33,12 +34,12 @@
 	}
 }
 
-// relay stands between a client and the true server at target: it ends TLS on
-// both sides and passes the first messages on as they are.
-func relay(t *testing.T, target string) net.Listener {
+// startRelay starts a man in the middle between a client and the server at
+// target: it terminates TLS on both sides and forwards all bytes unchanged.
+func startRelay(t *testing.T, target string) net.Listener {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{
-		Certificates: []tls.Certificate{certificate(t)},
+		Certificates: []tls.Certificate{selfSignedCertificate(t)},
 		MinVersion:   tls.VersionTLS13,
 	})
 	is.New(t).NoErr(err)
@@ -49,17 +50,17 @@
 			return
 		}
 		defer conn.Close()
-		onward, err := tls.Dial("tcp", target, &tls.Config{
-			// The stranger does not care who answers.
+		serverConn, err := tls.Dial("tcp", target, &tls.Config{
+			// The relay does not verify the server.
 			InsecureSkipVerify: true,
 			MinVersion:         tls.VersionTLS13,
 		})
 		if err != nil {
 			return
 		}
-		defer onward.Close()
-		go func() { _, _ = io.Copy(onward, conn) }()
-		_, _ = io.Copy(conn, onward)
+		defer serverConn.Close()
+		go func() { _, _ = io.Copy(serverConn, conn) }()
+		_, _ = io.Copy(conn, serverConn)
 	}()
 	return listener
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,7 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Limits that hold where the configuration leaves a field zero.
+// Defaults of the fields of ServerConfig that are zero, and the stall timeout
+// of both ends.
 const (
 	defaultMaxMessage       = 64 << 20
 	defaultHandshakeTimeout = 5 * time.Second
@@ -27,39 +28,42 @@
 
 // ServerConfig configures a server.
 type ServerConfig struct {
-	// Listen is host:port; port 0 takes a free one.
+	// Listen is host:port; port 0 selects a free port.
 	Listen string
-	// PeerKeys and OperatorKeys are the shared keys believed for each role.
+	// PeerKeys and OperatorKeys are the shared keys accepted for each role.
 	PeerKeys     []string
 	OperatorKeys []string
-	// Logger hears of refused connections; nil means slog's default.
+	// Logger logs refused connections and accept errors; nil means slog's default.
 	Logger *slog.Logger
-	// Registerer takes the server's counters; nil registers none.
+	// Registerer registers the metrics of the server; nil registers none.
 	Registerer prometheus.Registerer
-	// MaxMessage bounds one message, in bytes; zero means 64 MiB.
+	// MaxMessage is the maximum size of a message in bytes; zero means 64 MiB.
 	MaxMessage int64
-	// HandshakeTimeout bounds TLS and proof; zero means 5 s.
+	// HandshakeTimeout bounds TLS and the authentication after it; zero means 5 s.
 	HandshakeTimeout time.Duration
-	// IdleTimeout closes a connection without input; zero means 2 minutes.
+	// IdleTimeout is how long a connection may stay without input before it is
+	// closed; zero means 2 minutes.
 	IdleTimeout time.Duration
-	// MaxConns bounds proven connections; zero means 1024.
+	// MaxConns limits authenticated connections; zero means 1024.
 	MaxConns int
-	// MaxHandshakes bounds connections that have proven nothing yet; zero means 64.
+	// MaxHandshakes limits connections that have not authenticated yet; zero means 64.
 	MaxHandshakes int
-	// MaxCalls bounds running calls of one connection; zero means 1024. Calls
-	// above it wait, heartbeats among them, so calls that wait long want a pool of their own.
+	// MaxCalls limits the running calls of one connection; zero means 1024.
+	// Calls above it wait, heartbeats included, so long-running calls should use
+	// a separate pool.
 	MaxCalls int
 }
 
-// Server answers calls of peers and operators on one listener.
+// Server serves calls of peers and operators on one listener.
 type Server struct {
-	config   ServerConfig
-	listener net.Listener
-	tls      *tls.Config
-	methods  map[Role]*rpc.Server
-	traffic  Traffic
-	refusals *prometheus.CounterVec
-	// handshakes keeps strangers from taking the places of proven connections.
+	config     ServerConfig
+	listener   net.Listener
+	tls        *tls.Config
+	rpcServers map[Role]*rpc.Server
+	traffic    Traffic
+	refusals   *prometheus.CounterVec
+	// handshakes limits unauthenticated connections separately, so that they
+	// don't count against MaxConns.
 	handshakes chan struct{}
 
 	mu      sync.Mutex
@@ -69,10 +73,10 @@
 	running sync.WaitGroup
 }
 
-// NewServer listens at once; Serve starts to answer.
+// NewServer opens the listener; Serve accepts connections on it.
 func NewServer(config ServerConfig) (*Server, error) {
-	fillServer(&config)
-	security, err := newServerTLS()
+	setServerDefaults(&config)
+	tlsConfig, err := newServerTLS()
 	if err != nil {
 		return nil, merry.Prepend(err, "peer server")
 	}
@@ -83,8 +87,8 @@
 	s := &Server{
 		config:   config,
 		listener: listener,
-		tls:      security,
-		methods: map[Role]*rpc.Server{
+		tls:      tlsConfig,
+		rpcServers: map[Role]*rpc.Server{
 			RolePeer:     rpc.NewServer(),
 			RoleOperator: rpc.NewServer(),
 		},
@@ -99,32 +103,32 @@
 	return s, nil
 }
 
-func fillServer(config *ServerConfig) {
+func setServerDefaults(config *ServerConfig) {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
 	}
-	fill(&config.MaxMessage, defaultMaxMessage)
-	fill(&config.HandshakeTimeout, defaultHandshakeTimeout)
-	fill(&config.IdleTimeout, defaultIdleTimeout)
-	fill(&config.MaxConns, defaultMaxConns)
-	fill(&config.MaxHandshakes, defaultMaxHandshakes)
-	fill(&config.MaxCalls, defaultMaxCalls)
+	setDefault(&config.MaxMessage, defaultMaxMessage)
+	setDefault(&config.HandshakeTimeout, defaultHandshakeTimeout)
+	setDefault(&config.IdleTimeout, defaultIdleTimeout)
+	setDefault(&config.MaxConns, defaultMaxConns)
+	setDefault(&config.MaxHandshakes, defaultMaxHandshakes)
+	setDefault(&config.MaxCalls, defaultMaxCalls)
 }
 
-func fill[T comparable](target *T, value T) {
+func setDefault[T comparable](target *T, value T) {
 	var zero T
 	if *target == zero {
 		*target = value
 	}
 }
 
-// Address returns host:port of the listener.
+// Address returns the host:port of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Traffic returns the server's byte counters.
 func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// SetKeys replaces the believed keys; connections that stand are kept.
+// SetKeys replaces the accepted keys; existing connections stay open.
 func (s *Server) SetKeys(peerKeys, operatorKeys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,14 +144,14 @@
 	return s.keys[role]
 }
 
-// RegisterPeer offers a receiver's methods, in net/rpc's form, to peers only.
+// RegisterPeer registers the net/rpc methods of a receiver for peers only.
 func (s *Server) RegisterPeer(name string, receiver any) error {
-	return s.methods[RolePeer].RegisterName(name, receiver)
+	return s.rpcServers[RolePeer].RegisterName(name, receiver)
 }
 
-// RegisterOperator offers a receiver's methods, in net/rpc's form, to operators only.
+// RegisterOperator registers the net/rpc methods of a receiver for operators only.
 func (s *Server) RegisterOperator(name string, receiver any) error {
-	return s.methods[RoleOperator].RegisterName(name, receiver)
+	return s.rpcServers[RoleOperator].RegisterName(name, receiver)
 }
 
 // Serve accepts connections until Close, then returns nil.
@@ -161,7 +165,8 @@
 			return nil
 		}
 		if err != nil {
-			// An accept fails for want of descriptors; a short wait lets some go.
+			// Accept fails if the process runs out of file descriptors; others may
+			// be closed during a short wait.
 			s.config.Logger.Warn("peer_accept_failed", "error", err)
 			time.Sleep(50 * time.Millisecond)
 			continue
@@ -176,7 +181,8 @@
 	return s.closing
 }
 
-// admit starts a handshake if there is a place for one.
+// admit starts the handshake of a connection, or refuses the connection if
+// MaxHandshakes are in progress.
 func (s *Server) admit(conn net.Conn) {
 	select {
 	case s.handshakes <- struct{}{}:
@@ -194,27 +200,27 @@
 
 func (s *Server) handle(conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(s.config.HandshakeTimeout))
-	secure := tls.Server(&countedConn{
+	tlsConn := tls.Server(&countedConn{
 		Conn:    conn,
 		traffic: &s.traffic,
 	}, s.tls)
-	role, err := welcome(secure, s.keysOf)
+	role, err := serverHandshake(tlsConn, s.keysOf)
 	<-s.handshakes
 	if err != nil {
 		s.refuse(conn, "handshake", err)
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	limited := newLimitedConn(secure, s.config.MaxMessage, s.config.IdleTimeout, defaultStallTimeout)
-	if !s.enter(limited) {
+	limited := newLimitedConn(tlsConn, s.config.MaxMessage, s.config.IdleTimeout, defaultStallTimeout)
+	if !s.track(limited) {
 		s.refuse(conn, "too_many_connections", nil)
 		return
 	}
-	defer s.leave(limited)
-	s.methods[role].ServeCodec(newCodec(limited, s.config.MaxCalls))
+	defer s.untrack(limited)
+	s.rpcServers[role].ServeCodec(newCodec(limited, s.config.MaxCalls))
 }
 
-func (s *Server) enter(conn *limitedConn) bool {
+func (s *Server) track(conn *limitedConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || len(s.conns) >= s.config.MaxConns {
@@ -225,15 +231,15 @@
 	return true
 }
 
-func (s *Server) leave(conn *limitedConn) {
+func (s *Server) untrack(conn *limitedConn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
 	s.running.Done()
 }
 
-// Close stops accepting and reading, lets running calls finish and answer,
-// and cuts what is left when the context ends.
+// Close stops accepting and reading and waits until running calls are
+// answered. When the context ends, it closes the remaining connections.
 func (s *Server) Close(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
