--- a/tablebudget/bench_test.go
+++ b/tablebudget/bench_test.go
@@ -10,8 +10,8 @@
 	"zinniamast/tablebudget"
 )
 
-// BenchmarkWrite measures what the path itself costs per write, over a table
-// that answers at once.
+// BenchmarkWrite measures the overhead of the Path per write, with a table that
+// answers immediately.
 func BenchmarkWrite(b *testing.B) {
 	path := tablebudget.New(tablebudget.Config{
 		Table:         platform.New(platform.Config{}).Table,
--- a/tablebudget/breaker.go
+++ b/tablebudget/breaker.go
@@ -12,7 +12,7 @@
 	"zinniamast"
 )
 
-// The breaker's states and events.
+// States and events of the breaker.
 const (
 	stateClosed = "closed"
 	stateOpen   = "open"
@@ -21,24 +21,25 @@
 	eventRecover = "recover"
 )
 
-// The breaker's pace.
+// Threshold and probe intervals of the breaker.
 const (
-	// failuresToTrip calls in a row without any answer open the breaker.
-	failuresToTrip = 3
-	probeFirst     = 250 * time.Millisecond
-	probeLast      = 5 * time.Second
+	// failuresToTrip is the number of consecutive requests without an answer
+	// that opens the breaker.
+	failuresToTrip       = 3
+	initialProbeInterval = 250 * time.Millisecond
+	maxProbeInterval     = 5 * time.Second
 )
 
-// probeKey is read to see whether the table answers; no item stands there.
+// probeKey is the key that probes read; no item is stored under it.
 var probeKey = zinniamast.Key{
 	Partition: "probe",
 	Sort:      "probe",
 }
 
-// breaker keeps callers from waiting on a table that does not answer. While
-// it is open one reader per node probes, at jittered and growing intervals,
-// so that 370 nodes together make at most some 100 calls a second and do not
-// return in the same moment.
+// breaker is a circuit breaker that keeps callers from waiting for a table that
+// does not answer. While it is open, one goroutine per node probes the table at
+// jittered and increasing intervals, so that 370 nodes together send at most
+// about 100 requests per second and do not all resume at the same moment.
 type breaker struct {
 	path *Path
 
@@ -65,15 +66,15 @@
 	}
 }
 
-func (b *breaker) closed() bool { return b.machine.Is(stateClosed) }
+func (b *breaker) isClosed() bool { return b.machine.Is(stateClosed) }
 
-func (b *breaker) succeed() {
+func (b *breaker) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failures = 0
 }
 
-func (b *breaker) fail() {
+func (b *breaker) recordFailure() {
 	b.mu.Lock()
 	b.failures++
 	trip := b.failures >= failuresToTrip && b.machine.Event(context.Background(), eventTrip) == nil
@@ -86,9 +87,9 @@
 	b.path.spawn(b.probe)
 }
 
-// probe tries the table until it answers.
+// probe reads from the table until it answers, and then closes the breaker.
 func (b *breaker) probe() {
-	wait := probeFirst
+	wait := initialProbeInterval
 	for {
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
@@ -97,15 +98,15 @@
 			timer.Stop()
 			return
 		}
-		if b.answers() {
-			b.recover()
+		if b.isTableAnswering() {
+			b.reset()
 			return
 		}
-		wait = min(2*wait, probeLast)
+		wait = min(2*wait, maxProbeInterval)
 	}
 }
 
-func (b *breaker) answers() bool {
+func (b *breaker) isTableAnswering() bool {
 	ctx, cancel := context.WithTimeout(b.path.stop, b.path.config.CallTimeout)
 	defer cancel()
 	b.path.metrics.reads.WithLabelValues("probe").Inc()
@@ -113,9 +114,9 @@
 	return err == nil || errors.Is(err, zinniamast.ErrNotFound)
 }
 
-func (b *breaker) recover() {
-	drain(b.path.reads)
-	drain(b.path.writes)
+func (b *breaker) reset() {
+	drainBucket(b.path.reads)
+	drainBucket(b.path.writes)
 	b.mu.Lock()
 	b.failures = 0
 	_ = b.machine.Event(context.Background(), eventRecover)
--- a/tablebudget/commit.go
+++ b/tablebudget/commit.go
@@ -11,23 +11,23 @@
 	"zinniamast"
 )
 
-// commit sends one batch and settles each of its calls. A throttled batch is
-// sent again on the budget already spent for it: waiting for the node's next
-// share would let callers run out of time while the table has room again.
-func (p *Path) commit(batch []*call) {
-	for try := 0; len(batch) > 0; try++ {
-		err := p.attempt(batch)
+// commit sends one batch and answers or retries each of its calls. A throttled
+// batch is retried without waiting for the rate limit again: with that wait,
+// callers would reach their deadlines although the table has capacity again.
+func (p *Path) commit(batch []*writeCall) {
+	for retries := 0; len(batch) > 0; retries++ {
+		err := p.sendBatch(batch)
 		if !errors.Is(err, zinniamast.ErrThrottled) {
-			p.settle(batch, err)
+			p.finishBatch(batch, err)
 			return
 		}
-		drain(p.writes)
-		batch = p.waitThrottled(batch, try)
+		drainBucket(p.writes)
+		batch = p.waitAfterThrottle(batch, retries)
 	}
 }
 
-// attempt sends the batch once.
-func (p *Path) attempt(batch []*call) error {
+// sendBatch sends the batch in one request.
+func (p *Path) sendBatch(batch []*writeCall) error {
 	var writes []zinniamast.Write
 	for _, c := range batch {
 		writes = append(writes, c.writes...)
@@ -39,8 +39,8 @@
 	})
 }
 
-// settle gives each call its answer or another try.
-func (p *Path) settle(batch []*call, err error) {
+// finishBatch answers or retries each call of the batch.
+func (p *Path) finishBatch(batch []*writeCall, err error) {
 	var conflict *zinniamast.ConflictError
 	switch {
 	case err == nil:
@@ -48,79 +48,80 @@
 			c.done <- nil
 		}
 	case errors.As(err, &conflict):
-		p.settleConflict(batch, conflict)
+		p.finishConflict(batch, conflict)
 	case errors.Is(err, zinniamast.ErrUnavailable):
 		p.requeue(batch)
 	default:
-		p.settleOpen(batch)
+		p.retryUnknown(batch)
 	}
 }
 
-// waitThrottled waits and returns the calls that are still worth sending.
-func (p *Path) waitThrottled(batch []*call, try int) []*call {
+// waitAfterThrottle waits for the backoff and returns the calls that are still
+// worth sending.
+func (p *Path) waitAfterThrottle(batch []*writeCall, retries int) []*writeCall {
 	p.metrics.retries.WithLabelValues(retryThrottled).Add(float64(len(batch)))
-	p.mark(batch, false)
-	timer := time.NewTimer(backoff(try))
+	p.updateSent(batch, false)
+	timer := time.NewTimer(backoff(retries))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-p.stop.Done():
 	}
-	if p.stop.Err() != nil || !p.breaker.closed() {
+	if p.stop.Err() != nil || !p.breaker.isClosed() {
 		for _, c := range batch {
-			c.done <- c.unfinished()
+			c.done <- c.abortError()
 		}
 		return nil
 	}
-	return p.mark(batch, true)
+	return p.updateSent(batch, true)
 }
 
-// mark notes whether the table may be seeing the calls; of those to be sent it
-// returns the ones that can still be answered in time.
-func (p *Path) mark(batch []*call, sending bool) []*call {
+// updateSent updates whether the table may have received the calls. If they are
+// about to be sent, it returns those that can still be answered in time.
+func (p *Path) updateSent(batch []*writeCall, sending bool) []*writeCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var worth []*call
+	var sendable []*writeCall
 	for _, c := range batch {
-		c.sent = c.open
-		if sending && p.worthSending(c) {
+		c.sent = c.outcomeUnknown
+		if sending && p.isWorthSending(c) {
 			c.sent = true
-			worth = append(worth, c)
+			sendable = append(sendable, c)
 		}
 	}
-	return worth
+	return sendable
 }
 
-// settleConflict answers the calls that conflict and sends the others again;
-// a transaction with a conflict wrote nothing of either.
-func (p *Path) settleConflict(batch []*call, conflict *zinniamast.ConflictError) {
-	var rest, doubtful []*call
-	conflicts := map[*call]*zinniamast.ConflictError{}
+// finishConflict answers the calls that conflict and requeues the others; a
+// transaction with a conflict writes nothing.
+func (p *Path) finishConflict(batch []*writeCall, conflict *zinniamast.ConflictError) {
+	var unaffected, unknown []*writeCall
+	conflicts := map[*writeCall]*zinniamast.ConflictError{}
 	first := 0
 	for _, c := range batch {
-		failed := within(conflict.Failed, first, len(c.writes))
+		failed := indexesWithin(conflict.Failed, first, len(c.writes))
 		first += len(c.writes)
 		switch {
 		case len(failed) == 0:
-			rest = append(rest, c)
-		case c.open:
+			unaffected = append(unaffected, c)
+		case c.outcomeUnknown:
 			conflicts[c] = &zinniamast.ConflictError{
 				Failed: failed,
 			}
-			doubtful = append(doubtful, c)
+			unknown = append(unknown, c)
 		default:
 			c.done <- &zinniamast.ConflictError{
 				Failed: failed,
 			}
 		}
 	}
-	if len(rest) > 0 {
-		p.metrics.retries.WithLabelValues(retryNeighbour).Add(float64(len(rest)))
-		p.requeue(rest)
+	if len(unaffected) > 0 {
+		p.metrics.retries.WithLabelValues(retryNeighbour).Add(float64(len(unaffected)))
+		p.requeue(unaffected)
 	}
 	var group errgroup.Group
-	group.SetLimit(resolvers)
-	for _, c := range doubtful {
+	group.SetLimit(maxConcurrentResolves)
+	for _, c := range unknown {
 		group.Go(func() error {
 			c.done <- p.resolve(c, conflicts[c])
 			return nil
@@ -129,36 +130,37 @@
 	_ = group.Wait()
 }
 
-// resolvers bounds the concurrent reads after a lost answer.
-const resolvers = 8
+// maxConcurrentResolves limits the calls of a batch that resolve a lost answer
+// at the same time.
+const maxConcurrentResolves = 8
 
-// within returns the indexes from first on, at most count, counted from first.
-func within(indexes []int, first, count int) []int {
-	var inside []int
+// indexesWithin returns the indexes in [first, first+count), relative to first.
+func indexesWithin(indexes []int, first, count int) []int {
+	var relative []int
 	for _, i := range indexes {
 		if i >= first && i < first+count {
-			inside = append(inside, i-first)
+			relative = append(relative, i-first)
 		}
 	}
-	return inside
+	return relative
 }
 
-// settleOpen sends the calls again, for the answer was lost. Reading alone
-// would not do: the first sending may still be on its way and take effect
-// after the read. The same conditional write again either takes effect, and
-// then the first never can, or it conflicts, and then a read tells with whom.
-func (p *Path) settleOpen(batch []*call) {
+// retryUnknown retries calls whose answer was lost. A read alone is not enough:
+// the first request may still be in flight and take effect after the read. The
+// same conditional write, sent again, either takes effect, after which the
+// first no longer can, or conflicts, and then a read shows with which write.
+func (p *Path) retryUnknown(batch []*writeCall) {
 	for _, c := range batch {
-		c.open = true
-		p.again(c, retryLost)
+		c.outcomeUnknown = true
+		p.retryLater(c, retryLost)
 	}
 }
 
-// resolve tells a conflict with our own earlier sending from one with
-// somebody else, by the token that the item carries.
-func (p *Path) resolve(c *call, conflict *zinniamast.ConflictError) error {
+// resolve distinguishes a conflict with an earlier request of the same call from
+// one with another write, by the token of the stored item.
+func (p *Path) resolve(c *writeCall, conflict *zinniamast.ConflictError) error {
 	p.metrics.resolved.Inc()
-	foreign := false
+	conflictsWithOther := false
 	for _, w := range c.writes {
 		item, err := p.Role(c.role).Get(p.stop, w.Item.Key)
 		switch {
@@ -167,18 +169,20 @@
 				return nil
 			}
 		case err != nil:
-			// Not wrapped: a throttled read must not make the write look refused.
+			// err is not wrapped: after a throttled read, errors.Is would report the
+			// write as refused.
 			return merry.Errorf("table: write open: read after a lost answer: %v", err)
 		case item.Token == w.Item.Token:
-			// One write of a transaction stands, so all of them were made.
+			// One write of the transaction took effect, so all of them did.
 			return nil
 		case item.Revision <= w.Expect+1 && !w.Delete:
-			foreign = true
+			conflictsWithOther = true
 		}
 	}
-	if foreign {
+	if conflictsWithOther {
 		return conflict
 	}
-	// The item has moved on since: ours may have stood in between.
+	// The item has been changed again, so this write may have taken effect in
+	// between.
 	return merry.New("table: write open: the item changed again since")
 }
--- a/tablebudget/http_test.go
+++ b/tablebudget/http_test.go
@@ -15,9 +15,9 @@
 	"zinniamast/tablebudget"
 )
 
-// Over real connections the table writes and drops the connection instead of
-// answering. The caller hears "done" once, and its next write conflicts
-// with nothing but itself.
+// Over real connections the table applies a write and drops the connection
+// instead of answering. The caller must get success for it, the write must be
+// applied once, and a later write may conflict only with the caller's own.
 func TestLostAnswersOverConnections(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/tablebudget/metrics.go
+++ b/tablebudget/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Reasons of refusals and retries, as metric labels.
+// Reasons of refusals and retries, used as metric labels.
 const (
 	refusedUnavailable = "unavailable"
 	refusedBudget      = "budget"
@@ -69,4 +69,4 @@
 	return m
 }
 
-func (m *metrics) refuse(reason string) { m.refusals.WithLabelValues(reason).Inc() }
+func (m *metrics) countRefusal(reason string) { m.refusals.WithLabelValues(reason).Inc() }
--- a/tablebudget/path.go
+++ b/tablebudget/path.go
@@ -1,6 +1,7 @@
-// Package tablebudget is the one path of a node to the platform's table. It
-// keeps the node within its share of the table's rate, commits concurrent
-// writes together, resolves lost answers and fails fast while the table is out.
+// Package tablebudget implements the client through which a node makes all
+// requests to the platform's table. It keeps the node within its share of the
+// table's rate, batches concurrent writes, resolves writes whose answer was
+// lost and fails fast while the table is unavailable.
 package tablebudget
 
 import (
@@ -17,7 +18,7 @@
 	"zinniamast"
 )
 
-// Defaults where the configuration names none.
+// Defaults of the fields of Config that are zero, and fixed limits.
 const (
 	defaultWrites      = 1
 	defaultReads       = 5
@@ -26,65 +27,68 @@
 	defaultMaxQueue    = 4096
 	defaultCallTimeout = 2 * time.Second
 	defaultDeadline    = 5 * time.Second
-	// minBurst calls may always be saved up, so that a node that seldom writes
-	// does not wait; burstTime bounds the savings of a node with a large share.
-	minBurst  = 10
-	burstTime = 100 * time.Millisecond
-	// maxBatchBytes keeps a transaction below the protocol's 4 MiB.
+	// minBurst is the smallest burst of the token buckets, in requests, so that
+	// a node that seldom writes does not wait. A node with a large share may
+	// burst up to the requests of burstWindow.
+	minBurst    = 10
+	burstWindow = 100 * time.Millisecond
+	// maxBatchBytes keeps a transaction below the 4 MiB that the protocol allows.
 	maxBatchBytes = 2 << 20
 )
 
-// Config says what the path may use.
+// Config configures a Path.
 type Config struct {
 	// Table is the platform's table.
 	Table zinniamast.Table
 	// WritesASecond and ReadsASecond are this node's share of the fleet's
-	// rate, in calls; zero means 1 and 5.
+	// rate, in requests per second; zero means 1 and 5.
 	WritesASecond float64
 	ReadsASecond  float64
-	// MaxBatch bounds the items of one transaction; zero means 100, 1 turns batching off.
+	// MaxBatch is the maximum number of items in a transaction; zero means 100
+	// and 1 disables batching.
 	MaxBatch int
-	// Inflight bounds concurrent write calls; zero means 4.
+	// Inflight is the maximum number of concurrent write requests; zero means 4.
 	Inflight int
-	// MaxQueue bounds the writes that wait; zero means 4096.
+	// MaxQueue is the maximum number of queued Write calls; zero means 4096.
 	MaxQueue int
-	// CallTimeout bounds one call to the table; zero means two seconds.
+	// CallTimeout bounds one request to the table; zero means two seconds.
 	CallTimeout time.Duration
-	// Deadline bounds a caller that brings none; zero means five seconds.
+	// Deadline bounds a call whose context has no deadline; zero means five seconds.
 	Deadline time.Duration
-	// Registerer takes the metrics; nil keeps them private.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// Path is the budgeted path. It implements zinniamast.Table.
+// Path is the rate-limited client of the table. It implements zinniamast.Table.
 type Path struct {
 	config  Config
 	reads   *rate.Limiter
 	writes  *rate.Limiter
 	breaker *breaker
 	metrics *metrics
-	// prefix and sequence make tokens that no other process makes.
+	// prefix and sequence form tokens that are unique across processes.
 	prefix   string
 	sequence atomic.Uint64
 
-	// usualNanos is what a call to the table takes, smoothed.
-	usualNanos atomic.Int64
+	// latencyNanos is the smoothed latency of requests to the table.
+	latencyNanos atomic.Int64
 
 	stop    context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	// slots bounds the write calls in flight.
+	// slots limits the in-flight write requests.
 	slots chan struct{}
 
-	// mu guards the queue and the calls in it; nothing is locked below it.
+	// mu guards the queue and the calls in it. No other mutex of the package
+	// is taken while it is held.
 	mu    sync.Mutex
 	ready *sync.Cond
-	queue []*call
+	queue []*writeCall
 }
 
-// New returns a path that runs until Close.
+// New returns a Path that runs until Close.
 func New(c Config) *Path {
-	c = c.filled()
+	c = c.withDefaults()
 	stop, cancel := context.WithCancel(context.Background())
 	p := &Path{
 		config:  c,
@@ -102,7 +106,7 @@
 	return p
 }
 
-func (c Config) filled() Config {
+func (c Config) withDefaults() Config {
 	if c.WritesASecond == 0 {
 		c.WritesASecond = defaultWrites
 	}
@@ -127,11 +131,12 @@
 	return c
 }
 
-func newLimiter(aSecond float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(aSecond), max(minBurst, int(aSecond*burstTime.Seconds())))
+func newLimiter(perSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond*burstWindow.Seconds())))
 }
 
-// Close fails what waits and returns when nothing of the path runs any more.
+// Close fails the queued calls and returns when all goroutines of the Path
+// have ended.
 func (p *Path) Close() {
 	p.mu.Lock()
 	p.cancel()
@@ -141,7 +146,8 @@
 	p.failQueued()
 }
 
-// spawn runs f unless the path is closed; Close waits for it.
+// spawn runs f in a goroutine that Close waits for. It returns false and does
+// not run f if the Path is closed.
 func (p *Path) spawn(f func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,25 +158,26 @@
 	return true
 }
 
-// Available says whether the table answered lately.
-func (p *Path) Available() bool { return p.breaker.closed() }
+// Available reports whether the table counts as available, which is while the
+// circuit breaker is closed.
+func (p *Path) Available() bool { return p.breaker.isClosed() }
 
-// token returns a name for one write that no other write bears.
-func (p *Path) token() string {
+// newToken returns a unique token for a write.
+func (p *Path) newToken() string {
 	return p.prefix + strconv.FormatUint(p.sequence.Add(1), 36)
 }
 
-// bounded gives a caller without a deadline the path's own.
-func (p *Path) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline adds the configured deadline to a context that has none.
+func (p *Path) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
 	return context.WithTimeout(ctx, p.config.Deadline)
 }
 
-// drain empties the saved-up budget. After an outage every node has a full
-// bucket and a queue; spent at once they would throw the table down again.
-func drain(l *rate.Limiter) {
+// drainBucket empties a token bucket. After an outage every node has a full
+// bucket and queued writes; sent all at once they would overload the table again.
+func drainBucket(l *rate.Limiter) {
 	now := time.Now()
 	l.AllowN(now, int(l.TokensAt(now)))
 }
--- a/tablebudget/path_test.go
+++ b/tablebudget/path_test.go
@@ -19,26 +19,27 @@
 	"zinniamast/tablebudget"
 )
 
-// history remembers which writes truly took effect, and delays some of them
-// past the caller's patience.
-type history struct {
+// recordingTable records which writes took effect in the table, and applies some
+// of them only after their request has failed.
+type recordingTable struct {
 	zinniamast.Table
-	// lateness is the chance that a write takes effect after its answer failed.
-	lateness float64
-	random   *rand.Rand
+	// lateProbability is the probability that a write takes effect only after
+	// its request has failed.
+	lateProbability float64
+	random          *rand.Rand
 
-	mu      sync.Mutex
-	applied map[string]bool
-	late    sync.WaitGroup
+	mu         sync.Mutex
+	applied    map[string]bool
+	lateWrites sync.WaitGroup
 }
 
-func (h *history) Write(ctx context.Context, writes []zinniamast.Write) error {
+func (h *recordingTable) Write(ctx context.Context, writes []zinniamast.Write) error {
 	h.mu.Lock()
-	late := h.random.Float64() < h.lateness
+	late := h.random.Float64() < h.lateProbability
 	wait := time.Duration(h.random.IntN(400)) * time.Millisecond
 	h.mu.Unlock()
 	if late {
-		h.late.Go(func() {
+		h.lateWrites.Go(func() {
 			time.Sleep(wait)
 			_ = h.apply(context.Background(), writes)
 		})
@@ -47,7 +48,7 @@
 	return h.apply(ctx, writes)
 }
 
-func (h *history) apply(ctx context.Context, writes []zinniamast.Write) error {
+func (h *recordingTable) apply(ctx context.Context, writes []zinniamast.Write) error {
 	err := h.Table.Write(ctx, writes)
 	if err == nil || errors.Is(err, platform.ErrLost) {
 		h.mu.Lock()
@@ -73,33 +74,34 @@
 	}
 }
 
-// Eight writers race for a few items while answers are lost, arrive after the
-// deadline, are throttled or the table goes away. A writer told "done" must
-// find its write in the table's true history, and one told "conflict" or "not
-// sent" must not: a claim believed lost would run a booking twice.
+// Eight writers write concurrently to a few items while answers are lost,
+// requests are late, throttled or slow, or the table is down. A write that
+// succeeded must have taken effect, and one that returned a conflict, throttled
+// or unavailable must not: a claim wrongly taken for lost would run a booking
+// twice.
 func TestAnswersMatchTheTableUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		lateness := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(rt, "lateness")
 		faults := rapid.SliceOfN(rapid.IntRange(0, 5), 5, 20).Draw(rt, "faults")
 		var failure string
-		synctest.Test(t, func(*testing.T) { failure = raceUnderFaults(seed, lateness, faults) })
+		synctest.Test(t, func(*testing.T) { failure = runWritersUnderFaults(seed, lateness, faults) })
 		if failure != "" {
 			rt.Fatal(failure)
 		}
 	})
 }
 
-func raceUnderFaults(seed uint64, lateness float64, faults []int) (failure string) {
+func runWritersUnderFaults(seed uint64, lateness float64, faults []int) (failure string) {
 	p := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
-	truth := &history{
-		Table:    p.Table,
-		lateness: lateness,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		applied:  map[string]bool{},
+	table := &recordingTable{
+		Table:           p.Table,
+		lateProbability: lateness,
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		applied:         map[string]bool{},
 	}
 	path := tablebudget.New(tablebudget.Config{
-		Table:         truth,
+		Table:         table,
 		WritesASecond: 200,
 		ReadsASecond:  500,
 		CallTimeout:   100 * time.Millisecond,
@@ -141,21 +143,21 @@
 	_ = p.SetFault(platform.ServiceTable, platform.Fault{})
 	writers.Wait()
 	path.Close()
-	truth.late.Wait()
+	table.lateWrites.Wait()
 	for token, err := range answers {
-		applied := truth.applied[token]
-		nothing := errors.Is(err, zinniamast.ErrConflict) || errors.Is(err, zinniamast.ErrThrottled) ||
+		applied := table.applied[token]
+		refused := errors.Is(err, zinniamast.ErrConflict) || errors.Is(err, zinniamast.ErrThrottled) ||
 			errors.Is(err, zinniamast.ErrUnavailable)
-		if err == nil && !applied || nothing && applied {
-			return fmt.Sprintf("write %s: told %v, applied %v", token, err, applied)
+		if err == nil && !applied || refused && applied {
+			return fmt.Sprintf("write %s: returned %v, applied %v", token, err, applied)
 		}
 	}
 	return ""
 }
 
-// Three calls to a dead table fail slowly; from then on callers get
-// "unavailable" at once and the table sees only probes. When it comes back,
-// 60 nodes with full queues must not throw it down again.
+// After three failed requests to a table that is down, callers get
+// ErrUnavailable immediately and the table receives only probes. When it
+// recovers, 60 nodes with full queues must not overload it again.
 func TestOutageFailsFastAndRecoversSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -202,15 +204,15 @@
 		is.Equal(p.Counts().TableWrites, before.TableWrites)
 
 		is.NoErr(p.SetFault(platform.ServiceTable, platform.Fault{}))
-		worst := uint64(0)
+		maxWrites := uint64(0)
 		for range 15 {
 			before = p.Counts()
 			time.Sleep(time.Second)
-			worst = max(worst, p.Counts().TableWrites-before.TableWrites)
+			maxWrites = max(maxWrites, p.Counts().TableWrites-before.TableWrites)
 		}
-		t.Logf("probes a second and node while out: %.2f; worst second after recovery: %d writes of %d nodes",
-			probes, worst, nodes)
-		is.True(worst <= nodes+nodes/10)
+		t.Logf("probes per second and node during the outage: %.2f; most writes in a second after recovery: %d of %d nodes",
+			probes, maxWrites, nodes)
+		is.True(maxWrites <= nodes+nodes/10)
 		for _, path := range paths {
 			is.True(path.Available())
 		}
@@ -222,9 +224,9 @@
 	})
 }
 
-// One of many concurrent writes conflicts. Only its caller sees the conflict;
-// its neighbours in the same transaction are sent again and stand.
-func TestOneConflictLeavesItsNeighbours(t *testing.T) {
+// One of many concurrent writes conflicts. Only its caller may get the conflict;
+// the other writes of the same transaction are retried and succeed.
+func TestConflictFailsOnlyItsOwnCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
@@ -257,17 +259,17 @@
 	})
 }
 
-// The table hangs and every reader has a deadline below the path's own. After
-// three of them the next hears "unavailable" at once instead of waiting too;
-// readers that give up within a moment prove nothing and open nothing.
-func TestHangingTableWithShortDeadlines(t *testing.T) {
+// The table hangs and every reader has a deadline below CallTimeout. After three
+// of them the next reader must get ErrUnavailable immediately instead of
+// waiting. Readers whose deadline is very short must not open the breaker.
+func TestHangingTableOpensBreakerDespiteShortDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := platform.New(platform.Config{})
 		path := tablebudget.New(tablebudget.Config{Table: p.Table})
 		defer path.Close()
-		read := func(patience time.Duration) error {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		read := func(timeout time.Duration) error {
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			_, err := path.Get(ctx, newWrite("a", "", 0).Item.Key)
 			return err
--- a/tablebudget/read.go
+++ b/tablebudget/read.go
@@ -18,31 +18,31 @@
 	return p.Role(RoleOther).Query(ctx, partition, after, limit)
 }
 
-// Write implements zinniamast.Table. The answer to a write that is open, that
-// is neither nil nor one of the root package's errors, may come as success
-// later on: see resolve.
+// Write implements zinniamast.Table. An error that is none of the root
+// package's errors means that the outcome is unknown: the write may have taken
+// effect or may still do so; see resolve.
 func (p *Path) Write(ctx context.Context, writes []zinniamast.Write) error {
 	return p.Role(RoleOther).Write(ctx, writes)
 }
 
-// Role returns a view of the path whose calls are counted under a name.
+// Role returns a view of the Path whose requests are counted under the name.
 func (p *Path) Role(name string) zinniamast.Table {
-	return &role{
+	return &roleView{
 		path: p,
 		name: name,
 	}
 }
 
-// RoleOther counts the calls of callers that named no role.
+// RoleOther is the role of requests made without a role.
 const RoleOther = "other"
 
-type role struct {
+type roleView struct {
 	path *Path
 	name string
 }
 
 // Get implements zinniamast.Table.
-func (r *role) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
+func (r *roleView) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
 	var item zinniamast.Item
 	err := r.path.read(ctx, r.name, func(ctx context.Context) (err error) {
 		item, err = r.path.config.Table.Get(ctx, key)
@@ -52,7 +52,7 @@
 }
 
 // Query implements zinniamast.Table.
-func (r *role) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
+func (r *roleView) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
 	var items []zinniamast.Item
 	err := r.path.read(ctx, r.name, func(ctx context.Context) (err error) {
 		items, err = r.path.config.Table.Query(ctx, partition, after, limit)
@@ -62,60 +62,61 @@
 }
 
 // Write implements zinniamast.Table.
-func (r *role) Write(ctx context.Context, writes []zinniamast.Write) error {
+func (r *roleView) Write(ctx context.Context, writes []zinniamast.Write) error {
 	return r.path.write(ctx, r.name, writes)
 }
 
-// read makes one budgeted read.
+// read makes one rate-limited read.
 func (p *Path) read(ctx context.Context, role string, f func(context.Context) error) error {
-	if !p.breaker.closed() {
-		p.metrics.refuse(refusedUnavailable)
+	if !p.breaker.isClosed() {
+		p.metrics.countRefusal(refusedUnavailable)
 		return zinniamast.ErrUnavailable
 	}
-	ctx, cancel := p.bounded(ctx)
+	ctx, cancel := p.withDeadline(ctx)
 	defer cancel()
 	if p.reads.Wait(ctx) != nil {
-		p.metrics.refuse(refusedBudget)
+		p.metrics.countRefusal(refusedBudget)
 		return zinniamast.ErrThrottled
 	}
 	p.metrics.reads.WithLabelValues(role).Inc()
 	return p.send(ctx, f)
 }
 
-// send makes one call with the path's deadline and tells the breaker how it went.
+// send makes one request within CallTimeout and records its result in the breaker.
 func (p *Path) send(ctx context.Context, f func(context.Context) error) error {
 	limited, cancel := context.WithTimeout(ctx, p.config.CallTimeout)
 	defer cancel()
 	began := time.Now()
 	err := f(limited)
-	took := time.Since(began)
-	p.learn(took)
+	elapsed := time.Since(began)
+	p.observeLatency(elapsed)
 	switch {
-	case !open(err):
-		p.breaker.succeed()
-	case ctx.Err() == nil || took >= patience:
-		p.breaker.fail()
+	case !isOutcomeUnknown(err):
+		p.breaker.recordSuccess()
+	case ctx.Err() == nil || elapsed >= minCountedWait:
+		p.breaker.recordFailure()
 	}
 	return err
 }
 
-// patience is how long a caller must have waited for its giving up to count
-// against the table. Without it a table that hangs would never open the
-// breaker for callers with deadlines shorter than the path's; with no bound
-// at all, callers that leave at once would open it on a healthy table.
-const patience = 200 * time.Millisecond
-
-// learn smooths what a call takes; a lost update between two calls is harmless.
-func (p *Path) learn(took time.Duration) {
-	usual := p.usualNanos.Load()
-	p.usualNanos.Store(usual + (int64(took)-usual)/8)
+// minCountedWait is the time after which a request counts as a failure although
+// its caller's context ended. If such requests never counted, a table that
+// hangs would not open the breaker for callers with deadlines below CallTimeout;
+// if all counted, callers that cancel early would open it on a healthy table.
+const minCountedWait = 200 * time.Millisecond
+
+// observeLatency updates the smoothed latency; an update lost between two
+// concurrent requests is harmless.
+func (p *Path) observeLatency(elapsed time.Duration) {
+	latency := p.latencyNanos.Load()
+	p.latencyNanos.Store(latency + (int64(elapsed)-latency)/8)
 }
 
-// usual is what a call to the table takes at present.
-func (p *Path) usual() time.Duration { return time.Duration(p.usualNanos.Load()) }
+// latency returns the smoothed latency of requests to the table.
+func (p *Path) latency() time.Duration { return time.Duration(p.latencyNanos.Load()) }
 
-// open says whether an error leaves it open what the table did.
-func open(err error) bool {
+// isOutcomeUnknown reports whether it is unknown after err if the request took effect.
+func isOutcomeUnknown(err error) bool {
 	return err != nil &&
 		!errors.Is(err, zinniamast.ErrConflict) &&
 		!errors.Is(err, zinniamast.ErrNotFound) &&
--- a/tablebudget/throughput_test.go
+++ b/tablebudget/throughput_test.go
@@ -17,24 +17,25 @@
 	"zinniamast/tablebudget"
 )
 
-// throughput is what one run measured, in virtual time.
+// throughput is the result of one run, in virtual time.
 type throughput struct {
 	done, refused int
 	calls         uint64
 	p50, p95, p99 time.Duration
 }
 
-// trial says how writes are offered to a table that takes 5 ms and 300 calls
-// a second.
+// trial describes the load on a table that answers in 5 ms and allows 300
+// requests per second.
 type trial struct {
-	nodes    int
-	share    float64
-	maxBatch int
-	// offered is the fleet's writes a second, spread over nodes and time by chance.
-	offered int
-	seconds int
-	// patience is how long a caller waits.
-	patience time.Duration
+	nodes           int
+	writesPerSecond float64
+	maxBatch        int
+	// offeredPerSecond is the number of writes per second of the whole fleet,
+	// spread randomly over nodes and time.
+	offeredPerSecond int
+	seconds          int
+	// timeout is the deadline of a write.
+	timeout time.Duration
 }
 
 // measure runs a trial in virtual time.
@@ -48,7 +49,7 @@
 		for range c.nodes {
 			paths = append(paths, tablebudget.New(tablebudget.Config{
 				Table:         p.Table,
-				WritesASecond: c.share,
+				WritesASecond: c.writesPerSecond,
 				MaxBatch:      c.maxBatch,
 			}))
 		}
@@ -56,13 +57,13 @@
 		var mu sync.Mutex
 		var waits []time.Duration
 		var writers sync.WaitGroup
-		for i := range c.offered * c.seconds {
+		for i := range c.offeredPerSecond * c.seconds {
 			path := paths[random.IntN(c.nodes)]
 			at := time.Duration(random.Int64N(int64(c.seconds) * int64(time.Second)))
 			writers.Go(func() {
 				time.Sleep(at)
 				began := time.Now()
-				ctx, cancel := context.WithTimeout(context.Background(), c.patience)
+				ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 				defer cancel()
 				err := path.Write(ctx, []zinniamast.Write{newWrite(fmt.Sprint(i), "", 0)})
 				mu.Lock()
@@ -88,18 +89,19 @@
 	return result
 }
 
-// Without batching the table's 300 calls a second are the ceiling and callers
-// beyond it wait and are refused; with it they share calls. Bounds keep this so.
-func TestBatchingLiftsTheCeiling(t *testing.T) {
+// Without batching the table's limit of 300 requests per second limits the
+// writes, and callers above it wait and are refused; with batching, writes share
+// requests, so none is refused and p95 stays low.
+func TestBatchingRaisesThroughput(t *testing.T) {
 	is := is.New(t)
 	for _, offered := range []int{100, 250, 1000, 2000} {
 		c := trial{
-			nodes:    1,
-			share:    290,
-			maxBatch: 1,
-			offered:  offered,
-			seconds:  4,
-			patience: 2 * time.Second,
+			nodes:            1,
+			writesPerSecond:  290,
+			maxBatch:         1,
+			offeredPerSecond: offered,
+			seconds:          4,
+			timeout:          2 * time.Second,
 		}
 		single := measure(t, c)
 		c.maxBatch = 100
@@ -113,18 +115,18 @@
 	}
 }
 
-// The whole fleet of 370 nodes writes through its shares: at two thirds of the
-// table's rate nobody waits, and when twice the rate is asked from one moment
-// to the next, callers wait a second or two and hardly one is refused.
-func TestFleetKeepsWithinTheTable(t *testing.T) {
+// A fleet of 370 nodes writes within its shares of the rate. At two thirds of
+// the table's rate no write waits; at twice the rate, without ramp-up, writes
+// wait a second or two and few are refused.
+func TestFleetStaysWithinTableRate(t *testing.T) {
 	is := is.New(t)
 	for _, offered := range []int{200, 300, 600} {
 		r := measure(t, trial{
-			nodes:    370,
-			share:    0.7,
-			offered:  offered,
-			seconds:  20,
-			patience: 5 * time.Second,
+			nodes:            370,
+			writesPerSecond:  0.7,
+			offeredPerSecond: offered,
+			seconds:          20,
+			timeout:          5 * time.Second,
 		})
 		t.Logf("offered %d/s by 370 nodes: %+v", offered, r)
 		is.True(r.refused <= offered*20/100)
--- a/tablebudget/write.go
+++ b/tablebudget/write.go
@@ -11,27 +11,28 @@
 	"zinniamast"
 )
 
-// call is one caller's writes on their way to the table.
-type call struct {
+// writeCall is one call of Write until it is answered.
+type writeCall struct {
 	role   string
 	writes []zinniamast.Write
 	bytes  int
-	// deadline is when the caller stops waiting.
+	// deadline is the deadline of the caller.
 	deadline time.Time
 	done     chan error
 
-	// The rest is guarded by Path.mu until the call is taken into a batch.
+	// Path.mu guards the following fields until the call is taken into a batch.
 
-	// sent means that the table may have seen the call.
+	// sent means that the table may have received the writes.
 	sent bool
-	// open means that an earlier answer was lost, so that the writes may stand.
-	open bool
-	// abandoned means that nobody waits any more.
+	// outcomeUnknown means that an earlier answer was lost, so that the writes
+	// may have taken effect.
+	outcomeUnknown bool
+	// abandoned means that the caller no longer waits.
 	abandoned bool
 	retries   int
 }
 
-// write queues the writes, waits for their fate and returns it.
+// write queues the writes and waits for their result.
 func (p *Path) write(ctx context.Context, role string, writes []zinniamast.Write) error {
 	if len(writes) == 0 {
 		return nil
@@ -39,16 +40,16 @@
 	if err := zinniamast.CheckWrites(writes); err != nil {
 		return err
 	}
-	if !p.breaker.closed() {
-		p.metrics.refuse(refusedUnavailable)
+	if !p.breaker.isClosed() {
+		p.metrics.countRefusal(refusedUnavailable)
 		return zinniamast.ErrUnavailable
 	}
-	ctx, cancel := p.bounded(ctx)
+	ctx, cancel := p.withDeadline(ctx)
 	defer cancel()
-	c := p.newCall(role, writes)
+	c := p.newWriteCall(role, writes)
 	c.deadline, _ = ctx.Deadline()
 	if !p.enqueue(c) {
-		p.metrics.refuse(refusedQueue)
+		p.metrics.countRefusal(refusedQueue)
 		return zinniamast.ErrThrottled
 	}
 	select {
@@ -59,23 +60,23 @@
 	}
 }
 
-func (p *Path) newCall(role string, writes []zinniamast.Write) *call {
-	c := &call{
+func (p *Path) newWriteCall(role string, writes []zinniamast.Write) *writeCall {
+	c := &writeCall{
 		role:   role,
 		writes: slices.Clone(writes),
 		done:   make(chan error, 1),
 	}
 	for i := range c.writes {
 		if c.writes[i].Item.Token == "" {
-			c.writes[i].Item.Token = p.token()
+			c.writes[i].Item.Token = p.newToken()
 		}
 		c.bytes += len(c.writes[i].Item.Value)
 	}
 	return c
 }
 
-// enqueue reports false where the queue is full or the path is closed.
-func (p *Path) enqueue(c *call) bool {
+// enqueue returns false if the queue is full or the Path is closed.
+func (p *Path) enqueue(c *writeCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.queue) >= p.config.MaxQueue || p.stop.Err() != nil {
@@ -86,9 +87,9 @@
 	return true
 }
 
-// abandon takes a call back for a caller whose time is up. Only a call that
-// never left may be called "not done"; any other is open.
-func (p *Path) abandon(c *call, cause error) error {
+// abandon withdraws a call whose context has ended. Only a call that was never
+// sent is reported as not done; the outcome of any other is unknown.
+func (p *Path) abandon(c *writeCall, cause error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -98,15 +99,15 @@
 	}
 	c.abandoned = true
 	if !c.sent {
-		p.metrics.refuse(refusedBudget)
+		p.metrics.countRefusal(refusedBudget)
 		return zinniamast.ErrThrottled
 	}
 	return merry.Prepend(cause, "table: write open")
 }
 
-// dispatch sends batches while there is a slot, budget and something to
-// send. What arrives while it waits for one of them goes out together; a lone
-// write on an idle path waits for nothing.
+// dispatch sends a batch whenever calls are queued, a slot is free and the rate
+// limit allows it. Calls that arrive while it waits for one of these are sent
+// together; a single write on an idle Path is sent immediately.
 func (p *Path) dispatch() {
 	for p.awaitQueue() {
 		select {
@@ -117,7 +118,7 @@
 		if p.writes.Wait(p.stop) != nil {
 			return
 		}
-		batch := p.take()
+		batch := p.takeBatch()
 		p.running.Go(func() {
 			defer func() { <-p.slots }()
 			p.commit(batch)
@@ -125,7 +126,7 @@
 	}
 }
 
-// awaitQueue blocks until something waits; it reports false when the path is closed.
+// awaitQueue waits until calls are queued; it returns false if the Path is closed.
 func (p *Path) awaitQueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,21 +136,21 @@
 	return p.stop.Err() == nil
 }
 
-// take removes the next batch from the queue: as many calls as fit, none
-// with a key twice, since a transaction may name an item only once.
-func (p *Path) take() []*call {
+// takeBatch removes the next batch from the queue: as many calls as fit, without
+// calls that share a key, since a transaction may contain an item only once.
+func (p *Path) takeBatch() []*writeCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var batch, rest []*call
+	var batch, remaining []*writeCall
 	keys := map[zinniamast.Key]bool{}
 	items, bytes := 0, 0
 	for _, c := range p.queue {
-		if !p.worthSending(c) {
+		if !p.isWorthSending(c) {
 			continue
 		}
 		fits := items+len(c.writes) <= p.config.MaxBatch && bytes+c.bytes <= maxBatchBytes
 		if len(batch) > 0 && (!fits || overlaps(keys, c.writes)) {
-			rest = append(rest, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		for _, w := range c.writes {
@@ -160,20 +161,20 @@
 		c.sent = true
 		batch = append(batch, c)
 	}
-	p.queue = rest
+	p.queue = remaining
 	return batch
 }
 
-// worthSending says whether a caller still waits and can be answered in time;
-// the caller of this function holds the lock. Sent too late, a write's answer
-// would come after its caller has gone: the budget would be spent and the
-// caller told "open".
-func (p *Path) worthSending(c *call) bool {
+// isWorthSending reports whether the caller of a call still waits and can be
+// answered in time, and refuses a call that cannot be. p.mu must be held. A write
+// sent too late would be answered after the caller's deadline: it would use the
+// rate limit and the caller would get an unknown outcome.
+func (p *Path) isWorthSending(c *writeCall) bool {
 	if c.abandoned {
 		return false
 	}
-	if !c.open && time.Until(c.deadline) < p.usual() {
-		p.metrics.refuse(refusedBudget)
+	if !c.outcomeUnknown && time.Until(c.deadline) < p.latency() {
+		p.metrics.countRefusal(refusedBudget)
 		c.done <- zinniamast.ErrThrottled
 		return false
 	}
@@ -184,25 +185,26 @@
 	return slices.ContainsFunc(writes, func(w zinniamast.Write) bool { return keys[w.Item.Key] })
 }
 
-// Backoff of a call that is sent again.
+// Bounds of the backoff of calls that are retried.
 const (
-	backoffFirst = 20 * time.Millisecond
-	backoffLast  = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// backoff returns the jittered wait before a further try; 0 is the first.
-func backoff(try int) time.Duration {
-	wait := min(backoffFirst<<min(try, 10), backoffLast)
+// backoff returns the jittered delay before a retry; retries is the number of
+// earlier retries.
+func backoff(retries int) time.Duration {
+	wait := min(initialBackoff<<min(retries, 10), maxBackoff)
 	return wait/2 + rand.N(wait)
 }
 
-// again queues a call once more after a jittered wait.
-func (p *Path) again(c *call, reason string) {
+// retryLater queues a call again after a jittered delay.
+func (p *Path) retryLater(c *writeCall, reason string) {
 	p.metrics.retries.WithLabelValues(reason).Inc()
 	wait := backoff(c.retries)
 	p.mu.Lock()
 	c.retries++
-	c.sent = c.open
+	c.sent = c.outcomeUnknown
 	p.mu.Unlock()
 	started := p.spawn(func() {
 		timer := time.NewTimer(wait)
@@ -211,45 +213,46 @@
 		case <-timer.C:
 		case <-p.stop.Done():
 		}
-		p.requeue([]*call{c})
+		p.requeue([]*writeCall{c})
 	})
 	if !started {
-		c.done <- c.unfinished()
+		c.done <- c.abortError()
 	}
 }
 
-// requeue puts calls back at the front.
-func (p *Path) requeue(calls []*call) {
+// requeue puts calls back at the front of the queue, or fails them if the Path
+// is closed or the breaker is open.
+func (p *Path) requeue(calls []*writeCall) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stop.Err() != nil || !p.breaker.closed() {
+	if p.stop.Err() != nil || !p.breaker.isClosed() {
 		for _, c := range calls {
-			c.done <- c.unfinished()
+			c.done <- c.abortError()
 		}
 		return
 	}
 	for _, c := range calls {
-		c.sent = c.open
+		c.sent = c.outcomeUnknown
 	}
 	p.queue = append(slices.Clone(calls), p.queue...)
 	p.ready.Signal()
 }
 
-// unfinished is the answer to a call that the path gives up on.
-func (c *call) unfinished() error {
-	if c.open {
+// abortError returns the error of a call that is given up.
+func (c *writeCall) abortError() error {
+	if c.outcomeUnknown {
 		return merry.New("table: write open: the answer was lost and the table is out")
 	}
 	return zinniamast.ErrUnavailable
 }
 
-// failQueued answers all that waits, at once: holding it back until its
-// deadline would help nobody while the table is out.
+// failQueued fails all queued calls. Keeping them until their deadlines while
+// the table is unavailable would only delay their errors.
 func (p *Path) failQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.queue {
-		c.done <- c.unfinished()
+		c.done <- c.abortError()
 	}
 	p.queue = nil
 }
