--- a/dynamodb/bench_test.go
+++ b/dynamodb/bench_test.go
@@ -9,8 +9,8 @@
 	"zinniamast/standin/platform"
 )
 
-// BenchmarkWrite measures the client's own cost against the stand-in in the
-// same process; the stand-in's share is in the figures.
+// BenchmarkWrite measures writes of the client to the stand-in table. The stand-in
+// runs in the same process, so the results include its cost.
 func BenchmarkWrite(b *testing.B) {
 	for _, size := range []int{1, 25, 100} {
 		b.Run(fmt.Sprintf("items=%d", size), func(b *testing.B) {
--- a/dynamodb/encode.go
+++ b/dynamodb/encode.go
@@ -10,7 +10,7 @@
 	"zinniamast"
 )
 
-// The attributes of an item; none is a reserved word of the protocol.
+// Attribute names of an item; none is a reserved word of DynamoDB.
 const (
 	attributePartition = "pk"
 	attributeSort      = "sk"
@@ -36,36 +36,37 @@
 	attributes[attributeValue] = &types.AttributeValueMemberB{
 		Value: w.Item.Value,
 	}
-	attributes[attributeRevision] = number(w.Expect + 1)
+	attributes[attributeRevision] = numberAttribute(w.Expect + 1)
 	attributes[attributeToken] = &types.AttributeValueMemberS{
 		Value: w.Item.Token,
 	}
 	if !w.Item.Expires.IsZero() {
-		// Whole seconds, rounded up: the platform must not drop an item early.
+		// The expiry has whole seconds. It is rounded up, so that the platform does
+		// not delete an item early.
 		seconds := w.Item.Expires.Add(time.Second - 1).Unix()
-		attributes[attributeExpires] = number(uint64(max(1, seconds)))
+		attributes[attributeExpires] = numberAttribute(uint64(max(1, seconds)))
 	}
 	return attributes
 }
 
 func decode(attributes map[string]types.AttributeValue) (zinniamast.Item, error) {
-	revision, err := parse(attributes, attributeRevision)
+	revision, err := parseNumber(attributes, attributeRevision)
 	if err != nil {
 		return zinniamast.Item{}, err
 	}
 	item := zinniamast.Item{
 		Key: zinniamast.Key{
-			Partition: text(attributes, attributePartition),
-			Sort:      text(attributes, attributeSort),
+			Partition: stringAttribute(attributes, attributePartition),
+			Sort:      stringAttribute(attributes, attributeSort),
 		},
 		Revision: revision,
-		Token:    text(attributes, attributeToken),
+		Token:    stringAttribute(attributes, attributeToken),
 	}
 	if value, ok := attributes[attributeValue].(*types.AttributeValueMemberB); ok {
 		item.Value = value.Value
 	}
 	if _, ok := attributes[attributeExpires]; ok {
-		seconds, err := parse(attributes, attributeExpires)
+		seconds, err := parseNumber(attributes, attributeExpires)
 		if err != nil {
 			return zinniamast.Item{}, err
 		}
@@ -74,14 +75,14 @@
 	return item, nil
 }
 
-func text(attributes map[string]types.AttributeValue, name string) string {
+func stringAttribute(attributes map[string]types.AttributeValue, name string) string {
 	if value, ok := attributes[name].(*types.AttributeValueMemberS); ok {
 		return value.Value
 	}
 	return ""
 }
 
-func parse(attributes map[string]types.AttributeValue, name string) (uint64, error) {
+func parseNumber(attributes map[string]types.AttributeValue, name string) (uint64, error) {
 	value, ok := attributes[name].(*types.AttributeValueMemberN)
 	if !ok {
 		return 0, merry.Errorf("table: item without attribute %s", name)
--- a/dynamodb/error.go
+++ b/dynamodb/error.go
@@ -10,11 +10,12 @@
 	"zinniamast"
 )
 
-// conditionFailed is the reason code of a write whose condition did not hold.
+// conditionFailed is the cancellation reason code of a write whose condition failed.
 const conditionFailed = "ConditionalCheckFailed"
 
-// throttles are the error codes that say "nothing was done, come back later".
-var throttles = map[string]bool{
+// throttlingCodes are the error codes which mean that nothing was done and that the
+// call may be retried later.
+var throttlingCodes = map[string]bool{
 	"ProvisionedThroughputExceededException": true,
 	"RequestLimitExceeded":                   true,
 	"ThrottlingException":                    true,
@@ -22,8 +23,8 @@
 	"TransactionConflictException":           true,
 }
 
-// translate turns the library's errors into the root package's. What it does
-// not know leaves the effect of a write open.
+// translate converts errors of the SDK to those of the root package. After an error
+// that it does not know, the outcome of a write is unknown.
 func translate(err error) error {
 	if err == nil {
 		return nil
@@ -39,14 +40,14 @@
 		return translateCancelled(cancelled)
 	}
 	var api smithy.APIError
-	if errors.As(err, &api) && throttles[api.ErrorCode()] {
+	if errors.As(err, &api) && throttlingCodes[api.ErrorCode()] {
 		return merry.Prepend(zinniamast.ErrThrottled, "table")
 	}
 	return merry.Prepend(err, "table")
 }
 
-// translateCancelled tells a condition that did not hold from a passing
-// clash with another transaction; a cancelled transaction wrote nothing.
+// translateCancelled distinguishes a failed condition from a temporary conflict with
+// another transaction. A cancelled transaction has written nothing.
 func translateCancelled(cancelled *types.TransactionCanceledException) error {
 	conflict := &zinniamast.ConflictError{}
 	for i, reason := range cancelled.CancellationReasons {
--- a/dynamodb/table.go
+++ b/dynamodb/table.go
@@ -1,4 +1,4 @@
-// Package dynamodb implements the platform's table over the DynamoDB protocol.
+// Package dynamodb implements zinniamast.Table over the DynamoDB protocol.
 package dynamodb
 
 import (
@@ -17,20 +17,20 @@
 	"zinniamast/httplimit"
 )
 
-// Bounds used where the configuration names none.
+// Defaults for zero values in Config, and the bound of a response body.
 const (
 	defaultTimeout     = 3 * time.Second
 	defaultConnections = 16
-	maxAnswer          = 8 << 20
+	maxResponseBytes   = 8 << 20
 )
 
-// Config says where the table is.
+// Config holds the table's address and credentials, and the bounds of the client.
 type Config struct {
 	// URL is the service's base URL.
 	URL string
 	// Table is the table's name.
 	Table string
-	// Region, AccessKey and SecretKey sign the calls.
+	// Region, AccessKey and SecretKey are used to sign calls.
 	Region    string
 	AccessKey string
 	SecretKey string
@@ -47,9 +47,9 @@
 	name   string
 }
 
-// New returns a client of the table. The library's own retries are off: it
-// would send a conditional write again after a lost answer and report the
-// conflict with ourselves as somebody else's write.
+// New returns a client of the table. The SDK's retries are disabled: after a lost
+// response it would send a conditional write again, which would conflict with the
+// first attempt and be reported as another writer's change.
 func New(c Config) *Table {
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
@@ -59,7 +59,7 @@
 	}
 	client := httplimit.NewClient(httplimit.Config{
 		Timeout:        c.Timeout,
-		MaxBody:        maxAnswer,
+		MaxBody:        maxResponseBytes,
 		MaxConnections: c.Connections,
 	})
 	return &Table{
@@ -208,17 +208,18 @@
 	return translate(err)
 }
 
-// condition returns the one of two shapes that every write of ours carries.
+// condition returns the condition expression of a write and its values: the item must
+// not exist if the expected revision is zero, or else have that revision.
 func condition(w zinniamast.Write) (*string, map[string]types.AttributeValue) {
 	if w.Expect == 0 {
 		return aws.String("attribute_not_exists(pk)"), nil
 	}
 	return aws.String("rev = :expect"), map[string]types.AttributeValue{
-		":expect": number(w.Expect),
+		":expect": numberAttribute(w.Expect),
 	}
 }
 
-func number(n uint64) *types.AttributeValueMemberN {
+func numberAttribute(n uint64) *types.AttributeValueMemberN {
 	return &types.AttributeValueMemberN{
 		Value: strconv.FormatUint(n, 10),
 	}
--- a/dynamodb/table_test.go
+++ b/dynamodb/table_test.go
@@ -95,10 +95,10 @@
 	is.True(errors.Is(table.Write(ctx, []zinniamast.Write{big}), zinniamast.ErrOversized))
 }
 
-// The table writes and the answer is lost. The caller sees an error that is
-// neither a conflict nor a throttle, and the client has not sent the write
-// again behind its back: that would have turned success into a conflict.
-func TestLostAnswerStaysOpen(t *testing.T) {
+// The table applies a write and the response is lost. The caller receives an error
+// that is neither ErrConflict nor ErrThrottled. The client must not retry the write:
+// the retry would conflict with the successful first attempt.
+func TestLostResponseIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table, p := newTable(t, platform.Config{})
@@ -113,9 +113,10 @@
 	is.Equal(item.Token, "writer-1")
 }
 
-// The table throttles, hangs past the client's deadline and goes away. The
-// caller sees a throttle as such and the others as open errors, in time.
-func TestFaultsAreToldApart(t *testing.T) {
+// The table throttles, is down, and hangs past the client's deadline. The caller
+// receives ErrThrottled in the first case, and in the others, before long, an error
+// that leaves the outcome unknown.
+func TestFaultErrors(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	table, p := newTable(t, platform.Config{})
--- a/platformapi/client.go
+++ b/platformapi/client.go
@@ -1,4 +1,4 @@
-// Package platformapi speaks the platform's JSON-over-HTTP API: cloud,
+// Package platformapi is a client of the platform's JSON-over-HTTP API: cloud,
 // instance list and weight store. docs/design/0101-platform-protocols.md
 // lists its calls.
 package platformapi
@@ -23,17 +23,18 @@
 const (
 	defaultTimeout     = 5 * time.Second
 	defaultConnections = 4
-	// maxAnswer bounds an answer; a list of 6,000 instances takes about 2 MiB.
-	maxAnswer = 16 << 20
+	// maxResponseBytes bounds a response body; a list of 6,000 instances takes about
+	// 2 MiB.
+	maxResponseBytes = 16 << 20
 )
 
-// Config says where the platform's API is.
+// Config holds the addresses and credentials of the platform's API.
 type Config struct {
 	// CloudURL, ListURL and WeightsURL are the services' base URLs.
 	CloudURL   string
 	ListURL    string
 	WeightsURL string
-	// AccessKey and SecretKey authenticate by HTTP basic authentication.
+	// AccessKey and SecretKey are the credentials for HTTP basic authentication.
 	AccessKey string
 	SecretKey string
 	// Timeout bounds one call; zero means five seconds.
@@ -44,7 +45,7 @@
 type Client struct {
 	config Config
 	http   *http.Client
-	// listBytes is the size of the last instance list as it came.
+	// listBytes is the size of the last instance list as received.
 	listBytes atomic.Int64
 }
 
@@ -57,7 +58,7 @@
 		config: c,
 		http: httplimit.NewClient(httplimit.Config{
 			Timeout:        c.Timeout,
-			MaxBody:        maxAnswer,
+			MaxBody:        maxResponseBytes,
 			MaxConnections: defaultConnections,
 		}),
 	}
@@ -73,7 +74,7 @@
 	return offers, err
 }
 
-// startRequest is the body of a start.
+// startRequest is the body of a request to start an instance.
 type startRequest struct {
 	Token string           `json:"token"`
 	Offer zinniamast.Offer `json:"offer"`
@@ -111,7 +112,7 @@
 // List implements zinniamast.InstanceList.
 func (c *Client) List(ctx context.Context) ([]zinniamast.Instance, error) {
 	var instances []zinniamast.Instance
-	counted := &answer{
+	counted := &sizedResult{
 		result: &instances,
 	}
 	err := c.call(ctx, http.MethodGet, c.config.ListURL+"/instances", nil, counted)
@@ -121,18 +122,19 @@
 	return instances, err
 }
 
-// ListBytes is how many bytes the last instance list took, compressed if the
-// platform compresses; how often it can be read depends on that.
+// ListBytes returns the size of the last instance list as received, which is the
+// compressed size if the platform compresses. It determines how often the list can
+// be read.
 func (c *Client) ListBytes() int64 { return c.listBytes.Load() }
 
-// sizeAnswer is the body of an answer about weights.
-type sizeAnswer struct {
+// sizeResponse is the body of a response about the size of a model's weights.
+type sizeResponse struct {
 	Bytes int64 `json:"bytes"`
 }
 
 // Size implements zinniamast.WeightStore.
 func (c *Client) Size(ctx context.Context, model string) (int64, error) {
-	var size sizeAnswer
+	var size sizeResponse
 	err := c.call(ctx, http.MethodGet, c.config.WeightsURL+"/"+url.PathEscape(model), nil, &size)
 	return size.Bytes, err
 }
@@ -142,7 +144,7 @@
 	return c.call(ctx, http.MethodPost, c.config.WeightsURL+"/"+url.PathEscape(model)+"/permit", nil, nil)
 }
 
-// call sends one request and decodes its answer into result, if there is one to fill.
+// call sends one request and decodes the response into result unless it is nil.
 func (c *Client) call(ctx context.Context, method, address string, body, result any) error {
 	var content io.Reader
 	if body != nil {
@@ -172,8 +174,8 @@
 	return merry.Prepend(decode(response, result), "platform")
 }
 
-// translate turns a status into the root package's errors; what it does not
-// know leaves the effect of the call open.
+// translate returns the root package's error for a status. After any other error the
+// outcome of the call is unknown.
 func translate(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusNoContent:
--- a/platformapi/client_test.go
+++ b/platformapi/client_test.go
@@ -15,9 +15,9 @@
 	"zinniamast/standin/platform"
 )
 
-// An instance is bought and the answer is lost; the same token asked again
-// returns the same instance, so nothing is paid twice. Then the domain
-// refuses, the notice comes, and the weight store runs out of permits.
+// The response to a start is lost. Retrying with the same token returns the same
+// instance, so that it is not paid for twice. Then starts in the failure domain are
+// refused, a reclaim notice arrives, and the weight store runs out of permits.
 func TestClient(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -47,22 +47,22 @@
 	is.NoErr(p.SetFault(platform.ServiceCloud, platform.Fault{LoseAnswers: 1}))
 	_, err = client.Start(ctx, "token", offer, "engine")
 	is.True(err != nil && !errors.Is(err, zinniamast.ErrRefused))
-	bought, err := client.Start(ctx, "token", offer, "engine")
+	started, err := client.Start(ctx, "token", offer, "engine")
 	is.NoErr(err)
 	list, err := client.List(ctx)
 	is.NoErr(err)
 	is.Equal(len(list), 1)
-	is.Equal(list[0].ID, bought.ID)
+	is.Equal(list[0].ID, started.ID)
 	is.NoErr(p.SetFault(platform.ServiceCloud, platform.Fault{RefuseStarts: []string{"*"}}))
 	_, err = client.Start(ctx, "other", offer, "engine")
 	is.True(errors.Is(err, zinniamast.ErrRefused))
 
-	p.Cloud.Reclaim(bought.ID, time.Minute)
+	p.Cloud.Reclaim(started.ID, time.Minute)
 	notices, err := client.Notices(ctx)
 	is.NoErr(err)
-	is.Equal(notices[0].Instance, bought.ID)
-	is.NoErr(client.Stop(ctx, bought.ID))
-	is.NoErr(client.Stop(ctx, bought.ID))
+	is.Equal(notices[0].Instance, started.ID)
+	is.NoErr(client.Stop(ctx, started.ID))
+	is.NoErr(client.Stop(ctx, started.ID))
 
 	size, err := client.Size(ctx, "draft")
 	is.NoErr(err)
@@ -73,8 +73,9 @@
 	is.True(errors.Is(client.Permit(ctx, "draft"), zinniamast.ErrThrottled))
 }
 
-// The instance list of a large fleet is the node's costliest reading. It must
-// come compressed where the platform compresses, and its size be known.
+// The instance list of a large fleet is the most expensive read of a node. It must be
+// transferred compressed if the platform compresses, and its received size must be
+// reported.
 func TestListIsCompressed(t *testing.T) {
 	is := is.New(t)
 	const entries = 1000
--- a/platformapi/response.go
+++ b/platformapi/response.go
@@ -9,30 +9,30 @@
 
 const encodingGzip = "gzip"
 
-// answer is a result whose size on the wire is wanted too.
-type answer struct {
+// sizedResult is a result together with the size of its response body as received.
+type sizedResult struct {
 	result any
 	bytes  int64
 }
 
-// counter counts what is read through it.
-type counter struct {
+// countingReader counts the bytes that are read through it.
+type countingReader struct {
 	io.Reader
 	bytes int64
 }
 
 // Read implements io.Reader.
-func (c *counter) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	c.bytes += int64(n)
 	return n, err
 }
 
-// decode reads an answer, compressed or not. The transport bounds what comes
-// over the wire; what that unpacks to is bounded here, or a short answer
-// could fill this node's memory.
+// decode decodes the body of a response, compressed or not. The transport bounds the
+// body as received. The decompressed size is bounded here, since a small
+// compressed response could otherwise exhaust this node's memory.
 func decode(response *http.Response, result any) error {
-	wire := &counter{
+	wire := &countingReader{
 		Reader: response.Body,
 	}
 	content := io.Reader(wire)
@@ -41,9 +41,9 @@
 		if err != nil {
 			return err
 		}
-		content = io.LimitReader(unpacked, maxAnswer)
+		content = io.LimitReader(unpacked, maxResponseBytes)
 	}
-	counted, ok := result.(*answer)
+	counted, ok := result.(*sizedResult)
 	if ok {
 		result = counted.result
 	}
--- a/s3/store.go
+++ b/s3/store.go
@@ -1,4 +1,4 @@
-// Package s3 implements the platform's object store over the S3 protocol.
+// Package s3 implements zinniamast.ObjectStore over the S3 protocol.
 package s3
 
 import (
@@ -19,20 +19,21 @@
 	"zinniamast/httplimit"
 )
 
-// Bounds used where the configuration names none.
+// Defaults for zero values in Config, and the bound of connections.
 const (
-	defaultTimeout     = 20 * time.Second
-	defaultMaxObject   = 32 << 20
-	defaultConnections = 4
+	defaultTimeout        = 20 * time.Second
+	defaultMaxObjectBytes = 32 << 20
+	defaultConnections    = 4
 )
 
-// Config says where the objects are.
+// Config holds the object store's address and credentials, and the bounds of the
+// client.
 type Config struct {
-	// URL is the service's base URL; buckets follow in the path.
+	// URL is the service's base URL; the bucket is appended to its path.
 	URL string
 	// Bucket holds the objects.
 	Bucket string
-	// Region, AccessKey and SecretKey sign the calls.
+	// Region, AccessKey and SecretKey are used to sign calls.
 	Region    string
 	AccessKey string
 	SecretKey string
@@ -50,13 +51,13 @@
 	maxObject int64
 }
 
-// New returns a client of the object store, without the library's retries.
+// New returns a client of the object store. The SDK's retries are disabled.
 func New(c Config) *Store {
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
 	}
 	if c.MaxObject == 0 {
-		c.MaxObject = defaultMaxObject
+		c.MaxObject = defaultMaxObjectBytes
 	}
 	client := httplimit.NewClient(httplimit.Config{
 		Timeout:        c.Timeout,
@@ -127,7 +128,7 @@
 	return err
 }
 
-// translate turns the library's errors into the root package's.
+// translate converts errors of the SDK to those of the root package.
 func translate(err error) error {
 	if err == nil {
 		return nil
