--- a/operator/client.go
+++ b/operator/client.go
@@ -9,21 +9,22 @@
 	"zinniamast/rollout"
 )
 
-// ClientConfig configures a client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Addresses are peer listeners of nodes; the first that answers is used.
+	// Addresses are peer listeners of nodes. They are tried in order until one
+	// can be called.
 	Addresses []string
 	// Key is an operator's shared key.
 	Key string
 }
 
-// Client asks a node on an operator's behalf.
+// Client calls the Receiver of a node.
 type Client struct {
 	addresses []string
 	pool      *peer.Pool
 }
 
-// NewClient returns a client that connects with its first call.
+// NewClient returns a client. It connects at its first call.
 func NewClient(config ClientConfig) (*Client, error) {
 	if len(config.Addresses) == 0 {
 		return nil, errors.New("no node's address is given")
@@ -41,10 +42,11 @@
 	}, nil
 }
 
-// Close ends the client's connections.
+// Close closes the client's connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// call goes on to the next node only where the call is known not to have run.
+// call tries the next node only if the call is known not to have run, so that
+// no change is made twice.
 func (c *Client) call(ctx context.Context, method string, args, reply any) error {
 	var err error
 	for _, address := range c.addresses {
@@ -57,40 +59,42 @@
 	return err
 }
 
-// PutConfig sends a change.
+// PutConfig submits a configuration change.
 func (c *Client) PutConfig(ctx context.Context, put rollout.Put) (rollout.PutReply, error) {
 	var reply rollout.PutReply
 	err := c.call(ctx, "PutConfig", put, &reply)
 	return reply, err
 }
 
-// GetConfig reads a version; zero means the newest.
+// GetConfig returns the configuration version with the given number. Zero means
+// the newest version.
 func (c *Client) GetConfig(ctx context.Context, number uint64) (rollout.Entry, error) {
 	var entry rollout.Entry
-	err := c.call(ctx, "GetConfig", GetConfig{
+	err := c.call(ctx, "GetConfig", GetConfigArgs{
 		Number: number,
 	}, &entry)
 	return entry, err
 }
 
-// History reads entries up to a number, newest last; zero means the newest.
+// History returns at most limit entries of the configuration history up to the
+// version upTo, newest last. Zero means the newest version.
 func (c *Client) History(ctx context.Context, upTo uint64, limit int) ([]rollout.Entry, error) {
 	var reply HistoryReply
-	err := c.call(ctx, "History", History{
+	err := c.call(ctx, "History", HistoryArgs{
 		UpTo:  upTo,
 		Limit: limit,
 	}, &reply)
 	return reply.Entries, err
 }
 
-// Versions reads what every node has in force.
+// Versions returns the configuration version in force at every node.
 func (c *Client) Versions(ctx context.Context) ([]rollout.NodeVersion, error) {
 	var reply VersionsReply
-	err := c.call(ctx, "Versions", Versions{}, &reply)
+	err := c.call(ctx, "Versions", VersionsArgs{}, &reply)
 	return reply.Nodes, err
 }
 
-// Status reads a node's view of the fleet.
+// Status returns a node's view of the fleet.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.call(ctx, "Status", StatusArgs{
@@ -99,10 +103,10 @@
 	return status, err
 }
 
-// Explain reads the story of a request.
+// Explain returns the history of a request as text.
 func (c *Client) Explain(ctx context.Context, request string) (string, error) {
 	var reply ExplainReply
-	err := c.call(ctx, "Explain", Explain{
+	err := c.call(ctx, "Explain", ExplainArgs{
 		Request: request,
 	}, &reply)
 	return reply.Text, err
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,4 +1,4 @@
-// Package operator answers operators: it shows a node's view of the fleet and
-// takes changes of configuration, over the peer transport under the operators'
-// own keys.
+// Package operator implements the RPC interface for operators. It reports a
+// node's view of the fleet and accepts configuration changes. Calls use the peer
+// transport and are authenticated with separate operator keys.
 package operator
--- a/operator/free.go
+++ b/operator/free.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// Held is a request that is held back because replicas died under it.
+// Held is a request that is quarantined because replicas crashed while they ran it.
 type Held struct {
-	// Fingerprint names the request's content, as 16 hexadecimal digits.
+	// Fingerprint is a hash of the request's content, as 16 hexadecimal digits.
 	Fingerprint string `json:"fingerprint"`
-	// Since is when it was held back, and Crashes what spoke against it then.
+	// Since is when the request was quarantined. Crashes is the number of crashes
+	// attributed to it at that time.
 	Since   time.Time `json:"since"`
 	Crashes int       `json:"crashes"`
 }
 
-// Free lets a request that is held back run again, at every node.
+// Free is the argument of Receiver.Free. It releases a quarantined request at
+// every node.
 type Free struct {
 	Fingerprint string
-	// By is the operator's name and Why the reason; every node logs them.
+	// By is the operator's name and Why the reason. Every node logs both.
 	By  string
 	Why string
 }
 
-// FreeReply is empty; a refusal is an error.
+// FreeReply is empty. A refusal is returned as an error.
 type FreeReply struct{}
 
-// Free lets a request that is held back run again.
+// Free releases a quarantined request, so that it may run again.
 func (r *Receiver) Free(args Free, _ *FreeReply) error {
 	if r.config.Free == nil {
 		return errors.New("this node holds nothing back")
@@ -37,7 +39,7 @@
 	return r.config.Free(args)
 }
 
-// Free lets a request that is held back run again.
+// Free releases a quarantined request, so that it may run again.
 func (c *Client) Free(ctx context.Context, free Free) error {
 	return c.call(ctx, "Free", free, &FreeReply{})
 }
--- a/operator/receiver.go
+++ b/operator/receiver.go
@@ -14,44 +14,45 @@
 	"zinniamast/rollout"
 )
 
-// ServiceName is the name under which a Receiver is registered for operators.
+// ServiceName is the net/rpc name under which a Receiver is registered.
 const ServiceName = "Operator"
 
-// Bounds of one answer.
+// Limits of one call and its answer.
 const (
-	callTimeout = 10 * time.Second
-	maxHistory  = 200
-	maxListed   = 10000
+	callTimeout       = 10 * time.Second
+	maxHistoryEntries = 200
+	maxUpstreams      = 10000
 )
 
-// Config says what a Receiver shows. The functions may be nil where a node has
-// no such part.
+// Config configures a Receiver. A function is nil if the node lacks the part
+// that it reads.
 type Config struct {
-	// Node and FailureDomain are this node's.
+	// Node is the ID of this node, and FailureDomain its failure domain.
 	Node          string
 	FailureDomain string
-	// Board holds the node's tables.
+	// Board holds the node's tables of members and upstreams.
 	Board *blackboard.Board
-	// Rollout takes changes of configuration.
+	// Rollout stores and distributes configuration changes.
 	Rollout *rollout.Rollout
 	// Members is the node's membership.
 	Members *membership.Membership
-	// Leases returns the leases of the fleet.
+	// Leases returns the current leases of the fleet.
 	Leases func(ctx context.Context) ([]Lease, error)
-	// Unknowns returns the calls whose outcome is open.
+	// Unknowns returns the calls whose outcome is unknown.
 	Unknowns func(ctx context.Context) ([]Unknown, error)
-	// Resolve decides a call whose outcome is open.
+	// Resolve records the outcome of a call whose outcome is unknown.
 	Resolve func(ctx context.Context, decision Resolve) error
-	// Held lists requests that are held back, and Free lets one run again.
+	// Held returns the quarantined requests, and Free releases one of them.
 	Held func() []Held
 	Free func(free Free) error
-	// Refusals counts refusals by reason.
+	// Refusals returns the number of refusals by reason.
 	Refusals func() map[string]uint64
-	// Explain returns the story of a request, for -why.
+	// Explain returns the history of a request as text, for status -why.
 	Explain func(ctx context.Context, request string) (string, error)
 }
 
-// Receiver answers operators; it is registered with peer.Server.RegisterOperator.
+// Receiver serves the calls of operators. It is registered with
+// peer.Server.RegisterOperator.
 type Receiver struct {
 	config Config
 }
@@ -63,62 +64,67 @@
 	}
 }
 
-// GetConfig asks for a version; zero means the newest.
-type GetConfig struct {
+// GetConfigArgs is the argument of Receiver.GetConfig.
+type GetConfigArgs struct {
+	// Number is the number of the version. Zero means the newest.
 	Number uint64
 }
 
-// History asks for entries up to a number; zero means the newest.
-type History struct {
-	UpTo  uint64
+// HistoryArgs is the argument of Receiver.History.
+type HistoryArgs struct {
+	// UpTo is the number of the last version. Zero means the newest.
+	UpTo uint64
+	// Limit is the maximum number of entries.
 	Limit int
 }
 
-// HistoryReply holds entries, newest last.
+// HistoryReply holds history entries, newest last.
 type HistoryReply struct {
 	Entries []rollout.Entry
 }
 
-// Versions asks for the versions in force.
-type Versions struct {
-	// FailureDomain names the only one of interest; empty means all.
+// VersionsArgs is the argument of Receiver.Versions.
+type VersionsArgs struct {
+	// FailureDomain restricts the answer to one failure domain. Empty means all.
 	FailureDomain string
 }
 
-// VersionsReply says what each node has in force.
+// VersionsReply holds the version in force at each node.
 type VersionsReply struct {
 	Nodes []rollout.NodeVersion
 }
 
-// StatusArgs asks for a node's view.
+// StatusArgs is the argument of Receiver.Status.
 type StatusArgs struct {
-	// Versions also asks every node for its configuration version.
+	// Versions requests the configuration version of every node as well.
 	Versions bool
 }
 
-// Explain asks for the story of a request.
-type Explain struct {
+// ExplainArgs is the argument of Receiver.Explain.
+type ExplainArgs struct {
+	// Request is the ID of the request.
 	Request string
 }
 
-// ExplainReply is the story, as text.
+// ExplainReply holds the history of a request as text.
 type ExplainReply struct {
 	Text string
 }
 
-func deadline() (context.Context, context.CancelFunc) {
+// callContext returns the context of one call.
+func callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), callTimeout)
 }
 
-// PutConfig takes a change.
+// PutConfig submits a configuration change.
 func (r *Receiver) PutConfig(put rollout.Put, reply *rollout.PutReply) error {
 	*reply = r.config.Rollout.Put(context.Background(), put)
 	return nil
 }
 
-// GetConfig returns a version whole.
-func (r *Receiver) GetConfig(args GetConfig, reply *rollout.Entry) error {
-	ctx, cancel := deadline()
+// GetConfig returns a complete configuration version.
+func (r *Receiver) GetConfig(args GetConfigArgs, reply *rollout.Entry) error {
+	ctx, cancel := callContext()
 	defer cancel()
 	entry, err := r.config.Rollout.Get(ctx, args.Number)
 	if err != nil {
@@ -131,18 +137,18 @@
 	return nil
 }
 
-// History returns entries of the history.
-func (r *Receiver) History(args History, reply *HistoryReply) error {
-	ctx, cancel := deadline()
+// History returns entries of the configuration history.
+func (r *Receiver) History(args HistoryArgs, reply *HistoryReply) error {
+	ctx, cancel := callContext()
 	defer cancel()
-	entries, err := r.config.Rollout.History(ctx, args.UpTo, min(max(args.Limit, 1), maxHistory))
+	entries, err := r.config.Rollout.History(ctx, args.UpTo, min(max(args.Limit, 1), maxHistoryEntries))
 	reply.Entries = entries
 	return err
 }
 
-// Versions returns what every node has in force.
-func (r *Receiver) Versions(args Versions, reply *VersionsReply) error {
-	ctx, cancel := deadline()
+// Versions returns the configuration version in force at every node.
+func (r *Receiver) Versions(args VersionsArgs, reply *VersionsReply) error {
+	ctx, cancel := callContext()
 	defer cancel()
 	for _, node := range r.config.Rollout.Versions(ctx) {
 		if args.FailureDomain == "" || node.FailureDomain == args.FailureDomain {
@@ -152,22 +158,22 @@
 	return nil
 }
 
-// Explain returns the story of a request.
-func (r *Receiver) Explain(args Explain, reply *ExplainReply) error {
+// Explain returns the history of a request as text.
+func (r *Receiver) Explain(args ExplainArgs, reply *ExplainReply) error {
 	if r.config.Explain == nil {
 		return fmt.Errorf("this node keeps no stories of requests")
 	}
-	ctx, cancel := deadline()
+	ctx, cancel := callContext()
 	defer cancel()
 	text, err := r.config.Explain(ctx, args.Request)
 	reply.Text = text
 	return err
 }
 
-// Status returns the node's view. A part that cannot be read is named and
-// does not keep the others back.
+// Status returns the node's view of the fleet. A part that cannot be read is
+// listed in Failures, and the others are returned.
 func (r *Receiver) Status(args StatusArgs, reply *Status) error {
-	ctx, cancel := deadline()
+	ctx, cancel := callContext()
 	defer cancel()
 	*reply = Status{
 		Node:          r.config.Node,
@@ -239,10 +245,11 @@
 		})
 	}
 	slices.SortFunc(upstreams, func(a, b Upstream) int { return strings.Compare(a.ID, b.ID) })
-	return upstreams[:min(len(upstreams), maxListed)]
+	return upstreams[:min(len(upstreams), maxUpstreams)]
 }
 
-// CountsByLabel sums a counter by one of its labels; it serves Config.Refusals.
+// CountsByLabel sums a counter by the values of one of its labels. It implements
+// Config.Refusals.
 func CountsByLabel(gatherer prometheus.Gatherer, name, label string) map[string]uint64 {
 	counts := map[string]uint64{}
 	families, err := gatherer.Gather()
--- a/operator/resolve.go
+++ b/operator/resolve.go
@@ -5,24 +5,25 @@
 	"errors"
 )
 
-// Resolve decides a call whose outcome is open.
+// Resolve is the argument of Receiver.Resolve. It records the outcome of a call
+// whose outcome is unknown.
 type Resolve struct {
 	Organisation string
 	Service      string
 	Key          string
-	// Ran is what the operator found in the service's books.
+	// Ran reports whether the call ran, according to the service's own records.
 	Ran bool
-	// By is the operator's name, which is kept.
+	// By is the operator's name, which is stored with the decision.
 	By string
 }
 
-// ResolveReply is empty; a refused decision is an error.
+// ResolveReply is empty. A refused decision is returned as an error.
 type ResolveReply struct{}
 
-// errNoClaims means that the node keeps no claims.
+// errNoClaims means that the node does not store claims.
 var errNoClaims = errors.New("this node keeps no claims")
 
-// Resolve decides a call whose outcome is open.
+// Resolve records the outcome of a call whose outcome is unknown.
 func (r *Receiver) Resolve(args Resolve, _ *ResolveReply) error {
 	if r.config.Resolve == nil {
 		return errNoClaims
@@ -30,12 +31,12 @@
 	if args.By == "" {
 		return errors.New("say who decides")
 	}
-	ctx, cancel := deadline()
+	ctx, cancel := callContext()
 	defer cancel()
 	return r.config.Resolve(ctx, args)
 }
 
-// Resolve decides a call whose outcome is open.
+// Resolve records the outcome of a call whose outcome is unknown.
 func (c *Client) Resolve(ctx context.Context, decision Resolve) error {
 	return c.call(ctx, "Resolve", decision, &ResolveReply{})
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -9,13 +9,15 @@
 
 // Status is one node's view of the fleet.
 type Status struct {
-	// Node, FailureDomain and Now are of the node that answers.
+	// Node, FailureDomain and Now belong to the node that answers.
 	Node          string    `json:"node"`
 	FailureDomain string    `json:"failure_domain"`
 	Now           time.Time `json:"now"`
-	// Isolated means that the node doubts a member and can ask nobody.
+	// Isolated means that the node suspects a member and has no other node that
+	// could confirm the suspicion.
 	Isolated bool `json:"isolated"`
-	// ConfigCurrent means that the node has lately confirmed its version.
+	// ConfigCurrent means that the node has recently confirmed that its
+	// configuration version is the newest.
 	ConfigCurrent bool                      `json:"config_current"`
 	Members       []Member                  `json:"members"`
 	Domains       []membership.DomainStatus `json:"domains"`
@@ -23,11 +25,12 @@
 	Versions      []rollout.NodeVersion     `json:"versions"`
 	Leases        []Lease                   `json:"leases"`
 	Unknowns      []Unknown                 `json:"unknowns"`
-	// Held lists requests that are held back, here or at nodes that told.
+	// Held lists requests that are quarantined at this node or reported as
+	// quarantined by other nodes.
 	Held []Held `json:"held_back"`
 	// Refusals counts the node's refusals by reason since it started.
 	Refusals map[string]uint64 `json:"refusals_by_reason"`
-	// Failures name the parts that could not be read.
+	// Failures lists the parts of the status that could not be read, with the cause.
 	Failures []string `json:"failures,omitempty"`
 }
 
@@ -43,7 +46,7 @@
 	ConfigVersion uint64    `json:"config_version"`
 }
 
-// Upstream is a replica.
+// Upstream is a replica of a service or model.
 type Upstream struct {
 	ID            string    `json:"id"`
 	FailureDomain string    `json:"failure_domain"`
@@ -53,7 +56,7 @@
 	Inflight      int64     `json:"inflight"`
 }
 
-// Lease is a role that one node holds for the fleet.
+// Lease is a fleet-wide role that one node holds at a time.
 type Lease struct {
 	Name    string    `json:"name"`
 	Holder  string    `json:"holder"`
@@ -61,7 +64,7 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-// Unknown is a call whose outcome is not known yet.
+// Unknown is a call whose outcome is not yet known.
 type Unknown struct {
 	Request      string    `json:"request"`
 	Organisation string    `json:"organisation"`
@@ -69,6 +72,7 @@
 	Key          string    `json:"key"`
 	Since        time.Time `json:"since"`
 	Upstream     string    `json:"upstream"`
-	// Settled means that the call can no longer run, so that it may be decided.
+	// Settled means that the call can no longer run, so that an operator may
+	// decide that it did not.
 	Settled bool `json:"settled"`
 }
