--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,10 +1,11 @@
-// Package eventlog writes log lines without ever making a request wait.
+// Package eventlog writes log lines asynchronously, so that logging never blocks
+// a request.
 //
-// Failure: whoever reads a process's output stops reading, the pipe fills, and
-// the next line blocks the request that writes it, then every request. Lines
-// are therefore queued, and left out and counted where the queue is full or the
-// rate is spent. Warnings and errors have a queue and a rate of their own, so
-// that a flood of successes costs no failure its line.
+// If the process that reads the output stops reading, the pipe fills up and a
+// synchronous write would block the request that logs, and then every request.
+// Lines are therefore queued. A line is dropped and counted if its queue is full
+// or the rate limit is exceeded. Warnings and errors have a queue and a rate
+// limit of their own, so that a burst of lower levels does not displace them.
 package eventlog
 
 import (
@@ -20,65 +21,68 @@
 )
 
 const (
-	// queued is how many lines of each class wait for the output; a line has
-	// some 200 bytes, so a stalled output costs some 400 KB.
-	queued = 1000
-	// linesASecond bounds each class: ten times what a node writes at the
-	// highest load that one is sized for, 60 requests a second with three lines each.
-	linesASecond = 2000
-	// tellEvery is how often lines that were left out are told of.
-	tellEvery = time.Second
+	// queueCapacity is the number of lines that each queue holds. A line has about
+	// 200 bytes, so a stalled output costs about 400 KB of memory.
+	queueCapacity = 1000
+	// linesPerSecond limits the rate of each queue. It is ten times what a node
+	// writes at the highest load it is sized for: 60 requests per second with three
+	// lines each.
+	linesPerSecond = 2000
+	// dropReportInterval is the interval at which dropped lines are reported.
+	dropReportInterval = time.Second
 )
 
-// Config says where lines go.
+// Config configures a Log.
 type Config struct {
-	// Out takes the lines; it may block.
+	// Out receives the lines. Its Write may block.
 	Out io.Writer
-	// Level is the least level that is written.
+	// Level is the lowest level that is logged.
 	Level slog.Leveler
-	// Now tells the time that lines bear; nil is time.Now.
+	// Now returns the time stamp of a line. Nil means time.Now.
 	Now func() time.Time
-	// ReplaceAttr changes attributes, as in slog.HandlerOptions; it may be nil.
+	// ReplaceAttr rewrites attributes, as in slog.HandlerOptions. It may be nil.
 	ReplaceAttr func(groups []string, a slog.Attr) slog.Attr
 }
 
-// Log is the queue before an output. Its lock is held for microseconds.
+// Log queues log lines for an output. Its lock is held only for microseconds and
+// never during a write.
 type Log struct {
 	config Config
-	// successes and failures hold lines below slog.LevelWarn, and the others.
-	successes class
-	failures  class
+	// successes holds lines below slog.LevelWarn, failures those from it on.
+	successes lineQueue
+	failures  lineQueue
 
-	mu   sync.Mutex
-	left map[string]int
+	mu      sync.Mutex
+	dropped map[string]int
 }
 
-// class is one queue with its rate.
-type class struct {
+// lineQueue is a queue of lines with a rate limit.
+type lineQueue struct {
 	lines chan []byte
-	// spent counts the lines of a second; the log's lock guards both.
-	spent  int
+	// count is the number of lines logged during second, in Unix time. Log.mu guards
+	// both.
+	count  int
 	second int64
 }
 
-// New returns a log whose lines Run writes.
+// New returns a Log. Its lines are written by Run.
 func New(config Config) *Log {
 	if config.Now == nil {
 		config.Now = time.Now
 	}
 	return &Log{
 		config: config,
-		successes: class{
-			lines: make(chan []byte, queued),
+		successes: lineQueue{
+			lines: make(chan []byte, queueCapacity),
 		},
-		failures: class{
-			lines: make(chan []byte, queued),
+		failures: lineQueue{
+			lines: make(chan []byte, queueCapacity),
 		},
-		left: map[string]int{},
+		dropped: map[string]int{},
 	}
 }
 
-// Logger returns the logger that writes here.
+// Logger returns a logger whose lines go to the queues of l.
 func (l *Log) Logger() *slog.Logger {
 	h := &handler{
 		log: l,
@@ -91,9 +95,10 @@
 	return slog.New(h)
 }
 
-// Run writes lines until ctx ends, and then what is still queued for a moment.
+// Run writes queued lines until ctx ends, and then writes the lines that are
+// still queued.
 func (l *Log) Run(ctx context.Context) {
-	ticker := time.NewTicker(tellEvery)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -102,7 +107,7 @@
 		case line := <-l.successes.lines:
 			l.write(line)
 		case <-ticker.C:
-			l.tell()
+			l.reportDropped()
 		case <-ctx.Done():
 			l.drain()
 			return
@@ -118,7 +123,7 @@
 		case line := <-l.successes.lines:
 			l.write(line)
 		default:
-			l.tell()
+			l.reportDropped()
 			return
 		}
 	}
@@ -126,58 +131,58 @@
 
 func (l *Log) write(line []byte) {
 	if _, err := l.config.Out.Write(line); err != nil {
-		l.leave("output failed: " + err.Error())
+		l.countDropped("output failed: " + err.Error())
 	}
 }
 
-// tell writes one line of what was left out.
-func (l *Log) tell() {
+// reportDropped writes one line with the number of dropped lines of each kind, if any.
+func (l *Log) reportDropped() {
 	l.mu.Lock()
-	if len(l.left) == 0 {
+	if len(l.dropped) == 0 {
 		l.mu.Unlock()
 		return
 	}
-	kinds := make([]string, 0, len(l.left))
-	for kind, count := range l.left {
+	kinds := make([]string, 0, len(l.dropped))
+	for kind, count := range l.dropped {
 		kinds = append(kinds, fmt.Sprintf("%s:%d", kind, count))
 	}
-	clear(l.left)
+	clear(l.dropped)
 	l.mu.Unlock()
 	slices.Sort(kinds)
-	l.write(fmt.Appendf(nil, "time=%s level=WARN msg=\"lines left out\" kinds=%q\n",
+	l.write(fmt.Appendf(nil, "time=%s level=WARN msg=\"log lines dropped\" kinds=%q\n",
 		l.config.Now().Format(time.RFC3339Nano), strings.Join(kinds, " ")))
 }
 
-func (l *Log) leave(kind string) {
+func (l *Log) countDropped(kind string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.left[kind]++
+	l.dropped[kind]++
 }
 
-// enqueue takes a line or counts it as left out.
-func (l *Log) enqueue(c *class, kind string, line []byte, now time.Time) {
-	if !l.within(c, now) {
-		l.leave(kind)
+// enqueue queues a line, or drops and counts it.
+func (l *Log) enqueue(q *lineQueue, kind string, line []byte, now time.Time) {
+	if !l.allow(q, now) {
+		l.countDropped(kind)
 		return
 	}
 	select {
-	case c.lines <- line:
+	case q.lines <- line:
 	default:
-		l.leave(kind)
+		l.countDropped(kind)
 	}
 }
 
-func (l *Log) within(c *class, now time.Time) bool {
+func (l *Log) allow(q *lineQueue, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := now.Unix(); second != c.second {
-		c.second, c.spent = second, 0
+	if second := now.Unix(); second != q.second {
+		q.second, q.count = second, 0
 	}
-	c.spent++
-	return c.spent <= linesASecond
+	q.count++
+	return q.count <= linesPerSecond
 }
 
-// handler formats lines one at a time into one buffer.
+// handler formats lines one at a time into a shared buffer.
 type handler struct {
 	log    *Log
 	mu     *sync.Mutex
@@ -203,11 +208,11 @@
 	if err != nil {
 		return err
 	}
-	c := &h.log.successes
+	q := &h.log.successes
 	if r.Level >= slog.LevelWarn {
-		c = &h.log.failures
+		q = &h.log.failures
 	}
-	h.log.enqueue(c, r.Message, line, r.Time)
+	h.log.enqueue(q, r.Message, line, r.Time)
 	return nil
 }
 
@@ -221,7 +226,7 @@
 	return h.derive(func(text slog.Handler) slog.Handler { return text.WithGroup(name) })
 }
 
-// derive returns a handler with a buffer of its own.
+// derive returns a handler with its own buffer and the changed text handler.
 func (h *handler) derive(change func(slog.Handler) slog.Handler) slog.Handler {
 	derived := &handler{
 		log: h.log,
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -14,32 +14,32 @@
 	"zinniamast/eventlog"
 )
 
-// pipe is an output that blocks until it is opened.
-type pipe struct {
+// stalledOutput is an output whose writes block until open is closed.
+type stalledOutput struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (p *pipe) Write(line []byte) (int, error) {
+func (p *stalledOutput) Write(line []byte) (int, error) {
 	<-p.open
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.Write(line)
 }
 
-func (p *pipe) String() string {
+func (p *stalledOutput) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.String()
 }
 
-// The reader of the output stops. Requests go on writing lines and never wait;
-// when the reader is back, failures have kept their lines before successes, and
-// one line tells what was left out.
-func TestStalledOutputBlocksNobody(t *testing.T) {
+// The test guards against requests that block in logging while the reader of the
+// output is stalled. After the reader resumes, all warnings are written although
+// lines of lower levels were dropped, and one line reports the dropped lines.
+func TestStalledOutputDoesNotBlockLogging(t *testing.T) {
 	check := is.New(t)
-	out := &pipe{
+	out := &stalledOutput{
 		open: make(chan struct{}),
 	}
 	log := eventlog.New(eventlog.Config{
@@ -69,14 +69,14 @@
 	text := out.String()
 	check.Equal(strings.Count(text, "msg=refused"), 500)
 	check.True(strings.Count(text, "msg=answered") >= 1000)
-	check.True(strings.Contains(text, "lines left out"))
+	check.True(strings.Contains(text, "log lines dropped"))
 	check.True(strings.Contains(text, "answered:"))
 }
 
-// A line costs a request some two microseconds and one allocation, whatever
-// the output does.
-func BenchmarkLine(b *testing.B) {
-	out := &pipe{
+// Logging a line costs a request about two microseconds and one allocation, even
+// if the output is stalled.
+func BenchmarkLogLine(b *testing.B) {
+	out := &stalledOutput{
 		open: make(chan struct{}),
 	}
 	logger := eventlog.New(eventlog.Config{
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells one request's story from the logs of several nodes.
+// Package explain reconstructs the history of one request from the logs of
+// several nodes.
 package explain
 
 import (
@@ -11,34 +12,34 @@
 	"time"
 )
 
-// ErrUnknown means that no line names the request.
-var ErrUnknown = errors.New("no line names this request")
+// ErrRequestNotFound means that no log line has the request's ID.
+var ErrRequestNotFound = errors.New("no line names this request")
 
-// maxLine bounds one log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log that names a request.
+// Line is a log line about a request.
 type Line struct {
-	// Source is the log that holds it.
+	// Source is the name of the log that contains the line.
 	Source string
-	// Time is true time, as the node knew it.
+	// Time is the node's time stamp, its estimate of true time.
 	Time time.Time
-	// Message is what happened, and Fields are its inputs and outcome in order.
+	// Message names the event, and Fields are its attributes in the order logged.
 	Message string
 	Fields  []Field
 }
 
-// Field is one key with its value.
+// Field is a key with its value.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// Read adds the lines of a log that name the request. Lines that are no log
-// lines are passed over: process output holds others.
+// Read appends the log lines of the request to lines. It skips text that is not a
+// log line, since the output of a process contains other text too.
 func Read(lines []Line, source string, log io.Reader, request string) ([]Line, error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if !strings.Contains(text, request) {
@@ -66,7 +67,8 @@
 	return ""
 }
 
-// parse reads key=value pairs from the first "time=" on.
+// parse reads the key=value pairs of a line from the first "time=" on. Text before
+// it is ignored.
 func parse(text string) (Line, bool) {
 	var line Line
 	at := strings.Index(text, "time=")
@@ -101,7 +103,7 @@
 	return line, line.Message != ""
 }
 
-// cutValue reads one value, quoted or not, and returns what follows it.
+// cutValue returns the first value of text, quoted or not, and the text after it.
 func cutValue(text string) (value, rest string) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
@@ -118,10 +120,10 @@
 	return text, ""
 }
 
-// Write prints the story in the order of time.
+// Write prints the lines of a request in the order of their time stamps.
 func Write(out io.Writer, request string, lines []Line) error {
 	if len(lines) == 0 {
-		return ErrUnknown
+		return ErrRequestNotFound
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	first := lines[0].Time
@@ -135,9 +137,9 @@
 				fields = append(fields, field.Key+"="+field.Value)
 			}
 		}
-		told := fmt.Sprintf("%+9.3fs  %-12s %-14s %s", line.Time.Sub(first).Seconds(), line.Source,
+		row := fmt.Sprintf("%+9.3fs  %-12s %-14s %s", line.Time.Sub(first).Seconds(), line.Source,
 			line.Message, strings.Join(fields, " "))
-		if _, err := fmt.Fprintln(out, strings.TrimRight(told, " ")); err != nil {
+		if _, err := fmt.Fprintln(out, strings.TrimRight(row, " ")); err != nil {
 			return err
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -40,10 +40,10 @@
 	//    +1.000s  edge-2       broken off     reason=upstream_failed
 }
 
-// An id that no log names is told as such, and not as an empty story.
+// A request ID that no log contains is an error and not an empty history.
 func TestUnknownRequest(t *testing.T) {
 	check := is.New(t)
 	lines, err := explain.Read(nil, "edge-1", strings.NewReader(first), "r-9")
 	check.NoErr(err)
-	check.Equal(explain.Write(&strings.Builder{}, "r-9", lines), explain.ErrUnknown)
+	check.Equal(explain.Write(&strings.Builder{}, "r-9", lines), explain.ErrRequestNotFound)
 }
