--- a/cmd/zinniamast/main.go
+++ b/cmd/zinniamast/main.go
@@ -1,4 +1,4 @@
-// Command zinniamast runs an entry instance and the tools around it.
+// Command zinniamast runs an entry instance, and the tools for operating and testing it.
 package main
 
 import (
--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the zinniamast command line.
+// Package command implements the zinniamast command line.
 package command
 
 import (
@@ -13,7 +13,7 @@
 	exitUsage  = 2
 )
 
-// subcommand is one entry of the command line.
+// subcommand is a named command with its one-line help.
 type subcommand struct {
 	name string
 	help string
--- a/command/config.go
+++ b/command/config.go
@@ -29,7 +29,7 @@
 6 the table's answer was lost, ask config status.
 `
 
-// Config runs the config subcommand.
+// Config runs "zinniamast config" and returns its exit code.
 func Config(args []string, out, errOut io.Writer) int {
 	commands := map[string]func([]string, io.Writer, io.Writer) int{
 		"check":   configCheck,
@@ -64,7 +64,7 @@
 	return flags
 }
 
-// readDocument reads a configuration file, or the standard input.
+// readDocument reads a configuration file, or the standard input for "-".
 func readDocument(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(os.Stdin)
@@ -101,12 +101,12 @@
 
 func configGet(args []string, out, errOut io.Writer) int {
 	flags := configFlags("get", "[flags]", errOut)
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	version := flags.Uint64("version", 0, "version `NUMBER`; the newest if not given")
 	if flags.Parse(args) != nil {
 		return exitUsage
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		entry, err := client.GetConfig(ctx, *version)
 		if err != nil {
 			return exitFailed, err
@@ -125,19 +125,19 @@
 
 func configHistory(args []string, out, errOut io.Writer) int {
 	flags := configFlags("history", "[flags]", errOut)
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	limit := flags.Int("limit", 10, "`COUNT` of versions")
 	upTo := flags.Uint64("before", 0, "print versions up to this `NUMBER`; the newest if not given")
 	if flags.Parse(args) != nil {
 		return exitUsage
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		entries, err := client.History(ctx, *upTo, *limit)
 		if err != nil {
 			return exitFailed, err
 		}
 		slices.Reverse(entries)
-		if *to.json {
+		if *target.json {
 			return exitOK, printJSON(out, entries)
 		}
 		for _, entry := range entries {
@@ -148,7 +148,7 @@
 }
 
 func printEntry(out io.Writer, entry rollout.Entry) {
-	fmt.Fprintf(out, "version %d  %s  %s\n  why: %s\n", entry.Number, timeOfDay(entry.When), entry.Who, entry.Why)
+	fmt.Fprintf(out, "version %d  %s  %s\n  why: %s\n", entry.Number, formatTime(entry.When), entry.Who, entry.Why)
 	for _, change := range entry.Changes {
 		fmt.Fprintln(out, "  "+change.String())
 	}
@@ -162,16 +162,16 @@
 
 func configStatus(args []string, out, errOut io.Writer) int {
 	flags := configFlags("status", "[flags]", errOut)
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	if flags.Parse(args) != nil {
 		return exitUsage
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		nodes, err := client.Versions(ctx)
 		if err != nil {
 			return exitFailed, err
 		}
-		if *to.json {
+		if *target.json {
 			return exitOK, printJSON(out, nodes)
 		}
 		printVersions(out, nodes)
@@ -180,10 +180,10 @@
 }
 
 func printVersions(out io.Writer, nodes []rollout.NodeVersion) {
-	table(out, "FAILURE DOMAIN\tNODE\tVERSION\tSINCE\tCURRENT\tPROBLEM", func(w io.Writer) {
+	printTable(out, "FAILURE DOMAIN\tNODE\tVERSION\tSINCE\tCURRENT\tPROBLEM", func(w io.Writer) {
 		for _, node := range nodes {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%v\t%s\n",
-				node.FailureDomain, orDash(node.Node), node.Number, timeOfDay(node.Since), node.Current, orDash(node.Error))
+				node.FailureDomain, orDash(node.Node), node.Number, formatTime(node.Since), node.Current, orDash(node.Error))
 		}
 	})
 }
--- a/command/configput.go
+++ b/command/configput.go
@@ -11,8 +11,8 @@
 	"zinniamast/rollout"
 )
 
-// putExits maps each outcome of a put to its exit code.
-var putExits = map[rollout.Outcome]int{
+// putExitCodes maps each outcome of a put to its exit code.
+var putExitCodes = map[rollout.Outcome]int{
 	rollout.InForce:     exitOK,
 	rollout.Unchanged:   exitOK,
 	rollout.Pending:     exitPending,
@@ -25,7 +25,7 @@
 
 func configPut(args []string, out, errOut io.Writer) int {
 	flags := configFlags("put", "-base NUMBER -why TEXT [flags] FILE", errOut)
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	base := flags.Int64("base", -1, "`NUMBER` of the version that the change was made from, as config get printed it; 0 for the first")
 	why := flags.String("why", "", "`TEXT` that tells later readers why")
 	who := flags.String("who", os.Getenv("USER"), "`NAME` of the operator")
@@ -42,7 +42,7 @@
 		fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		reply, err := client.PutConfig(ctx, rollout.Put{
 			Raw:   raw,
 			Base:  uint64(*base),
@@ -53,11 +53,11 @@
 		if err != nil {
 			return exitFailed, err
 		}
-		if *to.json {
-			return putExits[reply.Outcome], printJSON(out, reply)
+		if *target.json {
+			return putExitCodes[reply.Outcome], printJSON(out, reply)
 		}
 		printPut(out, reply)
-		return putExits[reply.Outcome], nil
+		return putExitCodes[reply.Outcome], nil
 	})
 }
 
@@ -91,7 +91,7 @@
 func printConflict(out io.Writer, reply rollout.PutReply) {
 	fmt.Fprintf(out, "not accepted: version %d is the newest", reply.Number)
 	if reply.Newest != nil {
-		fmt.Fprintf(out, ", by %s at %s: %s", reply.Newest.Who, timeOfDay(reply.Newest.When), reply.Newest.Why)
+		fmt.Fprintf(out, ", by %s at %s: %s", reply.Newest.Who, formatTime(reply.Newest.When), reply.Newest.Why)
 	}
 	fmt.Fprintln(out)
 	for _, change := range reply.Changes {
@@ -100,17 +100,22 @@
 	fmt.Fprintf(out, "make your change from version %d again (config get) and put it with -base %d\n", reply.Number, reply.Number)
 }
 
-// domainSummary is what a put did in one failure domain.
+// domainSummary is the outcome of a put in one failure domain.
 type domainSummary struct {
-	name    string
+	name string
+	// inForce counts the nodes that have the version in force, out of nodes.
 	inForce int
 	nodes   int
-	after   time.Duration
-	at      time.Time
+	// maxDelay is the longest time until a node confirmed the version.
+	maxDelay time.Duration
+	// lastInForce is when the last node put the version in force.
+	lastInForce time.Time
+	// pending lists the other nodes, each with its error.
 	pending []string
 }
 
-// summariseDomains expects the nodes ordered by failure domain.
+// summariseDomains returns one summary per failure domain. The nodes of reply
+// must be ordered by failure domain.
 func summariseDomains(reply rollout.PutReply) []domainSummary {
 	var all []domainSummary
 	for _, node := range reply.Nodes {
@@ -126,22 +131,22 @@
 			continue
 		}
 		d.inForce++
-		d.after = max(d.after, node.After)
-		if node.Since.After(d.at) {
-			d.at = node.Since
+		d.maxDelay = max(d.maxDelay, node.After)
+		if node.Since.After(d.lastInForce) {
+			d.lastInForce = node.Since
 		}
 	}
 	return all
 }
 
 func printDomains(out io.Writer, reply rollout.PutReply) {
-	table(out, "FAILURE DOMAIN\tIN FORCE\tAT\tCONFIRMED AFTER\tPENDING", func(w io.Writer) {
+	printTable(out, "FAILURE DOMAIN\tIN FORCE\tAT\tCONFIRMED AFTER\tPENDING", func(w io.Writer) {
 		for _, d := range summariseDomains(reply) {
-			after := "-"
+			delay := "-"
 			if d.inForce > 0 {
-				after = d.after.Round(time.Millisecond).String()
+				delay = d.maxDelay.Round(time.Millisecond).String()
 			}
-			fmt.Fprintf(w, "%s\t%d of %d\t%s\t%s\t", d.name, d.inForce, d.nodes, timeOfDay(d.at), after)
+			fmt.Fprintf(w, "%s\t%d of %d\t%s\t%s\t", d.name, d.inForce, d.nodes, formatTime(d.lastInForce), delay)
 			if len(d.pending) == 0 {
 				fmt.Fprint(w, "-")
 			}
--- a/command/demo.go
+++ b/command/demo.go
@@ -11,7 +11,8 @@
 	"zinniamast/demo"
 )
 
-// Demo runs one node beside in-process stand-ins for every outside system.
+// Demo runs one node with in-process simulations of every external system, and
+// returns its exit code.
 func Demo(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("demo", flag.ContinueOnError)
 	flags.SetOutput(errOut)
--- a/command/entry.go
+++ b/command/entry.go
@@ -17,7 +17,8 @@
 	"zinniamast/platform"
 )
 
-// Entry runs an entry instance on the users' platform.
+// Entry runs an entry instance on the users' platform until SIGTERM or SIGINT, and
+// returns its exit code.
 func Entry(args []string, _, errOut io.Writer) int {
 	flags := flag.NewFlagSet("entry", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -28,8 +29,8 @@
 	if flags.Parse(args) != nil {
 		return exitUsage
 	}
-	known := *policy == entry.PolicyPredicted || *policy == entry.PolicyNearest
-	if *path == "" || !known || flags.NArg() > 0 {
+	isKnownPolicy := *policy == entry.PolicyPredicted || *policy == entry.PolicyNearest
+	if *path == "" || !isKnownPolicy || flags.NArg() > 0 {
 		fmt.Fprintln(errOut, "usage: zinniamast entry [-settings FILE] [-log-level LEVEL] [-policy predicted|nearest] [-metrics-port PORT]")
 		return exitUsage
 	}
@@ -38,48 +39,48 @@
 		fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
-	bound(loaded.MemoryBytes)
+	limitMemory(loaded.MemoryBytes)
 	var threshold slog.Level
 	if err := threshold.UnmarshalText([]byte(*level)); err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitUsage
 	}
-	steady := &clock.Clock{}
+	clk := &clock.Clock{}
 	log := eventlog.New(eventlog.Config{
 		Out:         os.Stdout,
 		Level:       threshold,
-		Now:         steady.NowOrLocal,
+		Now:         clk.NowOrLocal,
 		ReplaceAttr: plainError,
 	})
 	logger := log.Logger()
-	stopLog := writeLog(log)
+	stopLog := startLogWriter(log)
 	defer stopLog()
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	built, err := entry.New(entry.Config{
+	instance, err := entry.New(entry.Config{
 		Settings: loaded,
 		Path:     *path,
 		Hangups:  hangups,
 		Policy:   *policy,
 		Metrics:  *metricsPort,
-		Clock:    steady,
+		Clock:    clk,
 		Logger:   logger,
 	})
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
-	if err := built.Run(ctx); err != nil {
+	if err := instance.Run(ctx); err != nil {
 		logger.Error("entry failed", "cause", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// writeLog writes queued lines until the returned function is called.
-func writeLog(log *eventlog.Log) func() {
+// startLogWriter writes queued lines until the returned function is called.
+func startLogWriter(log *eventlog.Log) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -92,13 +93,15 @@
 	}
 }
 
-// memoryPart is the part of the instance's memory at which the collector works
-// harder; the rest is for what it does not count, such as unread input.
-const memoryPart = 0.6
+// memoryLimitFraction is the fraction of the instance's memory that is set as the
+// soft limit of the garbage collector. The rest is for memory that the collector
+// does not count, such as unread input.
+const memoryLimitFraction = 0.6
 
-// bound tells the collector what the instance has.
-func bound(memory int64) {
-	if memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(memory)))
+// limitMemory sets the garbage collector's soft limit for an instance with the
+// given memory in bytes. Zero leaves the limit unset.
+func limitMemory(memoryBytes int64) {
+	if memoryBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memoryBytes)))
 	}
 }
--- a/command/experiment.go
+++ b/command/experiment.go
@@ -9,7 +9,8 @@
 	"zinniamast/experiment"
 )
 
-// Experiment compares routing policies on seeded work in virtual time.
+// Experiment compares routing policies on a seeded workload in virtual time, and
+// returns its exit code.
 func Experiment(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("experiment", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -20,12 +21,12 @@
 	if err := flags.Parse(args); err != nil {
 		return exitUsage
 	}
-	chosen, err := pickScenarios(*scenarios)
+	chosen, err := selectScenarios(*scenarios)
 	if err != nil {
 		fmt.Fprintln(errOut, "zinniamast experiment:", err)
 		return exitUsage
 	}
-	compared, err := pickPolicies(*policies)
+	compared, err := selectPolicies(*policies)
 	if err != nil {
 		fmt.Fprintln(errOut, "zinniamast experiment:", err)
 		return exitUsage
@@ -42,7 +43,7 @@
 	return exitOK
 }
 
-func pickScenarios(names string) ([]experiment.Scenario, error) {
+func selectScenarios(names string) ([]experiment.Scenario, error) {
 	all := experiment.Scenarios()
 	if names == "" {
 		return all, nil
@@ -51,10 +52,10 @@
 	for _, scenario := range append(all, experiment.FullSize()) {
 		byName[scenario.Name] = scenario
 	}
-	return pick(names, byName, "scenario")
+	return selectByName(names, byName, "scenario")
 }
 
-func pickPolicies(names string) ([]experiment.Policy, error) {
+func selectPolicies(names string) ([]experiment.Policy, error) {
 	all := experiment.Policies()
 	if names == "" {
 		return all, nil
@@ -63,18 +64,18 @@
 	for _, policy := range all {
 		byName[string(policy)] = policy
 	}
-	return pick(names, byName, "policy")
+	return selectByName(names, byName, "policy")
 }
 
-// pick returns what a comma-separated list names.
-func pick[T any](names string, byName map[string]T, what string) ([]T, error) {
-	var picked []T
+// selectByName returns the values whose names are in a comma-separated list.
+func selectByName[T any](names string, byName map[string]T, kind string) ([]T, error) {
+	var selected []T
 	for name := range strings.SplitSeq(names, ",") {
 		found, ok := byName[name]
 		if !ok {
-			return nil, fmt.Errorf("there is no %s %q", what, name)
+			return nil, fmt.Errorf("there is no %s %q", kind, name)
 		}
-		picked = append(picked, found)
+		selected = append(selected, found)
 	}
-	return picked, nil
+	return selected, nil
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -10,7 +10,8 @@
 	"zinniamast/explain"
 )
 
-// Explain prints one request's story from the logs of several nodes.
+// Explain prints the history of one request from the logs of several nodes, and
+// returns its exit code.
 func Explain(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("explain", flag.ContinueOnError)
 	flags.SetOutput(errOut)
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -28,7 +28,7 @@
 	operatorKey = strings.Repeat("o", 32)
 )
 
-// hookedTable runs a function after each write that took effect.
+// hookedTable calls a function after each successful write.
 type hookedTable struct {
 	zinniamast.Table
 	mu         sync.Mutex
@@ -46,18 +46,18 @@
 	return err
 }
 
-func (h *hookedTable) after(f func()) {
+func (h *hookedTable) setAfterWrite(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.afterWrite = f
 }
 
-// fleet is a set of nodes in this process that meet over loopback TLS.
+// fleet is a set of nodes in this process that connect over loopback TLS.
 type fleet struct {
 	platform *platform.Platform
 	table    *hookedTable
 	nodes    []*fleetNode
-	// keyFile holds the operator key.
+	// keyFile is the path of a file with the operator key.
 	keyFile string
 }
 
@@ -84,19 +84,20 @@
 	var seeds []string
 	for d := range domains {
 		for i := range perDomain {
-			n := f.start(t, fmt.Sprintf("%c%d", 'a'+d, i), fmt.Sprintf("domain-%c", 'a'+d), seeds)
+			n := f.startNode(t, fmt.Sprintf("%c%d", 'a'+d, i), fmt.Sprintf("domain-%c", 'a'+d), seeds)
 			f.nodes = append(f.nodes, n)
 			seeds = append(seeds, n.server.Address())[:1]
 		}
 	}
-	for !f.met(perDomain, domains) {
+	for !f.hasConverged(perDomain, domains) {
 		time.Sleep(20 * time.Millisecond)
 	}
 	return f
 }
 
-// met says whether every node knows its domain and each other one.
-func (f *fleet) met(perDomain, domains int) bool {
+// hasConverged reports whether every node knows all members of its own failure
+// domain and at least one of each other failure domain.
+func (f *fleet) hasConverged(perDomain, domains int) bool {
 	for _, n := range f.nodes {
 		found := map[string]int{}
 		for _, m := range n.board.Members.All() {
@@ -110,7 +111,7 @@
 	return true
 }
 
-func (f *fleet) start(t testing.TB, id, domain string, seeds []string) *fleetNode {
+func (f *fleet) startNode(t testing.TB, id, domain string, seeds []string) *fleetNode {
 	check := is.New(t)
 	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n := &fleetNode{
@@ -173,8 +174,9 @@
 	return n
 }
 
-// serveOperators answers operators with the given parts alone and returns where.
-func serveOperators(t testing.TB, parts operator.Config) string {
+// serveOperators starts a server with a receiver of the given configuration and
+// returns its address.
+func serveOperators(t testing.TB, config operator.Config) string {
 	check := is.New(t)
 	server, err := peer.NewServer(peer.ServerConfig{
 		Listen:       "127.0.0.1:0",
@@ -183,23 +185,23 @@
 	})
 	check.NoErr(err)
 	t.Cleanup(func() { server.Close(context.Background()) })
-	check.NoErr(server.RegisterOperator(operator.ServiceName, operator.NewReceiver(parts)))
+	check.NoErr(server.RegisterOperator(operator.ServiceName, operator.NewReceiver(config)))
 	go server.Serve()
 	return server.Address()
 }
 
 func (n *fleetNode) run(t testing.TB) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	running.Go(func() { _ = n.server.Serve() })
-	running.Go(func() { n.members.Run(ctx) })
-	running.Go(func() { n.rollout.Run(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = n.server.Serve() })
+	wg.Go(func() { n.members.Run(ctx) })
+	wg.Go(func() { n.rollout.Run(ctx) })
 	t.Cleanup(func() {
 		cancel()
 		stop, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		n.pool.Close()
 		_ = n.server.Close(stop)
-		running.Wait()
+		wg.Wait()
 	})
 }
--- a/command/free.go
+++ b/command/free.go
@@ -9,7 +9,7 @@
 	"zinniamast/operator"
 )
 
-// Free lets a request that is held back run again.
+// Free releases a quarantined request, and returns its exit code.
 func Free(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("free", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -17,7 +17,7 @@
 		fmt.Fprintln(errOut, "usage: zinniamast free [flags] FINGERPRINT\n\nLets a request that zinniamast status lists as held back run again, at every\nnode. It runs alone until it has ended well; one more crash holds it back again.")
 		flags.PrintDefaults()
 	}
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	free := operator.Free{}
 	flags.StringVar(&free.By, "by", "", "your `NAME`, logged at every node")
 	flags.StringVar(&free.Why, "why", "", "the `REASON`, logged at every node")
@@ -29,7 +29,7 @@
 		flags.Usage()
 		return exitUsage
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		if err := client.Free(ctx, free); err != nil {
 			return exitFailed, err
 		}
--- a/command/load.go
+++ b/command/load.go
@@ -53,7 +53,8 @@
 	return exitOK
 }
 
-// parseLoad reads the command line.
+// parseLoad parses the arguments. The bool reports whether the report is to be
+// printed as JSON.
 func parseLoad(args []string, errOut io.Writer) (load.Config, bool, error) {
 	set := flag.NewFlagSet("load", flag.ContinueOnError)
 	set.SetOutput(errOut)
@@ -65,7 +66,7 @@
 	standins := set.String("standins", "", "base URLs of stand-ins that count what ran, separated by commas; without any, runs are not checked")
 	keys := set.String("key", "", "API keys, one per organisation, separated by commas")
 	rate := set.Float64("rate", 20, "requests started a second")
-	length := set.Duration("for", 10*time.Second, "how long requests are started")
+	duration := set.Duration("for", 10*time.Second, "how long requests are started")
 	seed := set.Uint64("seed", 1, "seed of the traffic")
 	mix := set.String("mix", "summary=1,question=4,triage=4,lookup=4,booking=2", "weights of the kinds of traffic")
 	model := set.String("model", "", "model deployment to call (default contract-summary)")
@@ -83,11 +84,11 @@
 		return load.Config{}, false, err
 	}
 	return load.Config{
-		Targets:  list(*targets),
-		Standins: list(*standins),
-		Keys:     list(*keys),
+		Targets:  splitList(*targets),
+		Standins: splitList(*standins),
+		Keys:     splitList(*keys),
 		Rate:     *rate,
-		For:      *length,
+		For:      *duration,
 		Seed:     *seed,
 		Mix:      weights,
 		Model:    *model,
@@ -96,7 +97,7 @@
 	}, *asJSON, nil
 }
 
-// list splits at commas and leaves out empty parts.
-func list(text string) []string {
+// splitList splits text at commas and omits empty parts.
+func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
--- a/command/node.go
+++ b/command/node.go
@@ -13,7 +13,8 @@
 	"zinniamast/settings"
 )
 
-// Node runs an entry instance until TERM or INT, which stop it gracefully.
+// Node runs an entry instance until SIGTERM or SIGINT, which stop it gracefully,
+// and returns its exit code.
 func Node(args []string, _, errOut io.Writer) int {
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -33,7 +34,7 @@
 	logger := newLogger(errOut, loaded.LogLevel)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	built, err := node.New(node.Config{
+	instance, err := node.New(node.Config{
 		Settings: loaded,
 		Platform: node.Connect(loaded),
 		Logger:   logger,
@@ -42,14 +43,15 @@
 		fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
-	if err := built.Run(ctx); err != nil {
+	if err := instance.Run(ctx); err != nil {
 		logger.Error("node failed", "cause", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// newLogger returns a logger of key=value lines.
+// newLogger returns a logger that writes key=value lines. An invalid level means
+// info.
 func newLogger(out io.Writer, level string) *slog.Logger {
 	var threshold slog.Level
 	if err := threshold.UnmarshalText([]byte(level)); err != nil {
@@ -61,8 +63,8 @@
 	}))
 }
 
-// plainError logs an error's message alone; the handler would print the whole
-// stack that merry keeps with it.
+// plainError replaces an error by its message. The handler would otherwise print
+// the whole stack trace that merry attaches to it.
 func plainError(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		return slog.String(a.Key, err.Error())
--- a/command/operator.go
+++ b/command/operator.go
@@ -17,7 +17,7 @@
 	"zinniamast/settings"
 )
 
-// Exit codes of config put beyond those of every subcommand.
+// Additional exit codes of config put.
 const (
 	exitPending   = 3
 	exitConflict  = 4
@@ -25,16 +25,17 @@
 	exitUncertain = 6
 )
 
-// Environment variables that stand in for flags.
+// Environment variables with the default values of flags.
 const (
 	nodeVariable = "ZINNIAMAST_NODE"
 	keyVariable  = "ZINNIAMAST_KEY_FILE"
 )
 
-// operatorTimeout bounds one call to a node; a put waits for all nodes.
+// operatorTimeout limits one call to a node. It leaves time for a put, which waits
+// for the confirmations of all nodes.
 const operatorTimeout = 30 * time.Second
 
-// operatorFlags are the flags of every command that asks a node.
+// operatorFlags are the flags of every command that calls a node.
 type operatorFlags struct {
 	node     *string
 	keyFile  *string
@@ -51,7 +52,7 @@
 	}
 }
 
-// client connects as the flags say.
+// client returns a client for the nodes and the key that the flags name.
 func (f operatorFlags) client() (*operator.Client, error) {
 	var config operator.ClientConfig
 	if *f.settings != "" {
@@ -66,7 +67,7 @@
 		config.Addresses = strings.Split(*f.node, ",")
 	}
 	if *f.keyFile != "" {
-		key, err := firstLine(*f.keyFile)
+		key, err := readKey(*f.keyFile)
 		if err != nil {
 			return nil, err
 		}
@@ -78,9 +79,9 @@
 	return operator.NewClient(config)
 }
 
-// firstLine reads a key; keys are not taken from the command line, where other
-// users of the machine could read them.
-func firstLine(path string) (string, error) {
+// readKey reads an operator key from the first line of a file. Keys are not
+// accepted on the command line, where other users of the machine could read them.
+func readKey(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -93,8 +94,9 @@
 	return strings.TrimSpace(scanner.Text()), nil
 }
 
-// ask runs one command against a node; its errors end the command.
-func (f operatorFlags) ask(errOut io.Writer, command func(ctx context.Context, client *operator.Client) (int, error)) int {
+// withClient runs command with a client and returns its exit code. An error of
+// the command is printed and results in exitFailed.
+func (f operatorFlags) withClient(errOut io.Writer, command func(ctx context.Context, client *operator.Client) (int, error)) int {
 	client, err := f.client()
 	if err != nil {
 		fmt.Fprintln(errOut, err)
@@ -117,18 +119,19 @@
 	return encoder.Encode(value)
 }
 
-// table prints rows in columns.
-func table(out io.Writer, head string, rows func(w io.Writer)) {
+// printTable prints a header and rows in aligned columns. The cells of a line are
+// separated by tabs.
+func printTable(out io.Writer, header string, rows func(w io.Writer)) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, head)
+	fmt.Fprintln(w, header)
 	rows(w)
 	_ = w.Flush()
 }
 
-// timeOfDay writes a moment, or a dash for none.
-func timeOfDay(moment time.Time) string {
-	if moment.IsZero() {
+// formatTime formats t in UTC, or returns a dash for the zero time.
+func formatTime(t time.Time) string {
+	if t.IsZero() {
 		return "-"
 	}
-	return moment.UTC().Format("2006-01-02T15:04:05.000Z")
+	return t.UTC().Format("2006-01-02T15:04:05.000Z")
 }
--- a/command/resolve_test.go
+++ b/command/resolve_test.go
@@ -14,36 +14,36 @@
 	"zinniamast/operator"
 )
 
-// A booking's outcome is unknown. Two operators decide it differently: the
-// first has looked in the service's books, the second is told that the call is
-// open no more. "Not run" is refused while the call may still run, and the
-// caller that sends its key again hears what was decided.
-func TestOperatorsResolveAnUnknown(t *testing.T) {
+// A call's outcome is unknown and two operators decide it differently. The first
+// decision is stored, and the second fails because the call is no longer open.
+// "not_run" is refused while the call may still run. A caller that sends the key
+// again receives the decided outcome.
+func TestResolveUnknownOutcome(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(t, 1, 1)
-	held := claims.New(claims.Config{Table: f.platform.Table, Node: "a0"})
+	store := claims.New(claims.Config{Table: f.platform.Table, Node: "a0"})
 	call := claims.Call{Organisation: "north", Service: "booking", Key: "k", Deadline: time.Now().Add(time.Minute)}
-	standing, err := held.Begin(t.Context(), call)
+	begun, err := store.Begin(t.Context(), call)
 	check.NoErr(err)
-	standing.Claim.EndAsUnknown()
-	check.Equal(held.Close(t.Context()), 0)
+	begun.Claim.EndAsUnknown()
+	check.Equal(store.Close(t.Context()), 0)
 
 	address := serveOperators(t, operator.Config{
 		Resolve: func(ctx context.Context, d operator.Resolve) error {
-			return held.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
+			return store.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
 		},
 	})
-	run := func(want int, words ...string) string {
-		args := append([]string{"-node", address, "-key-file", f.keyFile, "-organisation", "north", "-service", "booking", "-key", "k"}, words...)
-		return f.line(t, want, func(args []string, out, errOut *bytes.Buffer) int {
+	run := func(want int, flags ...string) string {
+		args := append([]string{"-node", address, "-key-file", f.keyFile, "-organisation", "north", "-service", "booking", "-key", "k"}, flags...)
+		return f.runCommand(t, want, func(args []string, out, errOut *bytes.Buffer) int {
 			return command.Resolve(args, out, errOut)
 		}, args...)
 	}
 	check.True(strings.Contains(run(1, "-by", "ada", "not_run"), claims.ErrUnsettled.Error()))
 	check.True(strings.Contains(run(0, "-by", "ada", "ran"), "decided ran"))
 	check.True(strings.Contains(run(1, "-by", "bob", "not_run"), claims.ErrNotOpen.Error()))
-	run(2, "ran") // nobody says who decides
-	again, err := held.Begin(t.Context(), call)
+	run(2, "ran") // -by is missing
+	again, err := store.Begin(t.Context(), call)
 	check.NoErr(err)
 	check.Equal(again.Record.State, claims.StateRan)
 	check.Equal(again.Record.ResolvedBy, "ada")
--- a/command/status.go
+++ b/command/status.go
@@ -12,7 +12,8 @@
 	"zinniamast/operator"
 )
 
-// Status prints a node's view of the fleet, or the story of one request.
+// Status prints a node's view of the fleet or the history of one request, and
+// returns its exit code.
 func Status(args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("status", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -20,7 +21,7 @@
 		fmt.Fprintln(errOut, "usage: zinniamast status [flags]\n\nPrints members, upstreams, configuration versions, leases, calls whose outcome\nis open, requests held back, and refusals by reason, as one node sees them.")
 		flags.PrintDefaults()
 	}
-	to := addOperatorFlags(flags)
+	target := addOperatorFlags(flags)
 	why := flags.String("why", "", "print the story of this `REQUEST` instead")
 	if flags.Parse(args) != nil {
 		return exitUsage
@@ -29,7 +30,7 @@
 		flags.Usage()
 		return exitUsage
 	}
-	return to.ask(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
+	return target.withClient(errOut, func(ctx context.Context, client *operator.Client) (int, error) {
 		if *why != "" {
 			text, err := client.Explain(ctx, *why)
 			fmt.Fprintln(out, text)
@@ -39,7 +40,7 @@
 		if err != nil {
 			return exitFailed, err
 		}
-		if *to.json {
+		if *target.json {
 			return exitOK, printJSON(out, status)
 		}
 		printStatus(out, &status)
@@ -48,7 +49,7 @@
 }
 
 func printStatus(out io.Writer, status *operator.Status) {
-	fmt.Fprintf(out, "node %s in %s at %s\n", status.Node, status.FailureDomain, timeOfDay(status.Now))
+	fmt.Fprintf(out, "node %s in %s at %s\n", status.Node, status.FailureDomain, formatTime(status.Now))
 	if status.Isolated {
 		fmt.Fprintln(out, "warning: the node doubts a member and could ask nobody about it")
 	}
@@ -62,7 +63,7 @@
 	printUpstreams(out, status)
 	fmt.Fprintln(out, "\nCONFIGURATION")
 	printVersions(out, status.Versions)
-	printOpen(out, status)
+	printLeasesAndUnknowns(out, status)
 	printHeld(out, status)
 	fmt.Fprintln(out, "\nREFUSALS BY REASON")
 	for _, reason := range slices.Sorted(maps.Keys(status.Refusals)) {
@@ -72,66 +73,66 @@
 
 func printMembers(out io.Writer, status *operator.Status) {
 	fmt.Fprintln(out, "\nMEMBERS")
-	table(out, "NODE\tFAILURE DOMAIN\tADDRESS\tSTATE\tWEIGHT\tHEARD\tVERSION", func(w io.Writer) {
+	printTable(out, "NODE\tFAILURE DOMAIN\tADDRESS\tSTATE\tWEIGHT\tHEARD\tVERSION", func(w io.Writer) {
 		for _, m := range status.Members {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\t%s\t%d\n", m.ID, m.FailureDomain, m.Address, m.State, m.Weight, ago(status.Now, m.Heard), m.ConfigVersion)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\t%s\t%d\n", m.ID, m.FailureDomain, m.Address, m.State, m.Weight, formatAge(status.Now, m.Heard), m.ConfigVersion)
 		}
 	})
 	if len(status.Domains) == 0 {
 		return
 	}
 	fmt.Fprintln(out, "\nOTHER FAILURE DOMAINS")
-	table(out, "FAILURE DOMAIN\tALIVE\tHEARD\tVERSION", func(w io.Writer) {
+	printTable(out, "FAILURE DOMAIN\tALIVE\tHEARD\tVERSION", func(w io.Writer) {
 		for _, d := range status.Domains {
-			fmt.Fprintf(w, "%s\t%d of %d\t%s\t%d\n", d.Name, d.Alive, d.Members, ago(status.Now, d.Heard), d.Config)
+			fmt.Fprintf(w, "%s\t%d of %d\t%s\t%d\n", d.Name, d.Alive, d.Members, formatAge(status.Now, d.Heard), d.Config)
 		}
 	})
 }
 
 func printUpstreams(out io.Writer, status *operator.Status) {
 	fmt.Fprintln(out, "\nUPSTREAMS")
-	table(out, "UPSTREAM\tFAILURE DOMAIN\tSERVICE\tSTATE\tIN FLIGHT", func(w io.Writer) {
+	printTable(out, "UPSTREAM\tFAILURE DOMAIN\tSERVICE\tSTATE\tIN FLIGHT", func(w io.Writer) {
 		for _, u := range status.Upstreams {
 			state := "serving"
 			if u.Leaving {
 				state = "leaving"
 			}
 			if !u.LeavesAt.IsZero() {
-				state = "leaving at " + timeOfDay(u.LeavesAt)
+				state = "leaving at " + formatTime(u.LeavesAt)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\n", u.ID, u.FailureDomain, u.Service, state, u.Inflight)
 		}
 	})
 }
 
-func printOpen(out io.Writer, status *operator.Status) {
+func printLeasesAndUnknowns(out io.Writer, status *operator.Status) {
 	fmt.Fprintln(out, "\nLEASES")
-	table(out, "LEASE\tHOLDER\tFENCE\tEXPIRES", func(w io.Writer) {
+	printTable(out, "LEASE\tHOLDER\tFENCE\tEXPIRES", func(w io.Writer) {
 		for _, l := range status.Leases {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", l.Name, l.Holder, l.Fence, timeOfDay(l.Expires))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", l.Name, l.Holder, l.Fence, formatTime(l.Expires))
 		}
 	})
 	fmt.Fprintln(out, "\nOPEN UNKNOWNS")
-	table(out, "REQUEST\tORGANISATION\tSERVICE\tKEY\tSINCE\tUPSTREAM\tSETTLED", func(w io.Writer) {
+	printTable(out, "REQUEST\tORGANISATION\tSERVICE\tKEY\tSINCE\tUPSTREAM\tSETTLED", func(w io.Writer) {
 		for _, u := range status.Unknowns {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%t\n", u.Request, u.Organisation, u.Service, u.Key, timeOfDay(u.Since), u.Upstream, u.Settled)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%t\n", u.Request, u.Organisation, u.Service, u.Key, formatTime(u.Since), u.Upstream, u.Settled)
 		}
 	})
 }
 
 func printHeld(out io.Writer, status *operator.Status) {
 	fmt.Fprintln(out, "\nHELD BACK")
-	table(out, "FINGERPRINT\tSINCE\tCRASHES", func(w io.Writer) {
+	printTable(out, "FINGERPRINT\tSINCE\tCRASHES", func(w io.Writer) {
 		for _, h := range status.Held {
-			fmt.Fprintf(w, "%s\t%s\t%d\n", h.Fingerprint, ago(status.Now, h.Since), h.Crashes)
+			fmt.Fprintf(w, "%s\t%s\t%d\n", h.Fingerprint, formatAge(status.Now, h.Since), h.Crashes)
 		}
 	})
 }
 
-// ago writes how long before now a moment was.
-func ago(now, moment time.Time) string {
-	if moment.IsZero() {
+// formatAge formats the time from t to now, or returns a dash for the zero time.
+func formatAge(now, t time.Time) string {
+	if t.IsZero() {
 		return "-"
 	}
-	return now.Sub(moment).Round(100*time.Millisecond).String() + " ago"
+	return now.Sub(t).Round(100*time.Millisecond).String() + " ago"
 }
