--- a/clock/clock.go
+++ b/clock/clock.go
@@ -43,8 +43,8 @@
 	return time.Duration(now.Nano())
 }
 
-// Heard records the store's clock from an answer that has just arrived.
-func (c *Clock) Heard(store time.Duration) {
+// ObserveStoreTime records the store's clock from an answer that has just arrived.
+func (c *Clock) ObserveStoreTime(store time.Duration) {
 	boot := sinceBoot()
 	wall := time.Duration(time.Now().UnixNano())
 	c.mu.Lock()
@@ -58,16 +58,16 @@
 	c.storeMinusBoot = max(c.storeMinusBoot, store-boot)
 }
 
-// Own returns this node's time of day minus the store's clock, as measured at the
+// LocalOffset returns this node's time of day minus the store's clock, as measured at the
 // first answer; false before that.
-func (c *Clock) Own() (time.Duration, bool) {
+func (c *Clock) LocalOffset() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.localOffset, c.hasStoreTime
 }
 
-// Agree sets the offset of true time to the median of the nodes' offsets.
-func (c *Clock) Agree(offsets []time.Duration) {
+// SetOffset sets the offset of true time to the median of the nodes' offsets.
+func (c *Clock) SetOffset(offsets []time.Duration) {
 	if len(offsets) == 0 {
 		return
 	}
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -16,10 +16,10 @@
 	c := &clock.Clock{}
 	_, ok := c.Now()
 	check.True(!ok)
-	c.Heard(50 * time.Second)
-	own, ok := c.Own()
+	c.ObserveStoreTime(50 * time.Second)
+	own, ok := c.LocalOffset()
 	check.True(ok)
-	c.Agree([]time.Duration{own - 40*time.Minute, own, own + time.Millisecond, own, own - time.Millisecond, own, own + 40*time.Minute})
+	c.SetOffset([]time.Duration{own - 40*time.Minute, own, own + time.Millisecond, own, own - time.Millisecond, own, own + 40*time.Minute})
 	now, ok := c.Now()
 	check.True(ok)
 	check.True(time.Until(now).Abs() < 50*time.Millisecond)
@@ -30,10 +30,10 @@
 func TestDelayedAnswersAreIgnored(t *testing.T) {
 	check := is.New(t)
 	c := &clock.Clock{}
-	c.Heard(50 * time.Second)
-	own, _ := c.Own()
-	c.Agree([]time.Duration{own})
-	c.Heard(49 * time.Second) // a second late
+	c.ObserveStoreTime(50 * time.Second)
+	own, _ := c.LocalOffset()
+	c.SetOffset([]time.Duration{own})
+	c.ObserveStoreTime(49 * time.Second) // a second late
 	now, _ := c.Now()
 	check.True(time.Until(now).Abs() < 50*time.Millisecond)
 }
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -57,7 +57,7 @@
 func (e *Entry) followStore() {
 	s := e.config.Settings
 	store := platform.NewStore(s.StoreAddress)
-	store.OnClock(e.clock.Heard)
+	store.OnClock(e.clock.ObserveStoreTime)
 	store.OnCall(newStoreMetrics(e.registry).called)
 	e.table = platform.NewTable(store)
 	e.follower = registry.NewFollower(registry.FollowerConfig{
@@ -75,8 +75,8 @@
 		ID:            s.Instance,
 		FailureDomain: s.FailureDomain,
 		Address:       s.Peer,
-		Offset:        e.clock.Own,
-		OnOffsets:     e.clock.Agree,
+		Offset:        e.clock.LocalOffset,
+		OnOffsets:     e.clock.SetOffset,
 		Logger:        e.config.Logger,
 	})
 }
--- a/entry/neighbour.go
+++ b/entry/neighbour.go
@@ -25,8 +25,8 @@
 	_ usage.Collector = neighbour{}
 )
 
-// TellReplicas implements registry.Peer.
-func (n neighbour) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+// ReplicasAfter implements registry.Peer.
+func (n neighbour) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
 	ask := Ask{
 		Position: position,
 		Wait:     wait,
@@ -36,8 +36,8 @@
 	return told.Changes, errors.Join(err, told.Refused.err())
 }
 
-// TellConfig implements registry.Peer.
-func (n neighbour) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+// ConfigAfter implements registry.Peer.
+func (n neighbour) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	ask := Ask{
 		Position: position,
 		Wait:     wait,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -117,7 +117,7 @@
 
 // Known answers with the entries known here.
 func (r *Relay) Known(_ struct{}, reply *registry.ReplicaChanges) error {
-	*reply = r.follower.Known()
+	*reply = r.follower.Replicas()
 	return nil
 }
 
@@ -174,7 +174,7 @@
 		return
 	}
 	if !e.follower.Ready() {
-		e.follower.Bring(known)
+		e.follower.Seed(known)
 	}
 }
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -36,14 +36,14 @@
 func refusedBy(err error) Refused {
 	return Refused{
 		Stale:       errors.Is(err, registry.ErrStale),
-		HistoryGone: errors.Is(err, registry.ErrHistoryGone),
+		HistoryGone: errors.Is(err, registry.ErrHistoryDropped),
 	}
 }
 
 func (r Refused) err() error {
 	switch {
 	case r.HistoryGone:
-		return registry.ErrHistoryGone
+		return registry.ErrHistoryDropped
 	case r.Stale:
 		return registry.ErrStale
 	default:
@@ -53,7 +53,7 @@
 
 // Replicas answers what changed after a position.
 func (r *Relay) Replicas(ask Ask, reply *ReplicasTold) error {
-	changes, err := r.follower.TellReplicas(context.Background(), ask.Position, ask.Wait)
+	changes, err := r.follower.ReplicasAfter(context.Background(), ask.Position, ask.Wait)
 	reply.Changes = changes
 	reply.Refused = refusedBy(err)
 	return nil
@@ -61,7 +61,7 @@
 
 // Config answers the configuration once it is beyond a position.
 func (r *Relay) Config(ask Ask, reply *ConfigTold) error {
-	change, err := r.follower.TellConfig(context.Background(), ask.Position, ask.Wait)
+	change, err := r.follower.ConfigAfter(context.Background(), ask.Position, ask.Wait)
 	reply.Change = change
 	reply.Refused = refusedBy(err)
 	return nil
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -70,7 +70,7 @@
 		e.config.Logger.Debug("roster not told", "peer", address, "cause", err)
 		return false
 	}
-	e.roster.Keep(entries)
+	e.roster.Set(entries)
 	return true
 }
 
--- a/registry/follower.go
+++ b/registry/follower.go
@@ -90,13 +90,13 @@
 // Ready reports whether replicas and a configuration are known.
 func (f *Follower) Ready() bool { return f.ready.Load() && f.config.Routes.Current() != nil }
 
-// Bring passes a peer's replicas to a follower that has not reached the store yet.
+// Seed passes a peer's replicas to a follower that has not reached the store yet.
 //
 // A node that starts while the store is down would otherwise refuse every request
 // until the store recovers, although its neighbours serve. The peer's replicas
 // are used until the store itself answers: later versions replace them, and those
 // that the first full list lacks are removed.
-func (f *Follower) Bring(changes ReplicaChanges) {
+func (f *Follower) Seed(changes ReplicaChanges) {
 	select {
 	case f.seeds <- changes:
 	default:
@@ -183,7 +183,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryDropped) {
 		f.config.Logger.Info("feed history dropped, reading full table", "table", feed.table)
 		feed.hasPosition = false
 		f.sleep(ctx, minRetryDelay)
--- a/registry/peer_feed.go
+++ b/registry/peer_feed.go
@@ -130,10 +130,10 @@
 	}
 }
 
-// TellReplicas answers a peer as the store's feed would. ErrHistoryGone means
+// ReplicasAfter answers a peer as the store's feed would. ErrHistoryGone means
 // that the peer is too far behind, ErrStale that this node has no recent answer
 // from the store.
-func (f *Follower) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error) {
+func (f *Follower) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error) {
 	p := &f.peerFeed
 	p.wait(ctx, &p.replicas, position, wait)
 	p.mu.Lock()
@@ -142,7 +142,7 @@
 		return ReplicaChanges{}, ErrStale
 	}
 	if position < p.oldestPosition {
-		return ReplicaChanges{}, ErrHistoryGone
+		return ReplicaChanges{}, ErrHistoryDropped
 	}
 	answer := ReplicaChanges{
 		Position: max(position, p.replicas.position),
@@ -155,8 +155,8 @@
 	return answer, nil
 }
 
-// TellConfig answers a peer as the store's feed would.
-func (f *Follower) TellConfig(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error) {
+// ConfigAfter answers a peer as the store's feed would.
+func (f *Follower) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error) {
 	p := &f.peerFeed
 	p.wait(ctx, &p.config, position, wait)
 	p.mu.Lock()
@@ -170,8 +170,8 @@
 	}, nil
 }
 
-// Known returns the replicas known to this node, for a peer that has none.
-func (f *Follower) Known() ReplicaChanges {
+// Replicas returns the replicas known to this node, for a peer that has none.
+func (f *Follower) Replicas() ReplicaChanges {
 	p := &f.peerFeed
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/registry/relayed.go
+++ b/registry/relayed.go
@@ -18,10 +18,10 @@
 
 // Peer is another node that follows the store and answers on its behalf.
 type Peer interface {
-	// TellReplicas waits for changes of replicas after a position.
-	TellReplicas(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error)
-	// TellConfig waits for a change of the configuration after a position.
-	TellConfig(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error)
+	// ReplicasAfter waits for changes of replicas after a position.
+	ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error)
+	// ConfigAfter waits for a change of the configuration after a position.
+	ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (ConfigChange, error)
 }
 
 // RelayedConfig configures a Relayed source.
@@ -75,7 +75,7 @@
 // recordReaderFailure records a peer's failure. ErrHistoryGone is not a failure of
 // the peer: it only lacks the history from the requested position.
 func (l *loopState) recordReaderFailure(err error) {
-	if !errors.Is(err, ErrHistoryGone) {
+	if !errors.Is(err, ErrHistoryDropped) {
 		l.readerBackoffUntil = time.Now().Add(readerBackoff)
 	}
 }
@@ -118,7 +118,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	changes, err := peer.TellReplicas(callCtx, position, min(wait, relayWait))
+	changes, err := peer.ReplicasAfter(callCtx, position, min(wait, relayWait))
 	if err == nil {
 		return changes, nil
 	}
@@ -141,7 +141,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	change, err := peer.TellConfig(callCtx, position, min(wait, relayWait))
+	change, err := peer.ConfigAfter(callCtx, position, min(wait, relayWait))
 	if err == nil {
 		return change, nil
 	}
--- a/registry/relayed_test.go
+++ b/registry/relayed_test.go
@@ -51,11 +51,11 @@
 	}, err
 }
 
-func (s *fakeSource) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+func (s *fakeSource) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
 	return s.FollowReplicas(ctx, position, wait)
 }
 
-func (s *fakeSource) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+func (s *fakeSource) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	return s.FollowConfig(ctx, position, wait)
 }
 
@@ -115,20 +115,20 @@
 	ctx := context.Background()
 	f.store.PutJSON("servers", "i-0", readyEntry(1))
 	f.eventually(time.Second, "replica", f.isAccepting("i-0"))
-	answer, err := f.follower.TellReplicas(ctx, 1, time.Second)
+	answer, err := f.follower.ReplicasAfter(ctx, 1, time.Second)
 	f.is.NoErr(err)
 	position := answer.Position
 	f.store.PutJSON("servers", "i-1", readyEntry(1))
 	f.store.Remove("servers", "i-0")
 	f.eventually(time.Second, "removed", f.isNotAccepting("i-0"))
-	answer, err = f.follower.TellReplicas(ctx, position, time.Second)
+	answer, err = f.follower.ReplicasAfter(ctx, position, time.Second)
 	f.is.NoErr(err)
 	f.is.Equal(len(answer.Changes), 2)
 	for _, change := range answer.Changes {
 		f.is.Equal(change.Replica == nil, change.ID == "i-0")
 	}
 	began := time.Now()
-	_, err = f.follower.TellReplicas(ctx, answer.Position, 100*time.Millisecond)
+	_, err = f.follower.ReplicasAfter(ctx, answer.Position, 100*time.Millisecond)
 	f.is.NoErr(err)
 	f.is.True(time.Since(began) >= 100*time.Millisecond)
 }
@@ -145,12 +145,12 @@
 			f := newFixture(t)
 			f.store.PutJSON("servers", "i-0", readyEntry(1))
 			f.eventually(time.Second, "replica", f.isAccepting("i-0"))
-			answer, err := f.follower.TellReplicas(context.Background(), 1, time.Second)
+			answer, err := f.follower.ReplicasAfter(context.Background(), 1, time.Second)
 			f.is.NoErr(err)
 			f.store.SetFault(fault)
 			began := time.Now()
 			for err == nil && time.Since(began) < 5*time.Second {
-				_, err = f.follower.TellReplicas(context.Background(), answer.Position, 700*time.Millisecond)
+				_, err = f.follower.ReplicasAfter(context.Background(), answer.Position, 700*time.Millisecond)
 			}
 			f.is.True(errors.Is(err, registry.ErrStale))
 			f.is.True(time.Since(began) < 1600*time.Millisecond)
--- a/registry/source.go
+++ b/registry/source.go
@@ -10,9 +10,9 @@
 	"zinniamast/routes"
 )
 
-// ErrHistoryGone means that a feed cannot continue from a position and the full
+// ErrHistoryDropped means that a feed cannot continue from a position and the full
 // table has to be read.
-var ErrHistoryGone = errors.New("history gone")
+var ErrHistoryDropped = errors.New("history gone")
 
 // Source provides the two tables of the store that this node follows.
 type Source interface {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -209,12 +209,12 @@
 			Revision:      item.Revision,
 		})
 	}
-	r.Keep(entries)
+	r.Set(entries)
 	return entries, nil
 }
 
-// Keep stores a roster that was read by this or another node.
-func (r *Roster) Keep(entries []Entry) {
+// Set stores a roster that was read by this or another node.
+func (r *Roster) Set(entries []Entry) {
 	instances := make([]zinniamast.Instance, 0, len(entries))
 	offsets := make([]time.Duration, 0, len(entries))
 	for _, entry := range entries {
