--- a/claims/throughput_test.go
+++ b/claims/throughput_test.go
@@ -37,13 +37,13 @@
 			WritesASecond: 300,
 		})
 		var all []*claims.Claims
-		var paths []*tablebudget.Path
+		var paths []*tablebudget.Client
 		for n := range nodes {
 			path := tablebudget.New(tablebudget.Config{
-				Table:         p.Table,
-				WritesASecond: 290.0 / nodes,
-				ReadsASecond:  2000.0 / nodes,
-				MaxBatch:      maxBatch,
+				Table:           p.Table,
+				WritesPerSecond: 290.0 / nodes,
+				ReadsPerSecond:  2000.0 / nodes,
+				MaxBatch:        maxBatch,
 			})
 			paths = append(paths, path)
 			all = append(all, claims.New(claims.Config{
--- a/node/services.go
+++ b/node/services.go
@@ -35,7 +35,7 @@
 func (n *Node) serveServices(budget *retry.Policy) error {
 	s := n.config.Settings
 	n.claims = claims.New(claims.Config{
-		Table:      n.table.Role(roleClaims),
+		Table:      n.table.WithRole(roleClaims),
 		Objects:    n.config.Platform.Objects,
 		Node:       s.Instance,
 		Logger:     n.config.Logger,
--- a/node/table.go
+++ b/node/table.go
@@ -26,10 +26,10 @@
 func (n *Node) openTable() {
 	p := &n.config.Settings.Platform
 	n.table = tablebudget.New(tablebudget.Config{
-		Table:         n.config.Platform.Table,
-		WritesASecond: p.WritesASec,
-		ReadsASecond:  p.ReadsASec,
-		Registerer:    n.registry,
+		Table:           n.config.Platform.Table,
+		WritesPerSecond: p.WritesASec,
+		ReadsPerSecond:  p.ReadsASec,
+		Registerer:      n.registry,
 	})
 }
 
@@ -41,7 +41,7 @@
 		Node:          s.Instance,
 		FailureDomain: s.FailureDomain,
 		Board:         n.board,
-		Table:         n.table.Role(roleRollout),
+		Table:         n.table.WithRole(roleRollout),
 		Transport:     n.pool,
 		Joined:        n.members.Joined,
 		Logger:        n.config.Logger,
@@ -63,7 +63,7 @@
 		FailureDomain: s.FailureDomain,
 	})
 	n.lease = lease.New(lease.Config{
-		Table:  n.table.Role(roleLease),
+		Table:  n.table.WithRole(roleLease),
 		Name:   leaseCapacity,
 		Holder: s.Instance,
 		Logger: n.config.Logger,
@@ -71,7 +71,7 @@
 	n.reports = capacity.NewReports(n.board.Upstreams)
 	n.capacity = capacity.New(capacity.Config{
 		Lease:           n.lease,
-		Table:           n.table.Role(roleCapacity),
+		Table:           n.table.WithRole(roleCapacity),
 		Cloud:           n.config.Platform.Cloud,
 		List:            n.list,
 		Weights:         n.config.Platform.Weights,
--- a/tablebudget/bench_test.go
+++ b/tablebudget/bench_test.go
@@ -14,8 +14,8 @@
 // answers immediately.
 func BenchmarkWrite(b *testing.B) {
 	path := tablebudget.New(tablebudget.Config{
-		Table:         platform.New(platform.Config{}).Table,
-		WritesASecond: 1e9,
+		Table:           platform.New(platform.Config{}).Table,
+		WritesPerSecond: 1e9,
 	})
 	defer path.Close()
 	b.ReportAllocs()
--- a/tablebudget/breaker.go
+++ b/tablebudget/breaker.go
@@ -41,14 +41,14 @@
 // jittered and increasing intervals, so that 370 nodes together send at most
 // about 100 requests per second and do not all resume at the same moment.
 type breaker struct {
-	path *Path
+	path *Client
 
 	mu       sync.Mutex
 	machine  *fsm.FSM
 	failures int
 }
 
-func newBreaker(p *Path) *breaker {
+func newBreaker(p *Client) *breaker {
 	return &breaker{
 		path: p,
 		machine: fsm.NewFSM(stateClosed, fsm.Events{
--- a/tablebudget/commit.go
+++ b/tablebudget/commit.go
@@ -14,7 +14,7 @@
 // commit sends one batch and answers or retries each of its calls. A throttled
 // batch is retried without waiting for the rate limit again: with that wait,
 // callers would reach their deadlines although the table has capacity again.
-func (p *Path) commit(batch []*writeCall) {
+func (p *Client) commit(batch []*writeCall) {
 	for retries := 0; len(batch) > 0; retries++ {
 		err := p.sendBatch(batch)
 		if !errors.Is(err, zinniamast.ErrThrottled) {
@@ -27,7 +27,7 @@
 }
 
 // sendBatch sends the batch in one request.
-func (p *Path) sendBatch(batch []*writeCall) error {
+func (p *Client) sendBatch(batch []*writeCall) error {
 	var writes []zinniamast.Write
 	for _, c := range batch {
 		writes = append(writes, c.writes...)
@@ -40,7 +40,7 @@
 }
 
 // finishBatch answers or retries each call of the batch.
-func (p *Path) finishBatch(batch []*writeCall, err error) {
+func (p *Client) finishBatch(batch []*writeCall, err error) {
 	var conflict *zinniamast.ConflictError
 	switch {
 	case err == nil:
@@ -58,7 +58,7 @@
 
 // waitAfterThrottle waits for the backoff and returns the calls that are still
 // worth sending.
-func (p *Path) waitAfterThrottle(batch []*writeCall, retries int) []*writeCall {
+func (p *Client) waitAfterThrottle(batch []*writeCall, retries int) []*writeCall {
 	p.metrics.retries.WithLabelValues(retryThrottled).Add(float64(len(batch)))
 	p.updateSent(batch, false)
 	timer := time.NewTimer(backoff(retries))
@@ -78,7 +78,7 @@
 
 // updateSent updates whether the table may have received the calls. If they are
 // about to be sent, it returns those that can still be answered in time.
-func (p *Path) updateSent(batch []*writeCall, sending bool) []*writeCall {
+func (p *Client) updateSent(batch []*writeCall, sending bool) []*writeCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var sendable []*writeCall
@@ -94,7 +94,7 @@
 
 // finishConflict answers the calls that conflict and requeues the others; a
 // transaction with a conflict writes nothing.
-func (p *Path) finishConflict(batch []*writeCall, conflict *zinniamast.ConflictError) {
+func (p *Client) finishConflict(batch []*writeCall, conflict *zinniamast.ConflictError) {
 	var unaffected, unknown []*writeCall
 	conflicts := map[*writeCall]*zinniamast.ConflictError{}
 	first := 0
@@ -149,7 +149,7 @@
 // the first request may still be in flight and take effect after the read. The
 // same conditional write, sent again, either takes effect, after which the
 // first no longer can, or conflicts, and then a read shows with which write.
-func (p *Path) retryUnknown(batch []*writeCall) {
+func (p *Client) retryUnknown(batch []*writeCall) {
 	for _, c := range batch {
 		c.outcomeUnknown = true
 		p.retryLater(c, retryLost)
@@ -158,11 +158,11 @@
 
 // resolve distinguishes a conflict with an earlier request of the same call from
 // one with another write, by the token of the stored item.
-func (p *Path) resolve(c *writeCall, conflict *zinniamast.ConflictError) error {
+func (p *Client) resolve(c *writeCall, conflict *zinniamast.ConflictError) error {
 	p.metrics.resolved.Inc()
 	conflictsWithOther := false
 	for _, w := range c.writes {
-		item, err := p.Role(c.role).Get(p.stop, w.Item.Key)
+		item, err := p.WithRole(c.role).Get(p.stop, w.Item.Key)
 		switch {
 		case errors.Is(err, zinniamast.ErrNotFound):
 			if w.Delete && len(c.writes) == 1 {
--- a/tablebudget/http_test.go
+++ b/tablebudget/http_test.go
@@ -34,9 +34,9 @@
 	})
 	defer table.Close()
 	path := tablebudget.New(tablebudget.Config{
-		Table:         table,
-		WritesASecond: 100,
-		ReadsASecond:  100,
+		Table:           table,
+		WritesPerSecond: 100,
+		ReadsPerSecond:  100,
 	})
 	defer path.Close()
 	is.NoErr(p.SetFault(platform.ServiceTable, platform.Fault{LoseAnswers: 2}))
--- a/tablebudget/path.go
+++ b/tablebudget/path.go
@@ -40,10 +40,10 @@
 type Config struct {
 	// Table is the platform's table.
 	Table zinniamast.Table
-	// WritesASecond and ReadsASecond are this node's share of the fleet's
+	// WritesPerSecond and ReadsASecond are this node's share of the fleet's
 	// rate, in requests per second; zero means 1 and 5.
-	WritesASecond float64
-	ReadsASecond  float64
+	WritesPerSecond float64
+	ReadsPerSecond  float64
 	// MaxBatch is the maximum number of items in a transaction; zero means 100
 	// and 1 disables batching.
 	MaxBatch int
@@ -59,8 +59,8 @@
 	Registerer prometheus.Registerer
 }
 
-// Path is the rate-limited client of the table. It implements zinniamast.Table.
-type Path struct {
+// Client is the rate-limited client of the table. It implements zinniamast.Table.
+type Client struct {
 	config  Config
 	reads   *rate.Limiter
 	writes  *rate.Limiter
@@ -87,13 +87,13 @@
 }
 
 // New returns a Path that runs until Close.
-func New(c Config) *Path {
+func New(c Config) *Client {
 	c = c.withDefaults()
 	stop, cancel := context.WithCancel(context.Background())
-	p := &Path{
+	p := &Client{
 		config:  c,
-		reads:   newLimiter(c.ReadsASecond),
-		writes:  newLimiter(c.WritesASecond),
+		reads:   newLimiter(c.ReadsPerSecond),
+		writes:  newLimiter(c.WritesPerSecond),
 		metrics: newMetrics(c.Registerer),
 		prefix:  rand.Text() + "-",
 		stop:    stop,
@@ -107,11 +107,11 @@
 }
 
 func (c Config) withDefaults() Config {
-	if c.WritesASecond == 0 {
-		c.WritesASecond = defaultWrites
+	if c.WritesPerSecond == 0 {
+		c.WritesPerSecond = defaultWrites
 	}
-	if c.ReadsASecond == 0 {
-		c.ReadsASecond = defaultReads
+	if c.ReadsPerSecond == 0 {
+		c.ReadsPerSecond = defaultReads
 	}
 	if c.MaxBatch == 0 {
 		c.MaxBatch = defaultMaxBatch
@@ -137,7 +137,7 @@
 
 // Close fails the queued calls and returns when all goroutines of the Path
 // have ended.
-func (p *Path) Close() {
+func (p *Client) Close() {
 	p.mu.Lock()
 	p.cancel()
 	p.ready.Broadcast()
@@ -148,7 +148,7 @@
 
 // spawn runs f in a goroutine that Close waits for. It returns false and does
 // not run f if the Path is closed.
-func (p *Path) spawn(f func()) bool {
+func (p *Client) spawn(f func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stop.Err() != nil {
@@ -160,15 +160,15 @@
 
 // Available reports whether the table counts as available, which is while the
 // circuit breaker is closed.
-func (p *Path) Available() bool { return p.breaker.isClosed() }
+func (p *Client) Available() bool { return p.breaker.isClosed() }
 
 // newToken returns a unique token for a write.
-func (p *Path) newToken() string {
+func (p *Client) newToken() string {
 	return p.prefix + strconv.FormatUint(p.sequence.Add(1), 36)
 }
 
 // withDeadline adds the configured deadline to a context that has none.
-func (p *Path) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+func (p *Client) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
--- a/tablebudget/path_test.go
+++ b/tablebudget/path_test.go
@@ -101,11 +101,11 @@
 		applied:         map[string]bool{},
 	}
 	path := tablebudget.New(tablebudget.Config{
-		Table:         table,
-		WritesASecond: 200,
-		ReadsASecond:  500,
-		CallTimeout:   100 * time.Millisecond,
-		Deadline:      time.Second,
+		Table:           table,
+		WritesPerSecond: 200,
+		ReadsPerSecond:  500,
+		CallTimeout:     100 * time.Millisecond,
+		Deadline:        time.Second,
 	})
 	answers := map[string]error{}
 	var mu sync.Mutex
@@ -163,12 +163,12 @@
 		is := is.New(t)
 		const nodes = 60
 		p := platform.New(platform.Config{})
-		var paths []*tablebudget.Path
+		var paths []*tablebudget.Client
 		for range nodes {
 			paths = append(paths, tablebudget.New(tablebudget.Config{
-				Table:         p.Table,
-				WritesASecond: 1,
-				ReadsASecond:  5,
+				Table:           p.Table,
+				WritesPerSecond: 1,
+				ReadsPerSecond:  5,
 			}))
 		}
 		is.NoErr(p.SetFault(platform.ServiceTable, platform.Fault{Down: true}))
@@ -231,9 +231,9 @@
 		is := is.New(t)
 		p := platform.New(platform.Config{TableDelay: 5 * time.Millisecond})
 		path := tablebudget.New(tablebudget.Config{
-			Table:         p.Table,
-			WritesASecond: 100,
-			Inflight:      1,
+			Table:           p.Table,
+			WritesPerSecond: 100,
+			Inflight:        1,
 		})
 		defer path.Close()
 		var writers sync.WaitGroup
--- a/tablebudget/read.go
+++ b/tablebudget/read.go
@@ -9,24 +9,24 @@
 )
 
 // Get implements zinniamast.Table.
-func (p *Path) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
-	return p.Role(RoleOther).Get(ctx, key)
+func (p *Client) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
+	return p.WithRole(RoleOther).Get(ctx, key)
 }
 
 // Query implements zinniamast.Table.
-func (p *Path) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
-	return p.Role(RoleOther).Query(ctx, partition, after, limit)
+func (p *Client) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
+	return p.WithRole(RoleOther).Query(ctx, partition, after, limit)
 }
 
 // Write implements zinniamast.Table. An error that is none of the root
 // package's errors means that the outcome is unknown: the write may have taken
 // effect or may still do so; see resolve.
-func (p *Path) Write(ctx context.Context, writes []zinniamast.Write) error {
-	return p.Role(RoleOther).Write(ctx, writes)
+func (p *Client) Write(ctx context.Context, writes []zinniamast.Write) error {
+	return p.WithRole(RoleOther).Write(ctx, writes)
 }
 
-// Role returns a view of the Path whose requests are counted under the name.
-func (p *Path) Role(name string) zinniamast.Table {
+// WithRole returns a view of the Path whose requests are counted under the name.
+func (p *Client) WithRole(name string) zinniamast.Table {
 	return &roleView{
 		path: p,
 		name: name,
@@ -37,7 +37,7 @@
 const RoleOther = "other"
 
 type roleView struct {
-	path *Path
+	path *Client
 	name string
 }
 
@@ -67,7 +67,7 @@
 }
 
 // read makes one rate-limited read.
-func (p *Path) read(ctx context.Context, role string, f func(context.Context) error) error {
+func (p *Client) read(ctx context.Context, role string, f func(context.Context) error) error {
 	if !p.breaker.isClosed() {
 		p.metrics.countRefusal(refusedUnavailable)
 		return zinniamast.ErrUnavailable
@@ -83,7 +83,7 @@
 }
 
 // send makes one request within CallTimeout and records its result in the breaker.
-func (p *Path) send(ctx context.Context, f func(context.Context) error) error {
+func (p *Client) send(ctx context.Context, f func(context.Context) error) error {
 	limited, cancel := context.WithTimeout(ctx, p.config.CallTimeout)
 	defer cancel()
 	began := time.Now()
@@ -107,13 +107,13 @@
 
 // observeLatency updates the smoothed latency; an update lost between two
 // concurrent requests is harmless.
-func (p *Path) observeLatency(elapsed time.Duration) {
+func (p *Client) observeLatency(elapsed time.Duration) {
 	latency := p.latencyNanos.Load()
 	p.latencyNanos.Store(latency + (int64(elapsed)-latency)/8)
 }
 
 // latency returns the smoothed latency of requests to the table.
-func (p *Path) latency() time.Duration { return time.Duration(p.latencyNanos.Load()) }
+func (p *Client) latency() time.Duration { return time.Duration(p.latencyNanos.Load()) }
 
 // isOutcomeUnknown reports whether it is unknown after err if the request took effect.
 func isOutcomeUnknown(err error) bool {
--- a/tablebudget/throughput_test.go
+++ b/tablebudget/throughput_test.go
@@ -45,12 +45,12 @@
 			TableDelay:    5 * time.Millisecond,
 			WritesASecond: 300,
 		})
-		var paths []*tablebudget.Path
+		var paths []*tablebudget.Client
 		for range c.nodes {
 			paths = append(paths, tablebudget.New(tablebudget.Config{
-				Table:         p.Table,
-				WritesASecond: c.writesPerSecond,
-				MaxBatch:      c.maxBatch,
+				Table:           p.Table,
+				WritesPerSecond: c.writesPerSecond,
+				MaxBatch:        c.maxBatch,
 			}))
 		}
 		random := rand.New(rand.NewPCG(1, 1))
--- a/tablebudget/write.go
+++ b/tablebudget/write.go
@@ -33,7 +33,7 @@
 }
 
 // write queues the writes and waits for their result.
-func (p *Path) write(ctx context.Context, role string, writes []zinniamast.Write) error {
+func (p *Client) write(ctx context.Context, role string, writes []zinniamast.Write) error {
 	if len(writes) == 0 {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (p *Path) newWriteCall(role string, writes []zinniamast.Write) *writeCall {
+func (p *Client) newWriteCall(role string, writes []zinniamast.Write) *writeCall {
 	c := &writeCall{
 		role:   role,
 		writes: slices.Clone(writes),
@@ -76,7 +76,7 @@
 }
 
 // enqueue returns false if the queue is full or the Path is closed.
-func (p *Path) enqueue(c *writeCall) bool {
+func (p *Client) enqueue(c *writeCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.queue) >= p.config.MaxQueue || p.stop.Err() != nil {
@@ -89,7 +89,7 @@
 
 // abandon withdraws a call whose context has ended. Only a call that was never
 // sent is reported as not done; the outcome of any other is unknown.
-func (p *Path) abandon(c *writeCall, cause error) error {
+func (p *Client) abandon(c *writeCall, cause error) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -108,7 +108,7 @@
 // dispatch sends a batch whenever calls are queued, a slot is free and the rate
 // limit allows it. Calls that arrive while it waits for one of these are sent
 // together; a single write on an idle Path is sent immediately.
-func (p *Path) dispatch() {
+func (p *Client) dispatch() {
 	for p.awaitQueue() {
 		select {
 		case p.slots <- struct{}{}:
@@ -127,7 +127,7 @@
 }
 
 // awaitQueue waits until calls are queued; it returns false if the Path is closed.
-func (p *Path) awaitQueue() bool {
+func (p *Client) awaitQueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.queue) == 0 && p.stop.Err() == nil {
@@ -138,7 +138,7 @@
 
 // takeBatch removes the next batch from the queue: as many calls as fit, without
 // calls that share a key, since a transaction may contain an item only once.
-func (p *Path) takeBatch() []*writeCall {
+func (p *Client) takeBatch() []*writeCall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var batch, remaining []*writeCall
@@ -169,7 +169,7 @@
 // answered in time, and refuses a call that cannot be. p.mu must be held. A write
 // sent too late would be answered after the caller's deadline: it would use the
 // rate limit and the caller would get an unknown outcome.
-func (p *Path) isWorthSending(c *writeCall) bool {
+func (p *Client) isWorthSending(c *writeCall) bool {
 	if c.abandoned {
 		return false
 	}
@@ -199,7 +199,7 @@
 }
 
 // retryLater queues a call again after a jittered delay.
-func (p *Path) retryLater(c *writeCall, reason string) {
+func (p *Client) retryLater(c *writeCall, reason string) {
 	p.metrics.retries.WithLabelValues(reason).Inc()
 	wait := backoff(c.retries)
 	p.mu.Lock()
@@ -222,7 +222,7 @@
 
 // requeue puts calls back at the front of the queue, or fails them if the Path
 // is closed or the breaker is open.
-func (p *Path) requeue(calls []*writeCall) {
+func (p *Client) requeue(calls []*writeCall) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stop.Err() != nil || !p.breaker.isClosed() {
@@ -248,7 +248,7 @@
 
 // failQueued fails all queued calls. Keeping them until their deadlines while
 // the table is unavailable would only delay their errors.
-func (p *Path) failQueued() {
+func (p *Client) failQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.queue {
