--- a/attempt/move.go
+++ b/attempt/move.go
@@ -43,7 +43,7 @@
 	}
 	plan := move.NewPlan(move.Wave{
 		TimeLeft:       timeLeft,
-		BytesPerSecond: r.config.KVBytesASecond,
+		BytesPerSecond: r.config.KVBytesPerSecond,
 		BytesPerToken:  move.BytesPerToken,
 		TransferSetup:  move.TransferSetup,
 		FinishMargin:   move.FinishMargin,
--- a/attempt/runner.go
+++ b/attempt/runner.go
@@ -37,11 +37,11 @@
 	Metrics    *Metrics
 	// FailureDomain is the failure domain of this node; it selects the policy.
 	FailureDomain string
-	// Produced is called with the number of tokens that an attempt produced, by
+	// OnTokensProduced is called with the number of tokens that an attempt produced, by
 	// model; it may be nil.
-	Produced func(model string, tokens int)
-	// KVBytesASecond is the rate per replica at which KV cache transfers are planned.
-	KVBytesASecond int64
+	OnTokensProduced func(model string, tokens int)
+	// KVBytesPerSecond is the rate per replica at which KV cache transfers are planned.
+	KVBytesPerSecond int64
 }
 
 // Runner runs requests. It is safe for concurrent use.
--- a/attempt/runner_test.go
+++ b/attempt/runner_test.go
@@ -61,10 +61,10 @@
 			Seed:    1,
 			Reserve: 100,
 		}),
-		Quarantine:     noQuarantine{},
-		Logger:         slog.New(slog.DiscardHandler),
-		Metrics:        attempt.NewMetrics(g.registry),
-		KVBytesASecond: kvRate,
+		Quarantine:       noQuarantine{},
+		Logger:           slog.New(slog.DiscardHandler),
+		Metrics:          attempt.NewMetrics(g.registry),
+		KVBytesPerSecond: kvRate,
 	})
 	transport := g.network.Transport()
 	config.Client = g.network.Transport()
--- a/attempt/stream.go
+++ b/attempt/stream.go
@@ -82,7 +82,7 @@
 	r.mu.Lock()
 	r.running[f.attempt] = f
 	r.mu.Unlock()
-	f.upstream.Enter()
+	f.upstream.BeginAttempt()
 	r.config.Quarantine.AttemptStarted(f.upstream.Instance.ID, f.request.Call.Fingerprint)
 	r.config.Router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
@@ -98,7 +98,7 @@
 	r.mu.Lock()
 	delete(r.running, f.attempt)
 	r.mu.Unlock()
-	f.upstream.Exit()
+	f.upstream.EndAttempt()
 	r.config.Quarantine.AttemptEnded(f.upstream.Instance.ID, f.request.Call.Fingerprint)
 }
 
@@ -194,7 +194,7 @@
 		observation.Failure = failure.Failure
 	}
 	r.config.Router.Observe(observation)
-	if r.config.Produced != nil {
-		r.config.Produced(p.request.Call.Model, observation.Tokens)
+	if r.config.OnTokensProduced != nil {
+		r.config.OnTokensProduced(p.request.Call.Model, observation.Tokens)
 	}
 }
--- a/blackboard/members.go
+++ b/blackboard/members.go
@@ -59,11 +59,11 @@
 	return member, ok
 }
 
-// Turn returns the time until a node's next turn at periodic work that the live
+// TurnInterval returns the time until a node's next turn at periodic work that the live
 // nodes of its failure domain share. With apart as the time between two turns of
 // the whole domain, a node's interval grows with the number of live nodes, between
 // the bounds shortest and longest. Jitter is added so that turns are spread.
-func (m *Members) Turn(failureDomain string, apart, shortest, longest time.Duration) time.Duration {
+func (m *Members) TurnInterval(failureDomain string, apart, shortest, longest time.Duration) time.Duration {
 	nodes := 0
 	for _, member := range m.All() {
 		if member.FailureDomain == failureDomain && !member.Dead {
--- a/blackboard/upstreams.go
+++ b/blackboard/upstreams.go
@@ -45,11 +45,11 @@
 // Inflight returns the number of this node's in-flight attempts on the replica.
 func (u *Upstream) Inflight() int64 { return u.inflight.Load() }
 
-// Enter adds an in-flight attempt; Exit removes it.
-func (u *Upstream) Enter() { u.inflight.Add(1) }
+// BeginAttempt adds an in-flight attempt; Exit removes it.
+func (u *Upstream) BeginAttempt() { u.inflight.Add(1) }
 
-// Exit removes an in-flight attempt that Enter added.
-func (u *Upstream) Exit() { u.inflight.Add(-1) }
+// EndAttempt removes an in-flight attempt that Enter added.
+func (u *Upstream) EndAttempt() { u.inflight.Add(-1) }
 
 // Upstreams is the table of replicas. Readers of a service's replicas do not block.
 type Upstreams struct {
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -59,7 +59,7 @@
 	return nil, nil
 }
 func (noPeers) Follow(string, caller.Query) request.Reader { return nil }
-func (noPeers) Orphaned(caller.Query)                      {}
+func (noPeers) RegisterOrphan(caller.Query)                {}
 
 func newTestServer(t testing.TB) *testServer {
 	t.Helper()
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -64,7 +64,7 @@
 	known := s.config.Board.Requests.Get(a.query.ID)
 	if known != nil && known.Call.Organisation == a.call.Organisation {
 		a.call = known.Call
-		if !known.Accepts(a.query.Epoch, a.query.From) {
+		if !known.CanResume(a.query.Epoch, a.query.From) {
 			return nil, requestLost(a.query.ID)
 		}
 		return known.Watch(a.query.From), nil
@@ -166,12 +166,12 @@
 // reportUnserved reports work that was refused for lack of capacity, as demand for
 // scaling.
 func (s *Server) reportUnserved(call *request.Call, refusal *zinniamast.Refusal) {
-	if s.config.Missed == nil {
+	if s.config.ReportUnserved == nil {
 		return
 	}
 	switch refusal.Reason {
 	case zinniamast.ReasonNoCapacity, zinniamast.ReasonDeadlineUnmet, zinniamast.ReasonNoUpstream, zinniamast.ReasonOverShare:
-		s.config.Missed(call.Model, call.MaxTokens)
+		s.config.ReportUnserved(call.Model, call.MaxTokens)
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	query := a.query
 	query.ID = a.call.ID
-	s.config.Locator.Orphaned(query)
+	s.config.Locator.RegisterOrphan(query)
 	if q.Call.Key != "" {
 		return
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -35,9 +35,9 @@
 	Enter(ctx context.Context, query Query) (request.Reader, *zinniamast.Refusal)
 	// Follow returns a reader of a request that was moved to a peer.
 	Follow(peer string, query Query) request.Reader
-	// Orphaned announces to peers that a request has lost its caller, so that the
+	// RegisterOrphan announces to peers that a request has lost its caller, so that the
 	// caller can attach to it again through any node.
-	Orphaned(query Query)
+	RegisterOrphan(query Query)
 }
 
 // Query identifies a request that a caller wants to attach to.
@@ -77,9 +77,9 @@
 	Runner  Runner
 	Limiter zinniamast.Limiter
 	Locator Locator
-	// Missed is called with the model and the number of tokens of each request that
+	// ReportUnserved is called with the model and the number of tokens of each request that
 	// is refused for lack of capacity; it may be nil.
-	Missed func(model string, tokens int)
+	ReportUnserved func(model string, tokens int)
 	// Services handles every path below /services/.
 	Services http.Handler
 	// Instance is the name of the node. Request IDs contain it, so that peers can find
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -140,7 +140,7 @@
 		Transport:     membership.RPC{Pool: n.pool},
 		Logger:        logger,
 		ConfigVersion: func() uint64 { return n.rollout.Number() },
-		OnNewerConfig: func(address string, number uint64) { n.rollout.Newer(address, number) },
+		OnNewerConfig: func(address string, number uint64) { n.rollout.ObserveVersion(address, number) },
 	})
 	n.rollout, err = rollout.New(rollout.Config{
 		Node:          id,
@@ -165,9 +165,9 @@
 		Leases: func(context.Context) ([]operator.Lease, error) {
 			return []operator.Lease{{Name: "capacity", Holder: id, Fence: 4}}, nil
 		},
-		Unknowns: func(context.Context) ([]operator.Unknown, error) { return nil, platform.ErrDown },
-		Held: func() []operator.Held {
-			return []operator.Held{{Fingerprint: "0000000000000007", Crashes: 2}}
+		Unknowns: func(context.Context) ([]operator.UnknownCall, error) { return nil, platform.ErrDown },
+		Held: func() []operator.HeldRequest {
+			return []operator.HeldRequest{{Fingerprint: "0000000000000007", Crashes: 2}}
 		},
 	})))
 	n.run(t)
--- a/command/free.go
+++ b/command/free.go
@@ -18,7 +18,7 @@
 		flags.PrintDefaults()
 	}
 	target := addOperatorFlags(flags)
-	free := operator.Free{}
+	free := operator.FreeArgs{}
 	flags.StringVar(&free.By, "by", "", "your `NAME`, logged at every node")
 	flags.StringVar(&free.Why, "why", "", "the `REASON`, logged at every node")
 	if flags.Parse(args) != nil {
--- a/command/free_test.go
+++ b/command/free_test.go
@@ -16,9 +16,9 @@
 func TestFreeHeldRequest(t *testing.T) {
 	check := is.New(t)
 	f := newFleet(t, 1, 1)
-	var received []operator.Free
+	var received []operator.FreeArgs
 	address := serveOperators(t, operator.Config{
-		Free: func(free operator.Free) error {
+		Free: func(free operator.FreeArgs) error {
 			received = append(received, free)
 			return nil
 		},
@@ -34,5 +34,5 @@
 	run(2, "-by", "ada", "-why", "mended")
 	check.Equal(len(received), 0)
 	check.True(strings.Contains(run(0, "-by", "ada", "-why", "mended", "07"), "07: freed"))
-	check.Equal(received, []operator.Free{{Fingerprint: "07", By: "ada", Why: "mended"}})
+	check.Equal(received, []operator.FreeArgs{{Fingerprint: "07", By: "ada", Why: "mended"}})
 }
--- a/command/resolve.go
+++ b/command/resolve.go
@@ -20,7 +20,7 @@
 		flags.PrintDefaults()
 	}
 	target := addOperatorFlags(flags)
-	decision := operator.Resolve{}
+	decision := operator.ResolveArgs{}
 	flags.StringVar(&decision.Organisation, "organisation", "", "the call's `NAME` of organisation")
 	flags.StringVar(&decision.Service, "service", "", "the call's `NAME` of service")
 	flags.StringVar(&decision.Key, "key", "", "the caller's idempotency `KEY`")
--- a/command/resolve_test.go
+++ b/command/resolve_test.go
@@ -29,7 +29,7 @@
 	check.Equal(store.Close(t.Context()), 0)
 
 	address := serveOperators(t, operator.Config{
-		Resolve: func(ctx context.Context, d operator.Resolve) error {
+		Resolve: func(ctx context.Context, d operator.ResolveArgs) error {
 			return store.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
 		},
 	})
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -132,7 +132,7 @@
 // find.
 func (c *Controller) nextReadDelay() time.Duration {
 	interval := c.config.List.Interval()
-	return c.config.Members.Turn(c.config.FailureDomain, readSpacing, max(minReadInterval, interval), max(maxReadInterval, interval))
+	return c.config.Members.TurnInterval(c.config.FailureDomain, readSpacing, max(minReadInterval, interval), max(maxReadInterval, interval))
 }
 
 // Read reads the list once and updates the table. If the read fails, the table
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -295,7 +295,7 @@
 		})
 	}
 	for range 8 {
-		f.upstreams.Get("i-a").Enter() // makes the router prefer the other replicas
+		f.upstreams.Get("i-a").BeginAttempt() // makes the router prefer the other replicas
 	}
 	answer := f.do(f.request(http.MethodPost, pathUnsafe, "x"))
 	f.is.Equal(answer.status, http.StatusOK)
--- a/forward/run.go
+++ b/forward/run.go
@@ -138,8 +138,8 @@
 // attempt sends the request to one replica and forwards its answer. It returns nil
 // if the caller has received a whole answer.
 func (h *Handler) attempt(ctx context.Context, a *answer, c *call, upstream *blackboard.Upstream) *zinniamast.UpstreamError {
-	upstream.Enter()
-	defer upstream.Exit()
+	upstream.BeginAttempt()
+	defer upstream.EndAttempt()
 	c.retryCharged = false
 	id := upstream.Instance.ID
 	h.config.Quarantine.AttemptStarted(id, c.fingerprint)
--- a/handoff/give.go
+++ b/handoff/give.go
@@ -18,7 +18,7 @@
 	snapshot request.Snapshot
 }
 
-// Give hands over every request that has not ended to peers and returns how
+// HandOff hands over every request that has not ended to peers and returns how
 // many remain here because no peer accepted them. It first sends copies for
 // peers to hold, and releases only requests whose copy was acknowledged.
 //
@@ -27,7 +27,7 @@
 // earlier would interrupt the move, and the peer would have to compute the
 // prompt and the tokens again. Until then the request survives the death of this
 // node through the peer's copy.
-func (x *Exchange) Give(ctx context.Context, until time.Time) (remaining int) {
+func (x *Exchange) HandOff(ctx context.Context, until time.Time) (remaining int) {
 	var open []outgoing
 	for _, q := range x.config.Board.Requests.All() {
 		select {
--- a/handoff/give_bench_test.go
+++ b/handoff/give_bench_test.go
@@ -104,7 +104,7 @@
 		}
 		round++
 		b.StartTimer()
-		if remaining := nodes[0].exchange.Give(ctx, time.Time{}); remaining > 0 {
+		if remaining := nodes[0].exchange.HandOff(ctx, time.Time{}); remaining > 0 {
 			b.Fatalf("%d streams were accepted by no peer", remaining)
 		}
 	}
--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -229,7 +229,7 @@
 				Fingerprint:  7,
 			})
 		}
-		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0) // peers accept every request
+		is.Equal(nodes[0].exchange.HandOff(ctx, time.Time{}), 0) // peers accept every request
 		var group sync.WaitGroup
 		for _, reader := range readers {
 			group.Go(func() {
@@ -270,7 +270,7 @@
 			n.unreachable[node.name+"/"+handoff.ServiceName+".Start"] = true
 		}
 		q := addRunning(nodes[0], "r", 10)
-		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0)
+		is.Equal(nodes[0].exchange.HandOff(ctx, time.Time{}), 0)
 		is.Equal(q.State(), request.StateMoved)
 		time.Sleep(5 * time.Second)
 		query := caller.Query{
@@ -328,7 +328,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		_, nodes := newFleet(ctx, 6, 30)
 		q := addRunning(nodes[0], "r", 10)
-		is.Equal(nodes[0].exchange.Give(ctx, time.Time{}), 0)
+		is.Equal(nodes[0].exchange.HandOff(ctx, time.Time{}), 0)
 		time.Sleep(50 * time.Millisecond)
 		entry := handoff.Entry{
 			Holder:      "node-0",
@@ -344,7 +344,7 @@
 				Replace: true,
 			}, &reply))
 		}
-		nodes[0].exchange.Orphaned(caller.Query{
+		nodes[0].exchange.RegisterOrphan(caller.Query{
 			ID:           "r",
 			Organisation: "north",
 		})
@@ -419,7 +419,7 @@
 				for i, wait := range leave {
 					time.Sleep(time.Duration(wait) * time.Millisecond)
 					nodes[i].stopping = true
-					nodes[i].exchange.Give(ctx, time.Time{})
+					nodes[i].exchange.HandOff(ctx, time.Time{})
 				}
 			}()
 			text, err := readAnswer(ctx, nodes[0], q.Watch(0), "", 0)
--- a/handoff/locate.go
+++ b/handoff/locate.go
@@ -284,8 +284,8 @@
 // registerTimeout bounds the registration of one request at its homes.
 const registerTimeout = 2 * time.Second
 
-// Orphaned implements caller.Locator.
-func (x *Exchange) Orphaned(query caller.Query) {
+// RegisterOrphan implements caller.Locator.
+func (x *Exchange) RegisterOrphan(query caller.Query) {
 	q := x.config.Board.Requests.Get(query.ID)
 	if q == nil || q.State() == request.StateMoved {
 		return
--- a/handoff/read.go
+++ b/handoff/read.go
@@ -83,7 +83,7 @@
 			wait = min(wait, maxHeldReadWait)
 			continue
 		}
-		if q == nil || q.Call.Organisation != wanted.Organisation || !q.Accepts(wanted.Epoch, wanted.From) {
+		if q == nil || q.Call.Organisation != wanted.Organisation || !q.CanResume(wanted.Epoch, wanted.From) {
 			reply.Parts = append(reply.Parts, Part{
 				ID:   wanted.ID,
 				Lost: true,
@@ -121,8 +121,8 @@
 	return part, len(part.Progress.Ends) > 0 || part.Progress.Ended()
 }
 
-// Held returns how many held requests wait here for their Start call.
-func (x *Exchange) Held() int {
+// HeldCount returns how many held requests wait here for their Start call.
+func (x *Exchange) HeldCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.held)
--- a/handoff/take.go
+++ b/handoff/take.go
@@ -131,7 +131,7 @@
 	x.metrics.leaseStarted.Inc()
 	x.config.Logger.Warn("lease expired without a start call; starting request from held copy",
 		"request", id)
-	held.snapshot.Older()
+	held.snapshot.MarkStale()
 	x.takeOver(held.snapshot)
 }
 
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -9,11 +9,11 @@
 const maxHeld = 100
 
 // held lists the requests that are held back, oldest first.
-func (n *Node) held() []operator.Held {
+func (n *Node) held() []operator.HeldRequest {
 	all := n.quarantine.Held()
-	shown := make([]operator.Held, 0, len(all))
+	shown := make([]operator.HeldRequest, 0, len(all))
 	for _, h := range all[:min(len(all), maxHeld)] {
-		shown = append(shown, operator.Held{
+		shown = append(shown, operator.HeldRequest{
 			Fingerprint: h.Fingerprint.String(),
 			Since:       h.Since,
 			Crashes:     h.Crashes,
@@ -23,7 +23,7 @@
 }
 
 // free lets a request that is held back run again.
-func (n *Node) free(free operator.Free) error {
+func (n *Node) free(free operator.FreeArgs) error {
 	fingerprint, err := quarantine.ParseFingerprint(free.Fingerprint)
 	if err != nil {
 		return err
--- a/node/services.go
+++ b/node/services.go
@@ -46,7 +46,7 @@
 		Router:     n.router,
 		Limiter:    n.limiter,
 		Retry:      budget,
-		Hedge:      budget.Hedge,
+		AllowHedge: budget.Hedge,
 		Quarantine: n.quarantine,
 		Claims:     n.claims,
 		Issuer: issuedkeys.New(issuedkeys.Config{
@@ -58,7 +58,7 @@
 			Members: n.board.Members,
 		},
 		FailureDomain: s.FailureDomain,
-		Stopping:      n.stopping.Load,
+		IsStopping:    n.stopping.Load,
 		Context:       n.life,
 		Logger:        n.config.Logger,
 		Registerer:    n.registry,
--- a/node/stop.go
+++ b/node/stop.go
@@ -111,12 +111,12 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		if n.running() > 0 {
-			left := n.exchange.Give(ctx, deadline.Add(-startReserve))
+			left := n.exchange.HandOff(ctx, deadline.Add(-startReserve))
 			n.config.Logger.Info("requests handed over", "left", left)
 		}
 		// Held is asked before running: a request that starts in between leaves the
 		// one after it has entered the other, and is seen in one of them.
-		if n.exchange.Held() == 0 && n.running() == 0 && n.open.Load() == 0 {
+		if n.exchange.HeldCount() == 0 && n.running() == 0 && n.open.Load() == 0 {
 			return
 		}
 		time.Sleep(drainPoll)
--- a/node/table.go
+++ b/node/table.go
@@ -89,7 +89,7 @@
 // configuration lately does not let anything be returned by it.
 func (n *Node) demands() ([]capacity.Demand, bool) {
 	rates, complete := n.meter.Rates()
-	return capacity.Demands(n.board.Configuration.Config(), rates), complete && n.rollout.Current()
+	return capacity.Demands(n.board.Configuration.Config(), rates), complete && n.rollout.IsCurrent()
 }
 
 // engineOf returns what takes an order for an engine, whose effect is then looked for.
@@ -115,7 +115,7 @@
 		Held:          n.held,
 		Free:          n.free,
 		Refusals:      n.refusals,
-		Resolve: func(ctx context.Context, d operator.Resolve) error {
+		Resolve: func(ctx context.Context, d operator.ResolveArgs) error {
 			return n.claims.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
 		},
 		Explain: func(_ context.Context, request string) (string, error) {
@@ -138,11 +138,11 @@
 // maxUnknowns bounds the open unknowns that one answer lists.
 const maxUnknowns = 100
 
-func (n *Node) unknowns(ctx context.Context) ([]operator.Unknown, error) {
+func (n *Node) unknowns(ctx context.Context) ([]operator.UnknownCall, error) {
 	open, err := n.claims.Unknowns(ctx, maxUnknowns)
-	shown := make([]operator.Unknown, 0, len(open))
+	shown := make([]operator.UnknownCall, 0, len(open))
 	for _, u := range open {
-		shown = append(shown, operator.Unknown{
+		shown = append(shown, operator.UnknownCall{
 			Organisation: u.Organisation,
 			Service:      u.Service,
 			Key:          u.Key,
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -40,10 +40,10 @@
 	// Instance and FailureDomain identify this node.
 	Instance      string
 	FailureDomain string
-	// OnOwn is called once when this instance is to be reclaimed, with the
+	// OnInstanceReclaim is called once when this instance is to be reclaimed, with the
 	// time.
-	OnOwn  func(at time.Time)
-	Logger *slog.Logger
+	OnInstanceReclaim func(at time.Time)
+	Logger            *slog.Logger
 }
 
 // Controller reads notices, shares them with other nodes and acts on them.
@@ -73,7 +73,7 @@
 		c.Read(ctx)
 		c.remarkLeaving()
 		select {
-		case <-time.After(c.config.Members.Turn(c.config.FailureDomain, readSpacing, minReadInterval, maxReadInterval)):
+		case <-time.After(c.config.Members.TurnInterval(c.config.FailureDomain, readSpacing, minReadInterval, maxReadInterval)):
 		case <-ctx.Done():
 			return
 		}
@@ -153,7 +153,7 @@
 	}
 	c.config.Logger.Info("reclaim announced", "reclaimed", n.Instance, "at", n.At)
 	if n.Instance == c.config.Instance {
-		c.config.OnOwn(n.At)
+		c.config.OnInstanceReclaim(n.At)
 		return true
 	}
 	c.config.Upstreams.MarkLeaving(n.Instance, n.At)
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -87,14 +87,14 @@
 			})
 			boards[name] = board
 			controller := notice.New(notice.Config{
-				Cloud:         c,
-				Upstreams:     board.Upstreams,
-				Members:       board.Members,
-				Gossip:        busClient{bus: newsBus, node: name},
-				Instance:      name,
-				FailureDomain: "a",
-				OnOwn:         func(time.Time) { reclaimed.Add(1) },
-				Logger:        slog.New(slog.DiscardHandler),
+				Cloud:             c,
+				Upstreams:         board.Upstreams,
+				Members:           board.Members,
+				Gossip:            busClient{bus: newsBus, node: name},
+				Instance:          name,
+				FailureDomain:     "a",
+				OnInstanceReclaim: func(time.Time) { reclaimed.Add(1) },
+				Logger:            slog.New(slog.DiscardHandler),
 			})
 			controllers = append(controllers, controller)
 		}
--- a/operator/free.go
+++ b/operator/free.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Held is a request that is quarantined because replicas crashed while they ran it.
-type Held struct {
+// HeldRequest is a request that is quarantined because replicas crashed while they ran it.
+type HeldRequest struct {
 	// Fingerprint is a hash of the request's content, as 16 hexadecimal digits.
 	Fingerprint string `json:"fingerprint"`
 	// Since is when the request was quarantined. Crashes is the number of crashes
@@ -16,9 +16,9 @@
 	Crashes int       `json:"crashes"`
 }
 
-// Free is the argument of Receiver.Free. It releases a quarantined request at
+// FreeArgs is the argument of Receiver.Free. It releases a quarantined request at
 // every node.
-type Free struct {
+type FreeArgs struct {
 	Fingerprint string
 	// By is the operator's name and Why the reason. Every node logs both.
 	By  string
@@ -29,7 +29,7 @@
 type FreeReply struct{}
 
 // Free releases a quarantined request, so that it may run again.
-func (r *Receiver) Free(args Free, _ *FreeReply) error {
+func (r *Receiver) Free(args FreeArgs, _ *FreeReply) error {
 	if r.config.Free == nil {
 		return errors.New("this node holds nothing back")
 	}
@@ -40,6 +40,6 @@
 }
 
 // Free releases a quarantined request, so that it may run again.
-func (c *Client) Free(ctx context.Context, free Free) error {
+func (c *Client) Free(ctx context.Context, free FreeArgs) error {
 	return c.call(ctx, "Free", free, &FreeReply{})
 }
--- a/operator/receiver.go
+++ b/operator/receiver.go
@@ -39,12 +39,12 @@
 	// Leases returns the current leases of the fleet.
 	Leases func(ctx context.Context) ([]Lease, error)
 	// Unknowns returns the calls whose outcome is unknown.
-	Unknowns func(ctx context.Context) ([]Unknown, error)
+	Unknowns func(ctx context.Context) ([]UnknownCall, error)
 	// Resolve records the outcome of a call whose outcome is unknown.
-	Resolve func(ctx context.Context, decision Resolve) error
+	Resolve func(ctx context.Context, decision ResolveArgs) error
 	// Held returns the quarantined requests, and Free releases one of them.
-	Held func() []Held
-	Free func(free Free) error
+	Held func() []HeldRequest
+	Free func(free FreeArgs) error
 	// Refusals returns the number of refusals by reason.
 	Refusals func() map[string]uint64
 	// Explain returns the history of a request as text, for status -why.
@@ -180,7 +180,7 @@
 		FailureDomain: r.config.FailureDomain,
 		Now:           time.Now(),
 		Isolated:      r.config.Members.Isolated(),
-		ConfigCurrent: r.config.Rollout.Current(),
+		ConfigCurrent: r.config.Rollout.IsCurrent(),
 		Members:       r.members(),
 		Domains:       r.config.Members.Domains(),
 		Upstreams:     r.upstreams(),
--- a/operator/resolve.go
+++ b/operator/resolve.go
@@ -5,9 +5,9 @@
 	"errors"
 )
 
-// Resolve is the argument of Receiver.Resolve. It records the outcome of a call
+// ResolveArgs is the argument of Receiver.Resolve. It records the outcome of a call
 // whose outcome is unknown.
-type Resolve struct {
+type ResolveArgs struct {
 	Organisation string
 	Service      string
 	Key          string
@@ -24,7 +24,7 @@
 var errNoClaims = errors.New("this node keeps no claims")
 
 // Resolve records the outcome of a call whose outcome is unknown.
-func (r *Receiver) Resolve(args Resolve, _ *ResolveReply) error {
+func (r *Receiver) Resolve(args ResolveArgs, _ *ResolveReply) error {
 	if r.config.Resolve == nil {
 		return errNoClaims
 	}
@@ -37,6 +37,6 @@
 }
 
 // Resolve records the outcome of a call whose outcome is unknown.
-func (c *Client) Resolve(ctx context.Context, decision Resolve) error {
+func (c *Client) Resolve(ctx context.Context, decision ResolveArgs) error {
 	return c.call(ctx, "Resolve", decision, &ResolveReply{})
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -24,10 +24,10 @@
 	Upstreams     []Upstream                `json:"upstreams"`
 	Versions      []rollout.NodeVersion     `json:"versions"`
 	Leases        []Lease                   `json:"leases"`
-	Unknowns      []Unknown                 `json:"unknowns"`
+	Unknowns      []UnknownCall             `json:"unknowns"`
 	// Held lists requests that are quarantined at this node or reported as
 	// quarantined by other nodes.
-	Held []Held `json:"held_back"`
+	Held []HeldRequest `json:"held_back"`
 	// Refusals counts the node's refusals by reason since it started.
 	Refusals map[string]uint64 `json:"refusals_by_reason"`
 	// Failures lists the parts of the status that could not be read, with the cause.
@@ -64,8 +64,8 @@
 	Expires time.Time `json:"expires,omitzero"`
 }
 
-// Unknown is a call whose outcome is not yet known.
-type Unknown struct {
+// UnknownCall is a call whose outcome is not yet known.
+type UnknownCall struct {
 	Request      string    `json:"request"`
 	Organisation string    `json:"organisation"`
 	Service      string    `json:"service"`
--- a/request/request.go
+++ b/request/request.go
@@ -348,18 +348,18 @@
 	return s
 }
 
-// Older marks the snapshot as possibly older than the tokens that callers have
+// MarkStale marks the snapshot as possibly older than the tokens that callers have
 // received, by starting a new epoch. Tokens that are produced from now on may differ
 // from those that a caller holds, and an answer must not be a mixture of both, so a
 // caller of an earlier epoch can resume only from a token that this copy contains.
-func (s *Snapshot) Older() {
+func (s *Snapshot) MarkStale() {
 	s.Epoch++
 	s.Restarted = len(s.IDs)
 }
 
-// Accepts reports whether a caller that has received the first from tokens in the
+// CanResume reports whether a caller that has received the first from tokens in the
 // given epoch can resume from this copy.
-func (r *Request) Accepts(epoch, from int) bool {
+func (r *Request) CanResume(epoch, from int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if epoch == r.epoch {
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -177,7 +177,7 @@
 		Transport:     transport{fleet: f, from: id},
 		Logger:        logger,
 		ConfigVersion: func() uint64 { return n.Number() },
-		OnNewerConfig: func(address string, number uint64) { n.Newer(address, number) },
+		OnNewerConfig: func(address string, number uint64) { n.ObserveVersion(address, number) },
 	})
 	var err error
 	n.Rollout, err = rollout.New(rollout.Config{
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -116,11 +116,11 @@
 	return 0
 }
 
-// Current reports whether the table has confirmed within the last 30 s that no
+// IsCurrent reports whether the table has confirmed within the last 30 s that no
 // newer version is accepted. A node without that confirmation continues to
 // serve with its version, but work on behalf of the whole fleet (orders to
 // engines, buying instances) should wait.
-func (r *Rollout) Current() bool { return r.sinceConfirmed() < staleAfter }
+func (r *Rollout) IsCurrent() bool { return r.sinceConfirmed() < staleAfter }
 
 func (r *Rollout) sinceConfirmed() time.Duration {
 	r.mu.Lock()
@@ -137,7 +137,7 @@
 	wasStale := false
 	for ctx.Err() == nil {
 		r.poll(ctx)
-		if isStale := !r.Current(); isStale != wasStale {
+		if isStale := !r.IsCurrent(); isStale != wasStale {
 			wasStale = isStale
 			r.config.Logger.Warn("config_currency_changed", "current", !isStale, "version", r.Number())
 		}
@@ -253,9 +253,9 @@
 	return err
 }
 
-// Newer handles a peer's report of a newer version and starts fetching it. It
+// ObserveVersion handles a peer's report of a newer version and starts fetching it. It
 // does not block.
-func (r *Rollout) Newer(address string, number uint64) {
+func (r *Rollout) ObserveVersion(address string, number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isFetching || number <= r.Number() {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -162,7 +162,7 @@
 					}
 				}
 				time.Sleep(time.Minute)
-				check.Equal(!f.nodes["c1"].Current(), c.stale || c.want == rollout.Unavailable ||
+				check.Equal(!f.nodes["c1"].IsCurrent(), c.stale || c.want == rollout.Unavailable ||
 					strings.Contains(c.name, "table down") || c.name == "domain cut off from the table")
 				check.True(f.nodes["c1"].Number() >= 1)
 				f.setIsolated("domain-c", false)
@@ -177,7 +177,7 @@
 					check.True(took >= 0)
 				}
 				time.Sleep(10 * time.Second)
-				check.True(f.nodes["c1"].Current())
+				check.True(f.nodes["c1"].IsCurrent())
 				f.checkVersionsIncrease()
 			})
 		})
@@ -264,7 +264,7 @@
 		check.Equal(f.nodes["b2"].Put(t.Context(), change(3, 63)).Outcome, rollout.InForce)
 		check.True(f.allInForce(4, ""))
 		time.Sleep(30 * time.Second)
-		check.True(f.nodes["a2"].Current())
+		check.True(f.nodes["a2"].IsCurrent())
 		f.checkVersionsIncrease()
 		check.Equal(restarted.versionsSeen[1], uint64(3))
 	})
--- a/rollout/spread.go
+++ b/rollout/spread.go
@@ -259,7 +259,7 @@
 
 // localVersion returns the version that this node has in force.
 func (r *Rollout) localVersion() NodeVersion {
-	current := r.Current()
+	current := r.IsCurrent()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own := NodeVersion{
--- a/services/attempts.go
+++ b/services/attempts.go
@@ -113,8 +113,8 @@
 	h, c := a.handler, a.call
 	id := upstream.Instance.ID
 	attempt := newID()
-	upstream.Enter()
-	defer upstream.Exit()
+	upstream.BeginAttempt()
+	defer upstream.EndAttempt()
 	h.config.Quarantine.AttemptStarted(id, c.fingerprint)
 	defer h.config.Quarantine.AttemptEnded(id, c.fingerprint)
 	h.config.Router.Observe(zinniamast.Observation{
--- a/services/hedge.go
+++ b/services/hedge.go
@@ -32,7 +32,7 @@
 	}
 	delay := a.handler.latency.hedgeDelay(a.call.service.Name)
 	// A suspect call is not hedged: its copy could crash a second replica.
-	if delay == 0 || a.isSuspect || a.handler.config.Hedge == nil {
+	if delay == 0 || a.isSuspect || a.handler.config.AllowHedge == nil {
 		return a.send(ctx, first)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -99,7 +99,7 @@
 		h.metrics.countHedge(hedgeNoReplica)
 		return nil
 	}
-	if !h.config.Hedge(retry.HedgeRequest{
+	if !h.config.AllowHedge(retry.HedgeRequest{
 		Organisation: c.organisation,
 		Service:      c.service.Name,
 		Idempotent:   c.isIdempotent,
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -152,7 +152,7 @@
 		Quarantine: l,
 	}
 	if hedging {
-		c.Hedge = budget.Hedge
+		c.AllowHedge = budget.Hedge
 	}
 	l.board = board
 	l.http = caller.New(caller.Config{
--- a/services/issued.go
+++ b/services/issued.go
@@ -34,7 +34,7 @@
 			`the body must be {"count": n} with n from 1 to %d`, issuedkeys.MaxCount))
 		return
 	}
-	if h.config.Stopping() {
+	if h.config.IsStopping() {
 		h.refuse(w, c, zinniamast.Refuse(zinniamast.ReasonStopping, "the instance is stopping; ask again").WithRetryAfter(stoppingRetryAfter))
 		return
 	}
--- a/services/services.go
+++ b/services/services.go
@@ -29,9 +29,9 @@
 	Router  zinniamast.Router
 	Limiter zinniamast.Limiter
 	Retry   zinniamast.RetryPolicy
-	// Hedge takes a hedge from the budget and reports whether it may be sent; nil
+	// AllowHedge takes a hedge from the budget and reports whether it may be sent; nil
 	// disables hedging.
-	Hedge      func(ask retry.HedgeRequest) bool
+	AllowHedge func(ask retry.HedgeRequest) bool
 	Quarantine zinniamast.Quarantine
 	Claims     *claims.Claims
 	// Issuer issues keys whose calls only this process dispatches; nil issues none.
@@ -41,8 +41,8 @@
 	Forwarder Forwarder
 	// FailureDomain is the node's own; it selects the policy that applies.
 	FailureDomain string
-	// Stopping reports whether the node refuses new requests; nil means never.
-	Stopping func() bool
+	// IsStopping reports whether the node refuses new requests; nil means never.
+	IsStopping func() bool
 	// Context ends when the node must not run calls any longer; nil means never.
 	Context    context.Context
 	Logger     *slog.Logger
@@ -58,8 +58,8 @@
 
 // New returns a handler.
 func New(config Config) *Handler {
-	if config.Stopping == nil {
-		config.Stopping = func() bool { return false }
+	if config.IsStopping == nil {
+		config.IsStopping = func() bool { return false }
 	}
 	if config.Context == nil {
 		config.Context = context.Background()
@@ -97,7 +97,7 @@
 
 // serve admits a call and runs it in the way that its key and its service allow.
 func (h *Handler) serve(ctx context.Context, c *call) (*result, error) {
-	if h.config.Stopping() {
+	if h.config.IsStopping() {
 		return nil, h.withKeyRan(ctx, c, zinniamast.Refuse(zinniamast.ReasonStopping,
 			"the instance is stopping; ask again").WithRetryAfter(stoppingRetryAfter))
 	}
