--- a/lease/state.go
+++ b/lease/state.go
@@ -53,6 +53,6 @@
 	to, fence, holder := l.states.Current(), l.record.Fence, l.record.Holder
 	l.mu.Unlock()
 	if err == nil {
-		l.config.Logger.Info("lease state changed", "name", l.config.Name, "from", from, "to", to, "fence", fence, "holder", holder)
+		l.config.Logger.Info("lease", "name", l.config.Name, "from", from, "to", to, "fence", fence, "holder", holder)
 	}
 }
