--- a/entry/allowance.go
+++ b/entry/allowance.go
@@ -8,11 +8,11 @@
 	"zinniamast/routes"
 )
 
-// allowanceName is the name under which nodes ask each other's pools.
+// allowanceName is the RPC service name of the pools of other nodes.
 const allowanceName = "Allowance"
 
-// divideAllowances builds what bounds organisations over all nodes.
-func (e *Entry) divideAllowances() {
+// buildAllowance builds the limits of organisations, which are divided among all nodes.
+func (e *Entry) buildAllowance() {
 	s := e.config.Settings
 	tolerance := limits.Tolerance{
 		Window:  s.Bounds.QuotaWindow,
@@ -23,23 +23,24 @@
 		Organisation: e.organisation,
 		Tolerance:    tolerance,
 	}
-	e.pools = limits.NewPool(pool)
+	e.fleetPool = limits.NewPool(pool)
 	pool.IsDomainPool = true
 	e.domainPool = limits.NewPool(pool)
 	e.allowance = limits.NewAllowance(limits.AllowanceConfig{
 		Node:          s.Instance,
 		FailureDomain: s.FailureDomain,
 		Holders:       e.holders,
-		Take:          e.askPool,
+		Take:          e.takeFromPool,
 		Renew:         e.renewLoans,
 		NotSent:       peer.DidNotRun,
 		Organisations: e.organisations,
-		FleetPool:     e.pools,
+		FleetPool:     e.fleetPool,
 		DomainPool:    e.domainPool,
 		Logger:        e.config.Logger,
 	})
 }
 
+// organisations returns those of the current configuration.
 func (e *Entry) organisations() []routes.Organisation {
 	if current := e.routes.Current(); current != nil {
 		return current.Organisations
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// holders are all instances on the roster; this one before the roster is read.
+// holders returns all instances on the roster, which is this one alone before the
+// roster is read.
 func (e *Entry) holders() []limits.Holder {
 	instances := e.roster.Instances()
 	holders := make([]limits.Holder, 0, len(instances))
@@ -71,39 +73,39 @@
 	return holders
 }
 
-// askPool asks another node.
-func (e *Entry) askPool(ctx context.Context, address string, ask limits.PoolRequest) (limits.PoolAnswer, error) {
+// takeFromPool requests a part of an allowance from another node's pool.
+func (e *Entry) takeFromPool(ctx context.Context, address string, request limits.PoolRequest) (limits.PoolAnswer, error) {
 	var answer limits.PoolAnswer
-	err := e.pool.Call(ctx, address, allowanceName+".Take", ask, &answer)
+	err := e.peerPool.Call(ctx, address, allowanceName+".Take", request, &answer)
 	return answer, err
 }
 
-// renewLoans lends this node's parts to another one's pools again.
+// renewLoans renews the parts that this node holds from another node's pools.
 func (e *Entry) renewLoans(ctx context.Context, address string, renewal limits.PoolRenewal) error {
-	return e.pool.Call(ctx, address, allowanceName+".Renew", renewal, &struct{}{})
+	return e.peerPool.Call(ctx, address, allowanceName+".Renew", renewal, &struct{}{})
 }
 
-// Pools answers other nodes that ask this one's pools.
-type Pools struct {
-	pool       *limits.Pool
+// PoolReceiver serves the requests of other nodes to this node's pools.
+type PoolReceiver struct {
+	fleetPool  *limits.Pool
 	domainPool *limits.Pool
 }
 
-func (p *Pools) of(apart bool) *limits.Pool {
-	if apart {
+func (p *PoolReceiver) poolOf(isDomainPool bool) *limits.Pool {
+	if isDomainPool {
 		return p.domainPool
 	}
-	return p.pool
+	return p.fleetPool
 }
 
-// Take takes from an organisation's pool.
-func (p *Pools) Take(ask limits.PoolRequest, answer *limits.PoolAnswer) error {
-	*answer = p.of(ask.Apart).Take(ask)
+// Take lends a part of an organisation's pool to the requesting node.
+func (p *PoolReceiver) Take(request limits.PoolRequest, answer *limits.PoolAnswer) error {
+	*answer = p.poolOf(request.Apart).Take(request)
 	return nil
 }
 
-// Renew takes a node's loans again.
-func (p *Pools) Renew(renewal limits.PoolRenewal, _ *struct{}) error {
-	p.of(renewal.Apart).RenewAll(renewal)
+// Renew records a node's loans again.
+func (p *PoolReceiver) Renew(renewal limits.PoolRenewal, _ *struct{}) error {
+	p.poolOf(renewal.Apart).RenewAll(renewal)
 	return nil
 }
--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -26,39 +26,40 @@
 	"zinniamast/usage"
 )
 
-// dutyLease is the one lease under which a node does all of the platform's duties.
+// dutyLease is the name of the single lease whose holder performs all of the
+// platform's duties.
 const dutyLease = "duties"
 
-// minDutyTerm is the shortest term of the duties' lease. Half a second above
-// the platform's own bound, a dead holder is followed within five seconds; a
-// load that jumps meanwhile meets the replicas that are there.
+// minDutyTerm is the shortest term of the duties' lease. At half a second above
+// the platform's own bound, a dead holder is replaced within five seconds; until
+// then no replicas are added if the load jumps.
 const minDutyTerm = 3500 * time.Millisecond
 
-// assemble wires the controllers.
+// assemble builds the controllers, the router and the servers.
 func (e *Entry) assemble() error {
-	e.followStore()
-	e.divideAllowances()
+	e.buildFollower()
+	e.buildAllowance()
 	if err := e.openPeers(); err != nil {
 		return err
 	}
 	e.demand = demand.New(e.config.Settings.FailureDomain)
-	if err := e.shareReports(); err != nil {
+	if err := e.buildReports(); err != nil {
 		return err
 	}
-	e.routeRequests()
-	if err := e.takeDuties(); err != nil {
+	e.buildRouter()
+	if err := e.buildDuties(); err != nil {
 		return err
 	}
-	e.serveCallers()
+	e.buildServers()
 	return nil
 }
 
-// followStore builds what knows the configuration and the replicas.
-func (e *Entry) followStore() {
+// buildFollower builds the follower of the configuration and the replicas, and the roster.
+func (e *Entry) buildFollower() {
 	s := e.config.Settings
 	store := platform.NewStore(s.StoreAddress)
 	store.OnClock(e.clock.Heard)
-	store.OnCall(newStoreMetrics(e.registry).called)
+	store.OnCall(newStoreMetrics(e.registry).observe)
 	e.table = platform.NewTable(store)
 	e.follower = registry.NewFollower(registry.FollowerConfig{
 		Source: registry.NewRelayed(registry.RelayedConfig{
@@ -81,7 +82,7 @@
 	})
 }
 
-// newReplica returns the client of a replica.
+// newReplica returns a client for a replica.
 func newReplica(id, address string) zinniamast.Replica {
 	return plain.New(plain.Config{
 		Upstream:    id,
@@ -91,9 +92,9 @@
 	})
 }
 
-// takeDuties builds what acts for the fleet while this node holds the lease,
-// and what each node counts for it.
-func (e *Entry) takeDuties() error {
+// buildDuties builds the usage counter of this node, and the lease and the
+// controllers that act for the fleet while this node holds it.
+func (e *Entry) buildDuties() error {
 	s := e.config.Settings
 	e.usage = usage.NewCounter(usage.CounterConfig{
 		Table:  e.table,
@@ -130,23 +131,24 @@
 		FailureDomains: s.FailureDomains,
 		Logger:         e.config.Logger,
 	})
-	return e.peers.RegisterPeer(usageName, &UsageTaker{counter: e.usage})
+	return e.peerServer.RegisterPeer(usageName, &UsageReceiver{counter: e.usage})
 }
 
-// homeCost lets a prefix's home be somewhat dearer than the cheapest replica.
-// Others fetch the prefix from the home, so that little is saved by waiting for it.
-const homeCost = 1.3
+// homeCostRatio is the cost of a prefix's home replica, relative to the cheapest
+// replica, up to which the home is preferred. Other replicas can fetch the prefix
+// from the home, so waiting for the home saves little.
+const homeCostRatio = 1.3
 
-// homeHolds is what a prefix's home is believed to hold of it where engines do
-// not tell: other nodes have sent most of it there.
-const homeHolds = 0.7
+// homeCachedShare is the share of a prefix that its home replica is assumed to have
+// cached if engines do not report it: other nodes have sent most of it there.
+const homeCachedShare = 0.7
 
-// silentAfter is how long a replica may tell no load while others of its failure
-// domain do: each is asked three times a second.
+// silentAfter is how long a replica may be without a load report while others of
+// its failure domain report. Each replica is polled three times a second.
 const silentAfter = time.Second
 
-// routeRequests builds the policy that the command line names.
-func (e *Entry) routeRequests() {
+// buildRouter builds the routing policy that the command line names.
+func (e *Entry) buildRouter() {
 	s := e.config.Settings
 	if e.config.Policy == PolicyNearest {
 		e.router = nearest.New(nearest.Config{
@@ -155,26 +157,27 @@
 		})
 		return
 	}
-	predicted := routing.New(routing.Config{
+	router := routing.New(routing.Config{
 		Board:             e.board,
 		Node:              s.Instance,
 		FailureDomain:     s.FailureDomain,
 		Gossip:            e.members,
-		HomeCostRatio:     homeCost,
-		HomeCachedShare:   homeHolds,
-		FetchTimePerToken: e.fetchTime,
+		HomeCostRatio:     homeCostRatio,
+		HomeCachedShare:   homeCachedShare,
+		FetchTimePerToken: e.fetchTimePerToken,
 		SilentAfter:       silentAfter,
 		ServesCalls:       e.isPlain,
 		Logger:            e.config.Logger,
 		Registerer:        e.registry,
 	})
-	e.router = predicted
-	e.runRouter = predicted.Run
-	e.reported = predicted.RecordReport
+	e.router = router
+	e.runRouter = router.Run
+	e.onReport = router.RecordReport
 }
 
-// fetchTime is how long a service's replicas take to fetch a token from another.
-func (e *Entry) fetchTime(service string) time.Duration {
+// fetchTimePerToken returns how long a replica of a service takes to fetch the KV cache
+// of one token from another replica.
+func (e *Entry) fetchTimePerToken(service string) time.Duration {
 	current := e.routes.Current()
 	if current == nil || current.Services[service].Engine == nil {
 		return 0
@@ -182,26 +185,27 @@
 	return current.Services[service].Engine.FetchTime
 }
 
-// isPlain says whether a service runs no model.
+// isPlain reports whether a service runs no model.
 func (e *Entry) isPlain(service string) bool {
 	current := e.routes.Current()
 	return current != nil && current.Services[service].Engine == nil
 }
 
-// dutyRank is how many nodes are to follow a dead holder before this one.
+// dutyRank returns the number of nodes that try to replace a dead lease holder
+// before this one.
 func (e *Entry) dutyRank() int {
-	own := xxh3.HashString(dutyLease + e.config.Settings.Instance)
+	ownHash := xxh3.HashString(dutyLease + e.config.Settings.Instance)
 	rank := 0
 	for _, instance := range e.roster.Instances() {
-		if xxh3.HashString(dutyLease+instance.ID) > own {
+		if xxh3.HashString(dutyLease+instance.ID) > ownHash {
 			rank++
 		}
 	}
 	return rank
 }
 
-// serveCallers builds the listeners' handlers.
-func (e *Entry) serveCallers() {
+// buildServers builds the servers for callers and for readiness checks.
+func (e *Entry) buildServers() {
 	s := e.config.Settings
 	handler := forward.New(forward.Config{
 		Routes:        e.routes,
@@ -213,7 +217,7 @@
 			Ratio:  s.Bounds.RetryRatio,
 			Slack:  s.Bounds.RetrySlack,
 			Window: s.Bounds.RetryWindow,
-			Nodes:  e.nodes,
+			Nodes:  e.nodeCount,
 		}),
 		Allowance: e.allowance,
 		Quarantine: quarantine.New(quarantine.Config{
@@ -229,9 +233,9 @@
 		Logger:     e.config.Logger,
 		Registerer: e.registry,
 	})
-	serving, giveUp := context.WithCancelCause(context.Background())
-	e.giveUp = giveUp
-	e.callers = &http.Server{
+	serving, cancelRequests := context.WithCancelCause(context.Background())
+	e.cancelRequests = cancelRequests
+	e.callerServer = &http.Server{
 		Handler:           handler,
 		BaseContext:       func(net.Listener) context.Context { return serving },
 		ReadHeaderTimeout: headerTimeout,
@@ -239,14 +243,15 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(e.config.Logger.Handler(), slog.LevelDebug),
 	}
-	e.ready = &http.Server{
+	e.readyServer = &http.Server{
 		Handler:           e.readiness(),
 		ReadHeaderTimeout: headerTimeout,
 	}
 }
 
-// failureDomain returns where a replica runs, or "" if it is not known: the
-// quarantine tells a domain that goes as a whole from a request that crashes replicas.
+// failureDomain returns the failure domain of a replica, or "" if it is not known.
+// The quarantine needs it to distinguish the loss of a whole domain from a request
+// that crashes replicas.
 func (e *Entry) failureDomain(replica string) string {
 	if u := e.board.Upstreams.Get(replica); u != nil {
 		return u.Instance.FailureDomain
@@ -254,10 +259,12 @@
 	return ""
 }
 
-// nodes is how many entry instances there are, cut off ones included.
-func (e *Entry) nodes() int { return max(1, len(e.roster.Instances())) }
+// nodeCount returns the number of entry instances, including those that are
+// partitioned from this one.
+func (e *Entry) nodeCount() int { return max(1, len(e.roster.Instances())) }
 
-// duties are what this node does for the fleet while it holds the lease.
+// duties returns the controllers that act for the fleet while this node holds
+// the lease.
 func (e *Entry) duties() []func(context.Context) {
 	return []func(context.Context){
 		e.reporter.Run,
@@ -265,12 +272,12 @@
 	}
 }
 
-// controllers are what runs beside the request path until the node has stopped.
+// controllers returns the background loops that run until the node has stopped.
 func (e *Entry) controllers() []func(context.Context) {
 	return []func(context.Context){
 		e.follower.Run,
-		e.enterRoster,
-		e.borrow,
+		e.maintainRoster,
+		e.fetchReplicas,
 		e.members.Run,
 		e.reports.Run,
 		e.allowance.Run,
@@ -280,5 +287,5 @@
 	}
 }
 
-// errPeers wraps what went wrong between nodes.
-func errPeers(err error) error { return fmt.Errorf("peers: %w", err) }
+// wrapPeerError wraps an error of the peer listener or of a peer pool.
+func wrapPeerError(err error) error { return fmt.Errorf("peers: %w", err) }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry assembles an entry instance on the users' platform: its
-// tables, the followers of the platform's store, the listeners and its stop.
+// Package entry assembles an entry instance on the users' platform: its tables,
+// the followers of the platform's store, the listeners and the graceful stop.
 package entry
 
 import (
@@ -35,15 +35,16 @@
 	"zinniamast/usage"
 )
 
-// Config says what an entry instance is made of.
+// Config holds the settings and dependencies of an entry instance.
 type Config struct {
 	Settings *platform.Settings
-	// Path is the settings file, read again on each of Hangups.
+	// Path is the settings file, which is reloaded on each signal of Hangups.
 	Path    string
 	Hangups <-chan os.Signal
-	// Metrics is the port of the metrics; zero serves them beside the readiness alone.
+	// Metrics is an additional port for metrics; if it is zero, only the readiness
+	// listener serves them.
 	Metrics int
-	// Clock tells true time to the log; nil makes one.
+	// Clock is the corrected clock that the log shares; if it is nil, New creates one.
 	Clock *clock.Clock
 	// Policy names how replicas are chosen; PolicyPredicted if empty.
 	Policy string
@@ -52,37 +53,38 @@
 
 // The policies that choose replicas.
 const (
-	// PolicyPredicted is package routing: predicted completion and kept prefixes.
+	// PolicyPredicted is package routing, which chooses by predicted completion time
+	// and cached prefixes.
 	PolicyPredicted = "predicted"
-	// PolicyNearest is package nearest: the fewest requests, own failure domain first.
+	// PolicyNearest is package nearest, which chooses the replica with the fewest
+	// in-flight requests, in the node's own failure domain first.
 	PolicyNearest = "nearest"
 )
 
 const (
-	// headerTimeout and idleTimeout bound callers. net/http cannot change them
-	// while it serves, and the configuration may name other figures: 3 s and 15 s
-	// so far.
-	//
-	// Failure: callers use a connection again up to four fifths of the configured
-	// idle time; one that is closed earlier meets their request, which is lost.
-	// Bounds well above any configured ones cost some idle connections.
+	// headerTimeout and idleTimeout bound the connections of callers. net/http
+	// cannot change them while it serves, but the configuration, which has 3 s and
+	// 15 s, may change its own. Callers reuse a connection for up to four fifths of
+	// the configured idle time, and a request sent on a connection that is closed
+	// earlier is lost. These bounds are therefore well above any configured ones, at
+	// the price of some idle connections.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds a caller's headers likewise; 16 KB are configured.
+	// maxHeaderBytes bounds a caller's headers, also above the configured 16 KB.
 	maxHeaderBytes = 64 << 10
-	// replicaDialTimeout bounds a connect; a live replica takes some four
-	// milliseconds. A lost first packet is sent again after a second: another
-	// replica is the quicker way.
+	// replicaDialTimeout bounds connecting to a replica, which takes some four
+	// milliseconds if it is alive. TCP retransmits a lost first packet after a
+	// second, so it is quicker to try another replica.
 	replicaDialTimeout = 300 * time.Millisecond
-	// replicaIdleTimeout is how long a connection to a replica is kept without use.
+	// replicaIdleTimeout is how long an idle connection to a replica is kept.
 	replicaIdleTimeout = 4 * time.Second
-	// stopMargin is what is left of the time to stop when running requests are
-	// given up, for their callers to be told and for the last writes; exitMargin
-	// is what is left when those are given up.
+	// stopMargin is the part of the stop timeout that remains when running requests
+	// are aborted, for answers to their callers and for the last writes; exitMargin
+	// is the part that remains when the node stops waiting for those writes.
 	stopMargin = 500 * time.Millisecond
 	exitMargin = 200 * time.Millisecond
-	// tellTimeout bounds how long callers are told that their requests were given up.
-	tellTimeout = 100 * time.Millisecond
+	// abortTimeout bounds answering the callers of aborted requests.
+	abortTimeout = 100 * time.Millisecond
 )
 
 // Entry is one entry instance.
@@ -92,34 +94,34 @@
 	board     *blackboard.Board
 	router    zinniamast.Router
 	runRouter func(context.Context)
-	// reported tells the policy a replica's load; nil if it asks for none.
-	reported func(replica string, report zinniamast.LoadReport)
-	table    zinniamast.Table
-	clock    *clock.Clock
-	follower *registry.Follower
-	roster   *roster.Roster
-	peers    *peer.Server
-	pool     *peer.Pool
-	// follow carries calls that wait, apart from heartbeats and quick calls.
-	follow     *peer.Pool
-	members    *membership.Membership
-	demand     *demand.Demand
-	pools      *limits.Pool
-	domainPool *limits.Pool
-	allowance  *limits.Allowance
-	reports    *reports.Sharer
-	usage      *usage.Counter
-	lease      *lease.Lease
-	reporter   *usage.Reporter
-	scaling    *scaling.Controller
-	registry   *prometheus.Registry
-	callers    *http.Server
-	// giveUp ends what is still running for callers.
-	giveUp    context.CancelCauseFunc
-	ready     *http.Server
-	listeners []net.Listener
-	stopping  atomic.Bool
-	// closing says that the node accepts nothing more.
+	// onReport passes a replica's load report to the policy; nil if the policy uses none.
+	onReport   func(replica string, report zinniamast.LoadReport)
+	table      zinniamast.Table
+	clock      *clock.Clock
+	follower   *registry.Follower
+	roster     *roster.Roster
+	peerServer *peer.Server
+	peerPool   *peer.Pool
+	// longPollPool carries long polls, separate from heartbeats and short calls.
+	longPollPool *peer.Pool
+	members      *membership.Membership
+	demand       *demand.Demand
+	fleetPool    *limits.Pool
+	domainPool   *limits.Pool
+	allowance    *limits.Allowance
+	reports      *reports.Sharer
+	usage        *usage.Counter
+	lease        *lease.Lease
+	reporter     *usage.Reporter
+	scaling      *scaling.Controller
+	registry     *prometheus.Registry
+	callerServer *http.Server
+	// cancelRequests cancels the requests that are still running.
+	cancelRequests context.CancelCauseFunc
+	readyServer    *http.Server
+	listeners      []net.Listener
+	stopping       atomic.Bool
+	// closing is set once the node refuses new requests.
 	closing atomic.Bool
 }
 
@@ -153,7 +155,7 @@
 	return e, nil
 }
 
-// readiness answers the balancer.
+// readiness serves the load balancer's readiness checks, and the metrics.
 func (e *Entry) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}))
@@ -169,21 +171,21 @@
 
 // Run serves until ctx ends and then stops gracefully.
 func (e *Entry) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
 	var controllers sync.WaitGroup
 	for _, run := range e.controllers() {
-		controllers.Go(func() { run(life) })
+		controllers.Go(func() { run(runCtx) })
 	}
-	onDuty, endDuties := context.WithCancel(life)
-	controllers.Go(func() { e.holdDuties(onDuty) })
+	dutiesCtx, endDuties := context.WithCancel(runCtx)
+	controllers.Go(func() { e.runDuties(dutiesCtx) })
 	failed := make(chan error, len(e.listeners)+1)
-	go func() { failed <- e.peers.Serve() }()
-	go func() { failed <- e.callers.Serve(e.listeners[0]) }()
+	go func() { failed <- e.peerServer.Serve() }()
+	go func() { failed <- e.callerServer.Serve(e.listeners[0]) }()
 	for _, listener := range e.listeners[1:] {
-		go func() { failed <- e.ready.Serve(listener) }()
+		go func() { failed <- e.readyServer.Serve(listener) }()
 	}
-	e.config.Logger.Info("started", "instance", e.config.Settings.Instance,
+	e.config.Logger.Info("entry instance started", "instance", e.config.Settings.Instance,
 		"failure_domain", e.config.Settings.FailureDomain, "listen", e.config.Settings.Frontend)
 	select {
 	case err := <-failed:
@@ -191,23 +193,22 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	began := time.Now()
+	start := time.Now()
 	endDuties()
 	e.stop()
-	end()
-	e.awaitEnd(&controllers, e.config.Settings.StopTimeout-exitMargin-time.Since(began))
+	cancelRun()
+	e.waitForControllers(&controllers, e.config.Settings.StopTimeout-exitMargin-time.Since(start))
 	return nil
 }
 
-// holdDuties competes for the lease until ctx ends, and acts under it. The lease
-// is released when all that acts under it has ended.
-//
-// Failure: the lease is released while a call of a duty is on its way. The next
-// holder acts at once, and the platform sees the call of the former one after it.
-func (e *Entry) holdDuties(ctx context.Context) {
-	holding, release := context.WithCancel(context.WithoutCancel(ctx))
+// runDuties competes for the lease until ctx ends, and performs the duties while
+// holding it. The lease is released only after all duties have ended: if it were
+// released while a call of a duty is in flight, the next holder could act at once
+// and the platform would receive the former holder's call after that.
+func (e *Entry) runDuties(ctx context.Context) {
+	leaseCtx, release := context.WithCancel(context.WithoutCancel(ctx))
 	var lease, duties sync.WaitGroup
-	lease.Go(func() { e.lease.Run(holding) })
+	lease.Go(func() { e.lease.Run(leaseCtx) })
 	for _, run := range e.duties() {
 		duties.Go(func() { run(ctx) })
 	}
@@ -216,12 +217,11 @@
 	lease.Wait()
 }
 
-// awaitEnd waits for the controllers, but not for longer than the rest of the
-// time to stop.
-//
-// Failure: the store is away while the node stops. What is written a last time
-// waits for it beyond the time to stop, and the process is killed instead.
-func (e *Entry) awaitEnd(controllers *sync.WaitGroup, rest time.Duration) {
+// waitForControllers waits for the controllers, but no longer than the rest of the stop
+// timeout. If the store is unavailable during the stop, the last writes wait for
+// it; without the bound they would exceed the stop timeout and the process would
+// be killed.
+func (e *Entry) waitForControllers(controllers *sync.WaitGroup, timeout time.Duration) {
 	ended := make(chan struct{})
 	go func() {
 		controllers.Wait()
@@ -229,13 +229,13 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(rest):
-		e.config.Logger.Warn("stopped before the last writes were answered", "instance", e.config.Settings.Instance)
+	case <-time.After(timeout):
+		e.config.Logger.Warn("stop timeout reached before the last writes to the store completed", "instance", e.config.Settings.Instance)
 	}
 }
 
-// reload reads the settings again when the platform says that they changed.
-// Addresses and sizes of a running process stay; what is new is logged.
+// reload reads the settings file again on each hangup signal and logs whether it
+// is valid. Addresses and sizes of a running process do not change.
 func (e *Entry) reload(ctx context.Context) {
 	for {
 		select {
@@ -244,23 +244,23 @@
 			return
 		}
 		if _, err := platform.LoadSettings(e.config.Path); err != nil {
-			e.config.Logger.Warn("settings kept", "cause", err)
+			e.config.Logger.Warn("failed to reload settings; keeping the current ones", "cause", err)
 			continue
 		}
-		e.config.Logger.Info("settings read again", "instance", e.config.Settings.Instance)
+		e.config.Logger.Info("settings reloaded", "instance", e.config.Settings.Instance)
 	}
 }
 
-// stop finishes what runs. The balancer is told first and connections are
-// closed with their next answer, so that nobody's request meets a closed one.
-//
-// Failure: a request that comes on a kept connection long after the stop began
-// is cut when the time is up, in the middle of its answer. After the linger a
-// new request is therefore refused at once, and idle connections are closed.
+// stop lets running requests finish. The node first reports itself as not ready to
+// the load balancer and closes each connection with its next answer, so that no
+// request is sent on a closed connection. A request that arrives on a kept-alive
+// connection late in the stop would be cut off in the middle of its answer at the
+// stop timeout. After stopLinger, new requests are therefore refused at once and
+// idle connections are closed.
 func (e *Entry) stop() {
-	began := time.Now()
+	start := time.Now()
 	e.stopping.Store(true)
-	e.config.Logger.Info("stopping", "instance", e.config.Settings.Instance)
+	e.config.Logger.Info("entry instance stopping", "instance", e.config.Settings.Instance)
 	ctx, cancel := context.WithTimeout(context.Background(), e.config.Settings.StopTimeout-stopMargin)
 	defer cancel()
 	select {
@@ -268,32 +268,32 @@
 	case <-ctx.Done():
 	}
 	e.closing.Store(true)
-	if err := e.callers.Shutdown(ctx); err != nil {
-		e.config.Logger.Warn("stopped with requests running", "cause", err)
-		e.giveUpRequests()
+	if err := e.callerServer.Shutdown(ctx); err != nil {
+		e.config.Logger.Warn("stop timeout reached; aborting running requests", "cause", err)
+		e.abortRequests()
 	}
 	e.members.AnnounceDeparture(ctx)
-	if err := e.peers.Close(ctx); err != nil {
-		e.config.Logger.Warn("peers left with calls running", "cause", err)
+	if err := e.peerServer.Close(ctx); err != nil {
+		e.config.Logger.Warn("failed to close peer listener", "cause", err)
 	}
-	e.pool.Close()
-	e.follow.Close()
-	e.config.Logger.Info("stopped", "instance", e.config.Settings.Instance, "took", time.Since(began))
+	e.peerPool.Close()
+	e.longPollPool.Close()
+	e.config.Logger.Info("entry instance stopped", "instance", e.config.Settings.Instance, "took", time.Since(start))
 }
 
-// giveUpRequests ends the requests that outlast the stop. Those whose answer has
-// not begun are told so with a status: a closed connection says nothing of
-// whether they ran.
-func (e *Entry) giveUpRequests() {
-	e.giveUp(forward.ErrStopping)
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+// abortRequests aborts the requests that outlast the stop. Those whose answer has
+// not begun get an error status, since a closed connection does not show whether
+// the request ran.
+func (e *Entry) abortRequests() {
+	e.cancelRequests(forward.ErrStopping)
+	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
-	if err := e.callers.Shutdown(ctx); err != nil {
-		e.config.Logger.Warn("stopped with callers untold", "cause", err)
+	if err := e.callerServer.Shutdown(ctx); err != nil {
+		e.config.Logger.Warn("some callers were not notified that their requests were aborted", "cause", err)
 	}
 }
 
-// stopLinger is how long a stopping node goes on accepting: the balancer asks
-// each second and takes a node out after two answers, and a request that is
-// accepted must end within the rest of the time to stop.
+// stopLinger is how long a stopping node still accepts requests. The load balancer
+// checks readiness every second and removes a node after two failed checks, and an
+// accepted request must end within the rest of the stop timeout.
 const stopLinger = 2500 * time.Millisecond
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -19,27 +19,27 @@
 	"zinniamast/standin/store"
 )
 
-// fleet is entry instances before stand-ins of everything outside.
+// fleet holds entry instances that use test doubles of the store and the replica.
 type fleet struct {
-	t       *testing.T
-	is      *is.I
-	store   *store.Store
-	replica *replica.Replica
-	stops   map[string]func()
-	at      map[string]*platform.Settings
-	// stopTimeout is that of the instances launched next.
+	t        *testing.T
+	is       *is.I
+	store    *store.Store
+	replica  *replica.Replica
+	stops    map[string]func()
+	settings map[string]*platform.Settings
+	// stopTimeout applies to the instances that are launched next.
 	stopTimeout time.Duration
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{
-		t:       t,
-		is:      is.New(t),
-		store:   store.New(),
-		replica: replica.New("i-1"),
-		stops:   map[string]func(){},
-		at:      map[string]*platform.Settings{},
+		t:        t,
+		is:       is.New(t),
+		store:    store.New(),
+		replica:  replica.New("i-1"),
+		stops:    map[string]func(){},
+		settings: map[string]*platform.Settings{},
 
 		stopTimeout: 8 * time.Second,
 	}
@@ -56,7 +56,7 @@
 	return f
 }
 
-// configure writes a version that has one route.
+// configure writes a configuration version that has one route.
 func (f *fleet) configure(version int, prefix string) {
 	f.store.Put("op", "config", fmt.Appendf(nil, `{"version":%d,
 		"routes":[{"name":"r","hostname":"models.example","prefix":%q,"routeType":"unsafe","timeoutMs":5000,"sloMs":100,"service":"svc","maxAttempts":1}],
@@ -65,14 +65,14 @@
 		"tenants":[{"name":"acme","apiKeys":["k"],"ratePerS":1000,"burst":1000}]}`, version, prefix))
 }
 
-// start starts an instance and waits until it says that it is ready.
+// start launches an instance and waits until it reports that it is ready.
 func (f *fleet) start(name string, seeds ...string) {
 	f.t.Helper()
 	f.launch(name, seeds...)
-	f.within(5*time.Second, name+" is ready", func() bool { return f.ready(name) })
+	f.waitFor(5*time.Second, name+" is ready", func() bool { return f.isReady(name) })
 }
 
-// launch starts an instance.
+// launch runs an instance without waiting for it.
 func (f *fleet) launch(name string, seeds ...string) {
 	f.t.Helper()
 	s := &platform.Settings{
@@ -84,7 +84,7 @@
 		Seeds:         seeds,
 		StopTimeout:   f.stopTimeout,
 		StoreAddress:  f.store.Address(),
-		CloudAddress:  f.store.Address(), // its own: nodes prove their deployment by it
+		CloudAddress:  f.store.Address(), // unique for each test, since the deployment key is derived from it
 		Bounds: platform.Bounds{
 			RetryRatio:  0.2,
 			RetrySlack:  20,
@@ -95,15 +95,15 @@
 			UsageDue:    10 * time.Second,
 		},
 	}
-	built, err := entry.New(entry.Config{
+	instance, err := entry.New(entry.Config{
 		Settings: s,
 		Logger:   slog.New(slog.DiscardHandler),
 	})
 	f.is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- built.Run(ctx) }()
-	f.at[name] = s
+	go func() { done <- instance.Run(ctx) }()
+	f.settings[name] = s
 	f.stops[name] = func() {
 		cancel()
 		if err := <-done; err != nil {
@@ -113,9 +113,9 @@
 	}
 }
 
-// served waits until an instance answers a request with success; allowances of
-// a new process fill from nothing.
-func (f *fleet) served(name, path string) {
+// waitUntilServed waits until an instance answers a request successfully: the allowances of
+// a new process are empty at first.
+func (f *fleet) waitUntilServed(name, path string) {
 	f.t.Helper()
 	status, body := 0, ""
 	f.t.Cleanup(func() {
@@ -123,14 +123,14 @@
 			f.t.Logf("last answer of %s on %s: %d %q", name, path, status, body)
 		}
 	})
-	f.within(2*time.Second, name+" serves "+path, func() bool {
+	f.waitFor(2*time.Second, name+" serves "+path, func() bool {
 		status, body = f.call(name, path)
 		return status == http.StatusOK
 	})
 }
 
-func (f *fleet) ready(name string) bool {
-	response, err := http.Get("http://" + f.at[name].Ready + "/readyz")
+func (f *fleet) isReady(name string) bool {
+	response, err := http.Get("http://" + f.settings[name].Ready + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -138,18 +138,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (f *fleet) within(limit time.Duration, what string, holds func() bool) {
+func (f *fleet) waitFor(limit time.Duration, description string, condition func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(limit); !holds(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(limit); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not within %s: %s", limit, what)
+			f.t.Fatalf("condition not met within %s: %s", limit, description)
 		}
 	}
 }
 
-// call asks an instance and returns the status and body; status 0 is no answer.
+// call sends a request to an instance and returns status and body; status 0 means
+// that there was no answer.
 func (f *fleet) call(name, path string) (int, string) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+f.at[name].Frontend+path, strings.NewReader("x"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+f.settings[name].Frontend+path, strings.NewReader("x"))
 	f.is.NoErr(err)
 	request.Host = "models.example"
 	request.Header.Set("Zinniamast-Request-Id", "r-1")
@@ -166,8 +167,9 @@
 	return response.StatusCode, string(body)
 }
 
-// hang sends a request that its replica never answers, and returns what gets its status.
-func (f *fleet) hang(name, path string) (answered <-chan int) {
+// sendHanging sends a request that the replica never answers, and returns the channel that
+// receives the status.
+func (f *fleet) sendHanging(name, path string) (answered <-chan int) {
 	f.replica.Behave(replica.Behaviour{
 		Hang: true,
 	})
@@ -180,96 +182,96 @@
 	return status
 }
 
-// A request goes the whole way, a change of the configuration is in force a
-// moment later, and a stop lets what runs end.
-func TestWholePath(t *testing.T) {
+// Checks that a request reaches its replica, that a change of the configuration is
+// applied soon, and that a stop lets running requests end.
+func TestRequestConfigChangeAndStop(t *testing.T) {
 	f := newFleet(t)
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
 	_, body := f.call("edge-1", "/pay/x")
 	f.is.Equal(body, "i-1 ran r-1")
 	f.configure(7, "/book/")
-	f.served("edge-1", "/book/x")
+	f.waitUntilServed("edge-1", "/book/x")
 	status, _ := f.call("edge-1", "/pay/x")
 	f.is.Equal(status, http.StatusNotFound)
 
-	answered := f.hang("edge-1", "/book/x")
+	answered := f.sendHanging("edge-1", "/book/x")
 	f.stops["edge-1"]()
-	f.is.Equal(<-answered, http.StatusGatewayTimeout) // the route's time, not the stop's
+	f.is.Equal(<-answered, http.StatusGatewayTimeout) // from the route's timeout, not from the stop
 }
 
-// The store is down when a node starts. The node has the configuration and the
-// replicas from its neighbour and serves; one that knows no neighbour says that
-// it is not ready, and that nothing has run, until the store returns.
-func TestStartDuringAnOutage(t *testing.T) {
+// Guards against a node that cannot serve because the store is down when it starts.
+// A node with a peer gets the configuration and the replicas from the peer; a node
+// without one reports that it is not ready, and refuses requests with a status that
+// says that nothing ran, until the store is back.
+func TestStartDuringStoreOutage(t *testing.T) {
 	f := newFleet(t)
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
 	f.store.SetFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})
-	f.launch("edge-2", f.at["edge-1"].Peer)
+	f.launch("edge-2", f.settings["edge-1"].Peer)
 	f.launch("edge-3")
-	f.within(5*time.Second, "ready by its neighbour", func() bool { return f.ready("edge-2") })
-	f.within(5*time.Second, "edge-2 serves", func() bool {
+	f.waitFor(5*time.Second, "edge-2 is ready through its peer", func() bool { return f.isReady("edge-2") })
+	f.waitFor(5*time.Second, "edge-2 serves", func() bool {
 		status, _ := f.call("edge-2", "/pay/x")
 		return status == http.StatusOK
 	})
-	f.is.True(!f.ready("edge-3"))
+	f.is.True(!f.isReady("edge-3"))
 	status, _ := f.call("edge-3", "/pay/x")
 	f.is.Equal(status, http.StatusServiceUnavailable)
-	f.served("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
 	f.store.SetFault(store.Fault{})
-	f.within(5*time.Second, "ready after the return", func() bool { return f.ready("edge-3") })
-	f.served("edge-3", "/pay/x")
+	f.waitFor(5*time.Second, "edge-3 is ready once the store is back", func() bool { return f.isReady("edge-3") })
+	f.waitUntilServed("edge-3", "/pay/x")
 }
 
-// The store falls silent and then the holder of the duties is stopped while a
-// request hangs. Its last counts and the release of the lease wait for the store;
-// the process must be gone within its time to stop all the same, since it is
-// killed otherwise.
-func TestStopIsBoundedWithoutTheStore(t *testing.T) {
+// Guards against a stop that exceeds the stop timeout, after which the process is
+// killed: the store hangs, and the last usage counts and the release of the duties'
+// lease wait for it while a request hangs too.
+func TestStopIsBoundedWhileStoreHangs(t *testing.T) {
 	f := newFleet(t)
 	f.stopTimeout = 1500 * time.Millisecond
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
-	answered := f.hang("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
+	answered := f.sendHanging("edge-1", "/pay/x")
 	f.store.SetFault(store.Fault{
 		Hang: true,
 	})
-	began := time.Now()
+	start := time.Now()
 	f.stops["edge-1"]()
-	f.is.True(time.Since(began) < f.stopTimeout)
+	f.is.True(time.Since(start) < f.stopTimeout)
 	f.replica.Behave(replica.Behaviour{})
 	<-answered
 }
 
-// The store is silent when a node starts: it neither answers nor refuses.
-// Callers come as soon as the node listens, and its neighbour tells it the
-// configuration and the replicas at once. It must serve by them, and not when
-// its own question to the store has timed out.
-func TestStartWhileTheStoreIsSilent(t *testing.T) {
+// Guards against a node that starts while the store hangs and serves only after its
+// own call to the store has timed out. Its peer has the configuration and the
+// replicas, so the node must serve as soon as it has fetched them.
+func TestStartWhileStoreHangs(t *testing.T) {
 	f := newFleet(t)
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
 	f.store.SetFault(store.Fault{
 		Hang: true,
 	})
-	f.launch("edge-2", f.at["edge-1"].Peer)
-	f.within(time.Second, "ready by its neighbour", func() bool { return f.ready("edge-2") })
-	f.served("edge-2", "/pay/x")
+	f.launch("edge-2", f.settings["edge-1"].Peer)
+	f.waitFor(time.Second, "edge-2 is ready through its peer", func() bool { return f.isReady("edge-2") })
+	f.waitUntilServed("edge-2", "/pay/x")
 	f.store.SetFault(store.Fault{})
 }
 
-// Guards against a closed connection, which tells nothing, for a request that outlasts its node's time to stop.
-func TestRequestThatOutlastsTheStopIsTold(t *testing.T) {
+// Guards against a request that outlasts the stop timeout and gets only a closed
+// connection, which does not show whether it ran, instead of a status.
+func TestRequestOutlastingStopGetsStatus(t *testing.T) {
 	f := newFleet(t)
 	f.stopTimeout = 1500 * time.Millisecond
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
-	answered := f.hang("edge-1", "/pay/x")
-	began := time.Now()
+	f.waitUntilServed("edge-1", "/pay/x")
+	answered := f.sendHanging("edge-1", "/pay/x")
+	start := time.Now()
 	f.stops["edge-1"]()
-	f.is.True(time.Since(began) < f.stopTimeout)
-	f.is.Equal(<-answered, http.StatusBadGateway) // it may have run
+	f.is.True(time.Since(start) < f.stopTimeout)
+	f.is.Equal(<-answered, http.StatusBadGateway) // the status for a request that may have run
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,7 +10,7 @@
 	"zinniamast"
 )
 
-// storeMetrics tells how the platform's store answers.
+// storeMetrics measures calls to the platform's store.
 type storeMetrics struct {
 	calls *prometheus.HistogramVec
 }
@@ -23,8 +23,8 @@
 	storeFailed    = "failed"
 )
 
-// storeBuckets are the bounds of a call's time, in seconds: the store answers in
-// some milliseconds, and a feed waits for up to a second.
+// storeBuckets are the histogram bounds of a call's duration in seconds. The store
+// answers within some milliseconds, and a feed waits for up to a second.
 var storeBuckets = []float64{.005, .01, .02, .05, .1, .3, 1, 1.5}
 
 func newStoreMetrics(registerer prometheus.Registerer) *storeMetrics {
@@ -37,8 +37,8 @@
 	}
 }
 
-// called counts a call that has ended.
-func (m *storeMetrics) called(call string, took time.Duration, err error) {
+// observe observes a completed call.
+func (m *storeMetrics) observe(call string, took time.Duration, err error) {
 	outcome := storeFailed
 	switch {
 	case err == nil:
--- a/entry/metrics_test.go
+++ b/entry/metrics_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// An engineer on call has only logs and metrics: how long the store takes, how
-// long requests wait here and how long streams pause are told, also before the
-// first complaint.
-func TestMetricsTell(t *testing.T) {
+// Guards against a missing metric for the duration of store calls, the queueing time
+// of requests or pauses in streams, which operators need to diagnose latency. The
+// series for pauses must exist before the first pause.
+func TestStoreAndForwardMetrics(t *testing.T) {
 	f := newFleet(t)
 	f.start("edge-1")
-	f.served("edge-1", "/pay/x")
+	f.waitUntilServed("edge-1", "/pay/x")
 	var text string
-	f.within(2*time.Second, "metrics", func() bool {
-		response, err := http.Get("http://" + f.at["edge-1"].Ready + "/metrics")
+	f.waitFor(2*time.Second, "metrics", func() bool {
+		response, err := http.Get("http://" + f.settings["edge-1"].Ready + "/metrics")
 		if err != nil {
 			return false
 		}
@@ -34,7 +34,7 @@
 		"zinniamast_forward_pause_seconds_count 0",
 	} {
 		if !strings.Contains(text, line) {
-			t.Errorf("no %s", line)
+			t.Errorf("metrics lack the line %s", line)
 		}
 	}
 }
--- /dev/null
+++ b/entry/peerclient.go
@@ -0,0 +1,104 @@
+package entry
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/zeebo/xxh3"
+
+	"zinniamast/blackboard"
+	"zinniamast/registry"
+	"zinniamast/reports"
+	"zinniamast/usage"
+)
+
+// peerClient is a client for the RPC services of another node.
+type peerClient struct {
+	entry   *Entry
+	address string
+}
+
+var (
+	_ registry.Peer   = peerClient{}
+	_ reports.Peer    = peerClient{}
+	_ usage.Collector = peerClient{}
+)
+
+// TellReplicas implements registry.Peer.
+func (n peerClient) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+	query := RelayQuery{
+		Position: position,
+		Wait:     wait,
+	}
+	var answer ReplicasAnswer
+	err := n.entry.longPollPool.Call(ctx, n.address, relayName+".Replicas", query, &answer)
+	return answer.Changes, errors.Join(err, answer.Refused.err())
+}
+
+// TellConfig implements registry.Peer.
+func (n peerClient) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+	query := RelayQuery{
+		Position: position,
+		Wait:     wait,
+	}
+	var answer ConfigAnswer
+	err := n.entry.longPollPool.Call(ctx, n.address, relayName+".Config", query, &answer)
+	return answer.Change, errors.Join(err, answer.Refused.err())
+}
+
+// FetchReports implements reports.Peer.
+func (n peerClient) FetchReports(ctx context.Context, query reports.Query) (reports.Answer, error) {
+	var answer reports.Answer
+	err := n.entry.longPollPool.Call(ctx, n.address, reportsName+".Since", query, &answer)
+	return answer, err
+}
+
+// Collect implements usage.Collector.
+func (n peerClient) Collect(ctx context.Context, counts usage.Counts) error {
+	return n.entry.peerPool.Call(ctx, n.address, usageName+".Collect", counts, &struct{}{})
+}
+
+// reader returns the node that follows the store on behalf of this failure domain:
+// the live one with the highest hash. False means this node. Nodes with different
+// views of the membership may use different readers for a moment, which is safe.
+func (e *Entry) reader() (peerClient, bool) {
+	s := e.config.Settings
+	best, highest := blackboard.Member{}, xxh3.HashString(s.Instance)
+	for _, member := range e.board.Members.All() {
+		if member.Dead || member.Leaving || member.ID == s.Instance || member.FailureDomain != s.FailureDomain {
+			continue
+		}
+		if hash := xxh3.HashString(member.ID); hash > highest {
+			best, highest = member, hash
+		}
+	}
+	return peerClient{
+		entry:   e,
+		address: best.Address,
+	}, best.Address != ""
+}
+
+// storeReader returns the reader as a registry.Peer; nil means this node.
+func (e *Entry) storeReader() registry.Peer {
+	if n, ok := e.reader(); ok {
+		return n
+	}
+	return nil
+}
+
+// reportReader returns the reader as a reports.Peer; nil means this node.
+func (e *Entry) reportReader() reports.Peer {
+	if n, ok := e.reader(); ok {
+		return n
+	}
+	return nil
+}
+
+// usageWriter returns the reader as a usage.Collector; nil means this node.
+func (e *Entry) usageWriter() usage.Collector {
+	if n, ok := e.reader(); ok {
+		return n
+	}
+	return nil
+}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -16,26 +16,26 @@
 	"zinniamast/routes"
 )
 
-// openPeers opens the listener for other nodes and takes part in membership.
+// openPeers opens the peer listener and the peer pools and builds the membership.
 func (e *Entry) openPeers() error {
 	s := e.config.Settings
 	keys := []string{deploymentKey(s.CloudAddress)}
 	var err error
-	e.peers, err = peer.NewServer(peer.ServerConfig{
+	e.peerServer, err = peer.NewServer(peer.ServerConfig{
 		Listen:     s.Peer,
 		PeerKeys:   keys,
 		Logger:     e.config.Logger,
 		Registerer: e.registry,
 	})
 	if err != nil {
-		return errPeers(err)
+		return wrapPeerError(err)
 	}
-	for _, pool := range []**peer.Pool{&e.pool, &e.follow} {
+	for _, pool := range []**peer.Pool{&e.peerPool, &e.longPollPool} {
 		*pool, err = peer.NewPool(peer.PoolConfig{
 			Keys: keys,
 		})
 		if err != nil {
-			return errPeers(err)
+			return wrapPeerError(err)
 		}
 	}
 	e.members = membership.New(membership.Config{
@@ -45,34 +45,35 @@
 		Weight:        1,
 		Seeds:         s.Seeds,
 		List:          e.roster,
-		SeedInterval:  joinInterval,
+		SeedInterval:  seedInterval,
 		Members:       e.board.Members,
 		Transport: membership.RPC{
-			Pool: e.pool,
+			Pool: e.peerPool,
 		},
 		Logger:        e.config.Logger,
 		ConfigVersion: e.configVersion,
-		OnNewerConfig: e.newerConfig,
+		OnNewerConfig: e.fetchConfig,
 	})
 	return errors.Join(
-		e.peers.RegisterPeer(membership.ServiceName, e.members.Receiver()),
-		e.peers.RegisterPeer(allowanceName, &Pools{
-			pool:       e.pools,
+		e.peerServer.RegisterPeer(membership.ServiceName, e.members.Receiver()),
+		e.peerServer.RegisterPeer(allowanceName, &PoolReceiver{
+			fleetPool:  e.fleetPool,
 			domainPool: e.domainPool,
 		}),
-		e.peers.RegisterPeer(relayName, e.newRelay()),
+		e.peerServer.RegisterPeer(relayName, e.newRelay()),
 	)
 }
 
-// joinInterval is how often nodes that are on the roster and not known are
-// asked: the roster is at hand.
-const joinInterval = 2 * time.Second
+// seedInterval is how often nodes that are on the roster but not yet members are
+// contacted. The roster is held locally, so a short interval is cheap.
+const seedInterval = 2 * time.Second
 
-// deploymentKey is what nodes of one deployment prove to each other. It keeps
-// deployments apart, each of which has its own cloud, and not strangers out: the
-// platform's network lets only machines of the fleet reach the peer listener,
-// and gives nodes no common secret. It needs no store, so that a node that starts
-// during the store's outage can join.
+// deploymentKey returns the key that nodes of one deployment prove to each other,
+// derived from the cloud's address. It separates deployments, each of which has its
+// own cloud, but is no protection against strangers: the platform's network lets
+// only instances of the fleet reach the peer listener, and gives nodes no common
+// secret. It does not need the store, so a node that starts during an outage of the
+// store can join.
 func deploymentKey(cloud string) string {
 	sum := sha256.Sum256([]byte("zinniamast " + cloud))
 	return hex.EncodeToString(sum[:])
@@ -85,14 +86,15 @@
 	return 0
 }
 
-// relayName is the name under which nodes tell each other what the store holds.
+// relayName is the RPC service name under which nodes forward the store's contents
+// to each other.
 const relayName = "Relay"
 
 // relayTimeout bounds fetching the configuration from a peer.
 const relayTimeout = 2 * time.Second
 
-// Relay tells peers what this node knows of the store: the store may turn
-// single nodes away while it serves the others, and few nodes follow it.
+// Relay serves this node's copy of the store's contents to peers. The store may
+// refuse single nodes while it serves others, and only few nodes follow it.
 type Relay struct {
 	routes   *routes.Table
 	follower *registry.Follower
@@ -107,7 +109,7 @@
 	}
 }
 
-// Current answers with the configuration in force; version 0 where there is none.
+// Current returns the configuration in force, or version 0 if there is none.
 func (r *Relay) Current(_ struct{}, reply *routes.Config) error {
 	if current := r.routes.Current(); current != nil {
 		*reply = *current
@@ -115,46 +117,45 @@
 	return nil
 }
 
-// Known answers with the entries known here.
+// Known returns the replicas that this node knows.
 func (r *Relay) Known(_ struct{}, reply *registry.ReplicaChanges) error {
 	*reply = r.follower.Known()
 	return nil
 }
 
 const (
-	// askInterval is how often a node that is not ready asks its peers.
-	askInterval = 200 * time.Millisecond
-	// borrowTimeout bounds one such question; another peer answers sooner than one
-	// that is about to stop.
-	borrowTimeout = 500 * time.Millisecond
-	// askedAtOnce bounds the peers asked at a time: the answer of each names all
-	// replicas, and in a large fleet there are hundreds of peers.
-	askedAtOnce = 3
+	// fetchInterval is how often a node that is not ready queries its peers.
+	fetchInterval = 200 * time.Millisecond
+	// fetchTimeout bounds one such query. Querying another peer is quicker than
+	// waiting for one that is about to stop.
+	fetchTimeout = 500 * time.Millisecond
+	// maxConcurrentFetches bounds the peers that are queried concurrently: each answer lists
+	// all replicas, and a large fleet has hundreds of peers.
+	maxConcurrentFetches = 3
 )
 
-// borrow asks some peers at a time for the replicas until this node knows them.
-//
-// Failure: instances are restarted in turn while the store is away. One that
-// starts has the configuration from a neighbour at once, and callers come; it
-// asked one peer after the other for the replicas, of which some had just
-// stopped, and refused all for a second and a half.
-func (e *Entry) borrow(ctx context.Context) {
+// fetchReplicas queries a few peers concurrently for the replicas until this node knows
+// them. During a rolling restart while the store is unavailable, a starting instance
+// gets the configuration from a peer at once and receives requests. If it queried one
+// peer after another, some of which have just stopped, it would refuse all requests
+// for about a second and a half.
+func (e *Entry) fetchReplicas(ctx context.Context) {
 	for !e.follower.Ready() {
-		var asked sync.WaitGroup
-		for _, address := range e.somePeers() {
-			asked.Go(func() { e.borrowFrom(ctx, address) })
+		var fetches sync.WaitGroup
+		for _, address := range e.randomPeers() {
+			fetches.Go(func() { e.fetchReplicasFrom(ctx, address) })
 		}
-		asked.Wait()
+		fetches.Wait()
 		select {
-		case <-time.After(askInterval):
+		case <-time.After(fetchInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// somePeers draws the addresses of a few living peers.
-func (e *Entry) somePeers() []string {
+// randomPeers returns the addresses of a few live peers, chosen at random.
+func (e *Entry) randomPeers() []string {
 	var addresses []string
 	for _, member := range e.board.Members.All() {
 		if member.ID != e.config.Settings.Instance && !member.Dead && !member.Leaving {
@@ -162,15 +163,16 @@
 		}
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	return addresses[:min(len(addresses), askedAtOnce)]
+	return addresses[:min(len(addresses), maxConcurrentFetches)]
 }
 
-func (e *Entry) borrowFrom(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+// fetchReplicasFrom fetches the replicas from one peer.
+func (e *Entry) fetchReplicasFrom(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var known registry.ReplicaChanges
-	if err := e.pool.Call(ctx, address, relayName+".Known", struct{}{}, &known); err != nil {
-		e.config.Logger.Debug("replicas not fetched", "peer", address, "cause", err)
+	if err := e.peerPool.Call(ctx, address, relayName+".Known", struct{}{}, &known); err != nil {
+		e.config.Logger.Debug("failed to fetch replicas from peer", "peer", address, "cause", err)
 		return
 	}
 	if !e.follower.Ready() {
@@ -178,24 +180,24 @@
 	}
 }
 
-// newerConfig fetches the configuration of a peer that has a newer one.
-func (e *Entry) newerConfig(address string, version uint64) {
+// fetchConfig fetches the configuration from a peer that announces a newer one.
+func (e *Entry) fetchConfig(address string, version uint64) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
 		var config routes.Config
-		if err := e.pool.Call(ctx, address, relayName+".Current", struct{}{}, &config); err != nil {
-			e.config.Logger.Debug("configuration not fetched", "peer", address, "cause", err)
+		if err := e.peerPool.Call(ctx, address, relayName+".Current", struct{}{}, &config); err != nil {
+			e.config.Logger.Debug("failed to fetch configuration from peer", "peer", address, "cause", err)
 			return
 		}
 		if config.Version > 0 && e.routes.Apply(&config) {
-			e.config.Logger.Info("configuration in force", "version", config.Version, "peer", address, "announced", version)
+			e.config.Logger.Info("applied configuration from peer", "version", config.Version, "peer", address, "announced", version)
 		}
 		if !e.follower.Ready() {
-			e.borrowFrom(ctx, address)
+			e.fetchReplicasFrom(ctx, address)
 		}
 		if len(e.roster.Instances()) == 0 {
-			e.borrowRoster(ctx, address)
+			e.fetchRoster(ctx, address)
 		}
 	}()
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -8,39 +8,40 @@
 	"zinniamast/registry"
 )
 
-// Ask is a node's question to the reader of its failure domain.
-type Ask struct {
+// RelayQuery is a node's long poll to the reader of its failure domain: for changes after
+// Position, waiting up to Wait.
+type RelayQuery struct {
 	Position uint64
 	Wait     time.Duration
 }
 
-// ReplicasTold is the reader's answer. Refusals travel as flags: the transport
-// keeps no error's identity.
-type ReplicasTold struct {
+// ReplicasAnswer is the reader's answer to a query for replicas. Refusals are sent as
+// flags, since net/rpc does not preserve the identity of errors.
+type ReplicasAnswer struct {
 	Changes registry.ReplicaChanges
-	Refused Refused
+	Refused Refusal
 }
 
-// ConfigTold is the reader's answer.
-type ConfigTold struct {
+// ConfigAnswer is the reader's answer to a query for the configuration.
+type ConfigAnswer struct {
 	Change  registry.ConfigChange
-	Refused Refused
+	Refused Refusal
 }
 
-// Refused says why a reader gives no answer.
-type Refused struct {
+// Refusal holds the reason for which a reader refuses a query.
+type Refusal struct {
 	Stale       bool
 	HistoryGone bool
 }
 
-func refusedBy(err error) Refused {
-	return Refused{
+func newRefusal(err error) Refusal {
+	return Refusal{
 		Stale:       errors.Is(err, registry.ErrStale),
 		HistoryGone: errors.Is(err, registry.ErrHistoryGone),
 	}
 }
 
-func (r Refused) err() error {
+func (r Refusal) err() error {
 	switch {
 	case r.HistoryGone:
 		return registry.ErrHistoryGone
@@ -51,18 +52,18 @@
 	}
 }
 
-// Replicas answers what changed after a position.
-func (r *Relay) Replicas(ask Ask, reply *ReplicasTold) error {
-	changes, err := r.follower.TellReplicas(context.Background(), ask.Position, ask.Wait)
+// Replicas returns the replicas that changed after a position.
+func (r *Relay) Replicas(query RelayQuery, reply *ReplicasAnswer) error {
+	changes, err := r.follower.TellReplicas(context.Background(), query.Position, query.Wait)
 	reply.Changes = changes
-	reply.Refused = refusedBy(err)
+	reply.Refused = newRefusal(err)
 	return nil
 }
 
-// Config answers the configuration once it is beyond a position.
-func (r *Relay) Config(ask Ask, reply *ConfigTold) error {
-	change, err := r.follower.TellConfig(context.Background(), ask.Position, ask.Wait)
+// Config returns the configuration once it is newer than a position.
+func (r *Relay) Config(query RelayQuery, reply *ConfigAnswer) error {
+	change, err := r.follower.TellConfig(context.Background(), query.Position, query.Wait)
 	reply.Change = change
-	reply.Refused = refusedBy(err)
+	reply.Refused = newRefusal(err)
 	return nil
 }
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -8,11 +8,11 @@
 	"zinniamast/reports"
 )
 
-// reportsName is the name under which nodes tell each other replicas' reports.
+// reportsName is the RPC service name under which nodes exchange replicas' load reports.
 const reportsName = "Reports"
 
-// shareReports builds what knows the replicas' load.
-func (e *Entry) shareReports() error {
+// buildReports builds the sharing of the replicas' load reports.
+func (e *Entry) buildReports() error {
 	s := e.config.Settings
 	e.reports = reports.New(reports.Config{
 		Node:           s.Instance,
@@ -24,24 +24,24 @@
 		Contact:        e.reportContact,
 		IsPlain:        e.isPlain,
 		Demand:         e.demand,
-		OnReport:       e.heardReport,
+		OnReport:       e.handleReport,
 		Logger:         e.config.Logger,
 	})
-	return e.peers.RegisterPeer(reportsName, &ReportTeller{sharer: e.reports})
+	return e.peerServer.RegisterPeer(reportsName, &ReportReceiver{sharer: e.reports})
 }
 
-// heardReport passes a report on to the policy, if it takes them.
-func (e *Entry) heardReport(replica string, report zinniamast.LoadReport) {
-	if e.reported != nil {
-		e.reported(replica, report)
+// handleReport passes a load report to the routing policy, if the policy uses them.
+func (e *Entry) handleReport(replica string, report zinniamast.LoadReport) {
+	if e.onReport != nil {
+		e.onReport(replica, report)
 	}
 }
 
-// reportContact returns any living node of another failure domain.
+// reportContact returns any live node of a failure domain.
 func (e *Entry) reportContact(failureDomain string) reports.Peer {
 	for _, member := range e.board.Members.All() {
 		if member.FailureDomain == failureDomain && !member.Dead && !member.Leaving {
-			return neighbour{
+			return peerClient{
 				entry:   e,
 				address: member.Address,
 			}
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// ReportTeller answers other nodes.
-type ReportTeller struct {
+// ReportReceiver serves load reports to other nodes.
+type ReportReceiver struct {
 	sharer *reports.Sharer
 }
 
-// Since answers the reports after a position.
-func (t *ReportTeller) Since(ask reports.Query, reply *reports.Answer) error {
-	*reply = t.sharer.Answer(context.Background(), ask)
+// Since returns the reports after a position.
+func (r *ReportReceiver) Since(query reports.Query, reply *reports.Answer) error {
+	*reply = r.sharer.Answer(context.Background(), query)
 	return nil
 }
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -7,36 +7,36 @@
 	"zinniamast/roster"
 )
 
-// rosterInterval is how often the roster is read, and rosterFirst in the first
-// seconds, when all nodes start at once. One node of each failure domain reads
-// it from the store and the others ask that one: with a read of its own each 45 s
-// a node of 91 costs as many calls and sees a new node that much later.
+// rosterInterval is how often the roster is read, and rosterStartInterval is the
+// interval of the first rosterStartRounds rounds, when all nodes may be starting at
+// once. One node of each failure domain reads the roster from the store and the
+// others query that node. If each of 91 nodes read the store every 45 s instead, the
+// number of calls would be the same and a new node would be noticed that much later.
 const (
-	rosterInterval = 5 * time.Second
-	rosterFirst    = time.Second
-	rosterFast     = 5
+	rosterInterval      = 5 * time.Second
+	rosterStartInterval = time.Second
+	rosterStartRounds   = 5
 )
 
-// enterRoster announces this node and goes on counting the others.
-//
-// Failure: all nodes lose power. A node that announced itself before it read the
-// roster knew of no pool of any allowance for some 60 ms, in which it refused
-// every request; the list of before is at hand.
-func (e *Entry) enterRoster(ctx context.Context) {
+// maintainRoster announces this node on the roster and keeps reading the roster. It
+// reads once before it announces: after all nodes have lost power, the store still
+// has the earlier roster. A node that announced itself first would know no allowance
+// pool for some 60 ms and refuse every request in that time.
+func (e *Entry) maintainRoster(ctx context.Context) {
 	if _, err := e.roster.Read(ctx); err != nil {
-		e.config.Logger.Debug("roster not read", "cause", err)
+		e.config.Logger.Debug("failed to read roster from store", "cause", err)
 	}
 	e.roster.Announce(ctx)
 	for round := 0; ctx.Err() == nil; round++ {
 		if err := e.readRoster(ctx); err != nil {
-			e.config.Logger.Debug("roster not read", "cause", err)
+			e.config.Logger.Debug("failed to read roster from store", "cause", err)
 		}
 		if e.roster.Missing() {
 			e.roster.Announce(ctx)
 		}
 		wait := rosterInterval
-		if round < rosterFast {
-			wait = rosterFirst
+		if round < rosterStartRounds {
+			wait = rosterStartInterval
 		}
 		select {
 		case <-time.After(wait):
@@ -45,9 +45,9 @@
 	}
 }
 
-// readRoster hears the roster from the failure domain's reader, or reads it.
+// readRoster fetches the roster from the failure domain's reader, or reads the store.
 func (e *Entry) readRoster(ctx context.Context) error {
-	if reader, ok := e.reader(); ok && e.borrowRoster(ctx, reader.address) {
+	if reader, ok := e.reader(); ok && e.fetchRoster(ctx, reader.address) {
 		return nil
 	}
 	if _, err := e.roster.Read(ctx); err != nil {
@@ -57,30 +57,30 @@
 	return nil
 }
 
-// borrowRoster hears the roster from a peer and says whether it knew one.
-//
-// Failure: an instance starts while the store is silent. Until its own reading
-// has timed out it knows of no other and takes a small fixed part of each
-// allowance for its own: callers well within theirs were refused for seconds.
-func (e *Entry) borrowRoster(ctx context.Context, address string) bool {
+// fetchRoster fetches the roster from a peer and reports whether the peer had one.
+// An instance that starts while the store does not answer knows no other instance
+// until its own read times out, and until then has only a small fixed part of each
+// allowance; without the peer's roster it would refuse callers that are well within
+// their allowance for seconds.
+func (e *Entry) fetchRoster(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	var entries []roster.Entry
-	if err := e.pool.Call(ctx, address, relayName+".Roster", struct{}{}, &entries); err != nil || len(entries) == 0 {
-		e.config.Logger.Debug("roster not told", "peer", address, "cause", err)
+	if err := e.peerPool.Call(ctx, address, relayName+".Roster", struct{}{}, &entries); err != nil || len(entries) == 0 {
+		e.config.Logger.Debug("failed to fetch roster from peer", "peer", address, "cause", err)
 		return false
 	}
 	e.roster.Keep(entries)
 	return true
 }
 
-// isAlive says whether an instance of this failure domain is heard of.
+// isAlive reports whether an instance is a member that is not declared dead.
 func (e *Entry) isAlive(id string) bool {
 	member, known := e.board.Members.Get(id)
 	return known && !member.Dead
 }
 
-// Roster answers with the entry instances known here.
+// Roster returns the entry instances that this node knows.
 func (r *Relay) Roster(_ struct{}, reply *[]roster.Entry) error {
 	*reply = r.roster.Entries()
 	return nil
--- a/entry/usage.go
+++ b/entry/usage.go
@@ -2,15 +2,15 @@
 
 import "zinniamast/usage"
 
-// usageName is the name under which nodes hand their counts over.
+// usageName is the RPC service name under which nodes submit their usage counts.
 const usageName = "Usage"
 
-// UsageTaker answers other nodes.
-type UsageTaker struct {
+// UsageReceiver receives the usage counts of other nodes.
+type UsageReceiver struct {
 	counter *usage.Counter
 }
 
-// Collect takes a node's counts in.
-func (t *UsageTaker) Collect(counts usage.Counts, _ *struct{}) error {
-	return t.counter.Collect(counts)
+// Collect adds a node's usage counts.
+func (r *UsageReceiver) Collect(counts usage.Counts, _ *struct{}) error {
+	return r.counter.Collect(counts)
 }
