--- a/node/assemble.go
+++ b/node/assemble.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// kvBytesASecond is what a replica's link is assumed to carry for KV caches.
-	kvBytesASecond = 1 << 30
+	// kvBytesPerSecond is the assumed throughput of a replica's link for KV caches.
+	kvBytesPerSecond = 1 << 30
 	// priceInterval is how often prices are read.
 	priceInterval = time.Minute
 )
 
-// assemble wires the controllers and both callers' sides.
+// assemble builds the controllers and the handlers for model and plain services.
 func (n *Node) assemble() error {
 	n.openTable()
 	n.list = discovery.NewPacedList(n.config.Platform.List)
-	// One after the other: where the peer listener cannot open there is nothing
-	// to register with.
-	for _, step := range []func() error{n.openPeers, n.joinPeers, n.followConfiguration} {
+	// The steps run in order, since the later ones register with the peer listener
+	// that the first one opens.
+	for _, step := range []func() error{n.openPeers, n.registerMembership, n.registerRollout} {
 		if err := step(); err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
 	}
-	n.routeRequests()
-	n.followUpstreams()
-	n.holdBackCrashes()
-	n.buyInstances()
+	n.buildRouting()
+	n.buildDiscovery()
+	n.buildQuarantine()
+	n.buildCapacity()
 	budget := retry.New(retry.Config{
 		Logger:     n.config.Logger,
 		Registerer: n.registry,
 	})
-	n.runRequests(budget)
-	if err := errors.Join(n.exchangeRequests(), n.serveServices(budget), n.answerOperators()); err != nil {
+	n.buildRunner(budget)
+	if err := errors.Join(n.registerHandoff(), n.registerServices(budget), n.registerOperator()); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	n.serveCallers()
+	n.buildServer()
 	return nil
 }
 
-// routeRequests builds what decides where requests go and whether they may begin.
-func (n *Node) routeRequests() {
+// buildRouting builds the router and the limiter.
+func (n *Node) buildRouting() {
 	s := n.config.Settings
 	n.router = routing.New(routing.Config{
 		Board:         n.board,
@@ -72,8 +72,8 @@
 	})
 }
 
-// followUpstreams builds what knows which upstreams there are and which leave.
-func (n *Node) followUpstreams() {
+// buildDiscovery builds the discovery of upstreams and the controller of reclaim notices.
+func (n *Node) buildDiscovery() {
 	s := n.config.Settings
 	n.upstreams = discovery.New(discovery.Config{
 		Upstreams:     n.board.Upstreams,
@@ -91,13 +91,13 @@
 		Gossip:        n.members,
 		Instance:      s.Instance,
 		FailureDomain: s.FailureDomain,
-		OnOwn:         n.reclaim,
+		OnOwn:         n.onReclaim,
 		Logger:        n.config.Logger,
 	})
 }
 
-// runRequests builds what runs accepted model requests to their end.
-func (n *Node) runRequests(budget *retry.Policy) {
+// buildRunner builds the runner of accepted model requests.
+func (n *Node) buildRunner(budget *retry.Policy) {
 	n.runner = attempt.New(attempt.Config{
 		Board:          n.board,
 		Router:         n.router,
@@ -107,12 +107,12 @@
 		Metrics:        attempt.NewMetrics(n.registry),
 		FailureDomain:  n.config.Settings.FailureDomain,
 		Produced:       n.meter.Add,
-		KVBytesASecond: kvBytesASecond,
+		KVBytesASecond: kvBytesPerSecond,
 	})
 }
 
-// serveCallers builds the listener's handler.
-func (n *Node) serveCallers() {
+// buildServer builds the server for callers.
+func (n *Node) buildServer() {
 	callers := caller.New(caller.Config{
 		Board:         n.board,
 		Runner:        n.runner,
@@ -123,14 +123,14 @@
 		Instance:      n.config.Settings.Instance,
 		FailureDomain: n.config.Settings.FailureDomain,
 		Stopping:      n.stopping.Load,
-		Context:       n.life,
+		Context:       n.runContext,
 		Logger:        n.config.Logger,
 		Metrics:       caller.NewMetrics(n.registry),
 	})
-	n.server = caller.HTTPServer(n.routes(n.counted(callers)))
+	n.server = caller.HTTPServer(n.newMux(n.countCallers(callers)))
 }
 
-// startControllers starts what runs beside the request path.
+// startControllers starts the background loops.
 func (n *Node) startControllers() {
 	for _, run := range []func(context.Context){
 		n.members.Run,
@@ -145,25 +145,25 @@
 		n.readPrices,
 		n.sweep,
 	} {
-		n.controllers.Go(func() { run(n.life) })
+		n.controllers.Go(func() { run(n.runContext) })
 	}
 }
 
-// reclaim starts the node's stop once its own reclaim is announced.
-func (n *Node) reclaim(at time.Time) {
+// onReclaim requests the node's stop once its own reclaim is announced.
+func (n *Node) onReclaim(at time.Time) {
 	select {
 	case n.reclaimed <- at:
 	default:
 	}
 }
 
-// upstreamLeaves tells every node that an upstream is being returned.
-func (n *Node) upstreamLeaves(instance string, at time.Time) {
+// markLeaving marks an upstream as leaving once it is to be returned.
+func (n *Node) markLeaving(instance string, at time.Time) {
 	n.board.Upstreams.MarkLeaving(instance, at)
 }
 
-// readPrices tells routing what instances cost. Old prices stand while the
-// platform is away.
+// readPrices passes the prices of instances to the router. The last known prices
+// remain in use while the platform is unavailable.
 func (n *Node) readPrices(ctx context.Context) {
 	ticker := time.NewTicker(priceInterval)
 	defer ticker.Stop()
--- a/node/endmark_test.go
+++ b/node/endmark_test.go
@@ -13,53 +13,54 @@
 	"zinniamast/standin/engine"
 )
 
-// endMark is how an engine ends a whole answer.
+// endMark is the event with which an engine ends a complete answer.
 var endMark = []byte("[DONE]")
 
-// unread keeps back one end mark, as one that is on its way when its reader goes.
-type unread struct {
-	next http.Handler
-	kept *atomic.Bool
+// endMarkHandler withholds one end mark, like one that is in flight when its reader stops.
+type endMarkHandler struct {
+	next    http.Handler
+	dropped *atomic.Bool
 }
 
-func (u *unread) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	k := &keeper{
+func (h *endMarkHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	k := &endMarkWriter{
 		ResponseWriter: w,
-		kept:           u.kept,
+		dropped:        h.dropped,
 	}
-	u.next.ServeHTTP(k, q)
-	if k.here {
+	h.next.ServeHTTP(k, q)
+	if k.isDropper {
 		<-q.Context().Done()
 	}
 }
 
-// keeper drops the end mark of the first answer that has one.
-type keeper struct {
+// endMarkWriter drops the end mark of the first answer that has one.
+type endMarkWriter struct {
 	http.ResponseWriter
-	kept *atomic.Bool
-	here bool
+	dropped   *atomic.Bool
+	isDropper bool
 }
 
 // Unwrap lets a response controller flush.
-func (k *keeper) Unwrap() http.ResponseWriter { return k.ResponseWriter }
+func (w *endMarkWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (k *keeper) Write(b []byte) (int, error) {
-	if bytes.Contains(b, endMark) && k.kept.CompareAndSwap(false, true) {
-		k.here = true
+func (w *endMarkWriter) Write(b []byte) (int, error) {
+	if bytes.Contains(b, endMark) && w.dropped.CompareAndSwap(false, true) {
+		w.isDropper = true
 		return len(b), nil
 	}
-	return k.ResponseWriter.Write(b)
+	return w.ResponseWriter.Write(b)
 }
 
-// Guards against an answer lost, asked anew or computed again when it is handed over before its end mark is read.
+// Guards against an answer that is lost, requested again or recomputed because its
+// request is handed over before the node has read the end mark.
 func TestEndMarkUnreadAtHandover(t *testing.T) {
 	is := is.New(t)
 	const tokens = 60
-	var kept atomic.Bool
-	f := startFleetBehind(t, 30*time.Second, func(next http.Handler) http.Handler {
-		return &unread{
-			next: next,
-			kept: &kept,
+	var dropped atomic.Bool
+	f := startFleetWrapped(t, 30*time.Second, func(next http.Handler) http.Handler {
+		return &endMarkHandler{
+			next:    next,
+			dropped: &dropped,
 		}
 	})
 	done := make(chan struct{})
@@ -67,7 +68,7 @@
 		defer close(done)
 		f.stream(t, 0, 0, tokens)
 	}()
-	until(t, func() bool {
+	waitFor(t, func() bool {
 		for _, q := range f.nodes[0].Board().Requests.All() {
 			if produced, _, _ := q.Progress(); produced == tokens {
 				return f.counts().Finished == 1
@@ -78,16 +79,17 @@
 	f.platform.Cloud.Reclaim("node-0", 2*time.Second)
 	is.NoErr(<-f.done[0])
 	<-done
-	f.settle(t)
+	f.waitUntilIdle(t)
 	is.Equal(f.counts(), engine.Counts{
 		Started:  2,
 		Finished: 2,
 		Produced: tokens,
 	})
-	f.finishOnce(t, 1)
+	f.checkFinishedOnce(t, 1)
 }
 
-// Guards against an answer lost, or taken from two attempts, because it ends in one of the steps of a hand-over.
+// Guards against an answer that is lost or accepted from two attempts because it ends
+// during one of the steps of a handoff.
 func TestStreamsEndDuringHandover(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 30*time.Second)
@@ -96,15 +98,15 @@
 	for i, prompt := range longPrompts(40) {
 		group.Go(func() { f.stream(t, i, prompt, shortest+2*i) })
 	}
-	until(t, func() bool { return f.counts().Started == 40 })
+	waitFor(t, func() bool { return f.counts().Started == 40 })
 	f.platform.Cloud.Reclaim("node-0", 2*time.Second)
 	is.NoErr(<-f.done[0])
 	group.Wait()
-	f.settle(t)
+	f.waitUntilIdle(t)
 	counts := f.counts()
 	t.Logf("%+v", counts)
 	is.Equal(counts.BadResumes, 0)
 	is.Equal(counts.ResumeComputed, 0)
 	is.True(counts.Started <= 80)
-	f.finishOnce(t, 40)
+	f.checkFinishedOnce(t, 40)
 }
--- a/node/moved_test.go
+++ b/node/movedcache_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// slowStart holds back each request that goes on from a moved cache, as an
-// engine does that is busy when it arrives.
+// slowStart delays each request that resumes from a moved KV cache, like an engine
+// that is busy when the request arrives.
 func slowStart(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
@@ -31,16 +31,17 @@
 	})
 }
 
-// Guards against a moved cache that nobody uses since the request was handed over before its engine had begun.
+// Guards against a moved KV cache that stays unused because the request was handed
+// over before its new engine had started it.
 func TestMovedCacheIsUsedAtHandover(t *testing.T) {
 	is := is.New(t)
 	const streams = 10
-	f := startFleetBehind(t, 30*time.Second, slowStart)
+	f := startFleetWrapped(t, 30*time.Second, slowStart)
 	var group sync.WaitGroup
 	for i, prompt := range longPrompts(streams) {
 		group.Go(func() { f.stream(t, i, prompt, 1000) })
 	}
-	until(t, func() bool { return f.counts().Started == streams })
+	waitFor(t, func() bool { return f.counts().Started == streams })
 	time.Sleep(500 * time.Millisecond)
 	startOver := 0
 	for _, q := range f.nodes[0].Board().Requests.All() {
@@ -51,11 +52,11 @@
 	f.platform.Cloud.ReclaimDomain("domain-0", 3*time.Second)
 	is.NoErr(<-f.done[0])
 	group.Wait()
-	f.settle(t)
+	f.waitUntilIdle(t)
 	counts := f.counts()
-	t.Logf("%d tokens recomputed, starting over %d, longest gap %s", counts.ResumeComputed, startOver, f.longest)
+	t.Logf("%d tokens recomputed, starting over %d, longest gap %s", counts.ResumeComputed, startOver, f.longestGap)
 	is.Equal(counts.BadResumes, 0)
 	is.Equal(counts.Finished, streams)
-	f.finishOnce(t, streams)
+	f.checkFinishedOnce(t, streams)
 	is.True(counts.ResumeComputed*2 < startOver)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,5 @@
 // Package node assembles one entry instance: its blackboard, its controllers,
-// its listeners and its way to stop.
+// its listeners and its graceful stop.
 package node
 
 import (
@@ -45,22 +45,22 @@
 	Weights zinniamast.WeightStore
 }
 
-// Config says what a node is made of.
+// Config holds the settings and dependencies of a node.
 type Config struct {
-	// Settings are the process's own.
+	// Settings are the settings of this process.
 	Settings *settings.Settings
 	// Platform holds the platform's clients.
 	Platform Platform
-	// Logger gets one line an event.
+	// Logger receives one record per event.
 	Logger *slog.Logger
 }
 
 const (
 	sweepInterval = time.Second
-	// endedPart is the part of the memory cap that ended requests may hold.
-	endedPart = 4
-	// keepEnded is how long an ended request can still be attached to.
-	keepEnded = time.Minute
+	// endedMemoryDivisor is the divisor of the memory cap that gives the share ended requests may use.
+	endedMemoryDivisor = 4
+	// endedRetention is how long callers can still attach to an ended request.
+	endedRetention = time.Minute
 )
 
 // Node is one entry instance.
@@ -92,16 +92,16 @@
 	capacity    *capacity.Controller
 	reports     *capacity.Reports
 	controllers sync.WaitGroup
-	// reclaimed hears when this instance goes, once that is announced.
+	// reclaimed receives the time at which this instance is reclaimed, once announced.
 	reclaimed chan time.Time
-	// advertised is host:port by which peers reach this node.
+	// advertised is the host:port at which peers reach this node.
 	advertised string
 	stopping   atomic.Bool
-	// open counts callers that are being answered.
-	open atomic.Int64
-	// life ends when the node may run nothing any more.
-	life context.Context
-	end  context.CancelFunc
+	// openCallers counts the callers that are being answered.
+	openCallers atomic.Int64
+	// runContext is cancelled when the node must stop all its work.
+	runContext context.Context
+	cancelRun  context.CancelFunc
 }
 
 // New builds a node and opens its listeners.
@@ -110,16 +110,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	life, end := context.WithCancel(context.Background())
+	runContext, cancelRun := context.WithCancel(context.Background())
 	n := &Node{
-		config:    config,
-		board:     blackboard.New(),
-		registry:  prometheus.NewRegistry(),
-		listener:  listener,
-		clients:   newUpstreamClients(),
-		life:      life,
-		reclaimed: make(chan time.Time, 1),
-		end:       end,
+		config:     config,
+		board:      blackboard.New(),
+		registry:   prometheus.NewRegistry(),
+		listener:   listener,
+		clients:    newUpstreamClients(),
+		runContext: runContext,
+		reclaimed:  make(chan time.Time, 1),
+		cancelRun:  cancelRun,
 	}
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	if err := n.assemble(); err != nil {
@@ -129,20 +129,20 @@
 	return n, nil
 }
 
-// routes puts the node's own pages beside the callers' side.
-func (n *Node) routes(callers http.Handler) http.Handler {
+// newMux adds the node's own endpoints to the handler for callers.
+func (n *Node) newMux(callers http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, "ok")
 	})
-	mux.HandleFunc("GET /readyz", n.ready)
+	mux.HandleFunc("GET /readyz", n.handleReady)
 	mux.Handle("/", callers)
 	return mux
 }
 
-// ready tells the balancer whether to send new connections here.
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers the load balancer's readiness checks.
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if n.stopping.Load() {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
@@ -162,7 +162,7 @@
 
 // Run serves until ctx ends and then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.end()
+	defer n.cancelRun()
 	n.startControllers()
 	failed := make(chan error, 2)
 	go func() { failed <- n.server.Serve(n.listener) }()
@@ -175,20 +175,20 @@
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	case at := <-n.reclaimed:
-		return n.stop(reclaimedAt(at))
+		return n.stop(reclaimStop(at))
 	case <-ctx.Done():
-		return n.stop(n.planned())
+		return n.stop(n.plannedStop())
 	}
 }
 
-// sweep forgets requests that ended a while ago.
+// sweep periodically removes requests that ended more than endedRetention ago.
 func (n *Node) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			n.board.Requests.Sweep(time.Now().Add(-keepEnded), int(n.config.Settings.MemoryCap)/endedPart)
+			n.board.Requests.Sweep(time.Now().Add(-endedRetention), int(n.config.Settings.MemoryCap)/endedMemoryDivisor)
 		case <-ctx.Done():
 			return
 		}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -29,12 +29,13 @@
 )
 
 const (
-	peerKey  = "0123456789abcdef0123456789abcdef"
-	waitStep = 10 * time.Millisecond
-	patience = 20 * time.Second
+	peerKey     = "0123456789abcdef0123456789abcdef"
+	waitStep    = 10 * time.Millisecond
+	waitTimeout = 20 * time.Second
 )
 
-// fleet is three nodes in three failure domains, in one process, over loopback.
+// fleet holds three nodes in three failure domains and four engines, in one process
+// over loopback.
 type fleet struct {
 	platform *platform.Platform
 	engines  []*engine.Engine
@@ -42,24 +43,24 @@
 	done     []chan error
 	stop     []context.CancelFunc
 
-	mu      sync.Mutex
-	longest time.Duration
+	mu         sync.Mutex
+	longestGap time.Duration
 }
 
-// gap notes the longest wait that any caller saw between two tokens.
-func (f *fleet) gap(wait time.Duration) {
+// recordGap records the longest wait between two tokens that any caller saw.
+func (f *fleet) recordGap(wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.longest = max(f.longest, wait)
+	f.longestGap = max(f.longestGap, wait)
 }
 
 func startFleet(t *testing.T, stopTimeout time.Duration) *fleet {
 	t.Helper()
-	return startFleetBehind(t, stopTimeout, func(h http.Handler) http.Handler { return h })
+	return startFleetWrapped(t, stopTimeout, func(h http.Handler) http.Handler { return h })
 }
 
-// startFleetBehind starts a fleet that reaches each engine through what a test puts before it.
-func startFleetBehind(t *testing.T, stopTimeout time.Duration, before func(http.Handler) http.Handler) *fleet {
+// startFleetWrapped starts a fleet whose engines are wrapped in the test's handler.
+func startFleetWrapped(t *testing.T, stopTimeout time.Duration, wrapEngine func(http.Handler) http.Handler) *fleet {
 	t.Helper()
 	f := &fleet{}
 	var instances []zinniamast.Instance
@@ -67,7 +68,7 @@
 		e := engine.New(engine.Config{
 			BetweenTokens: 5 * time.Millisecond,
 		})
-		server := httptest.NewServer(before(e))
+		server := httptest.NewServer(wrapEngine(e))
 		t.Cleanup(server.Close)
 		f.engines = append(f.engines, e)
 		instances = append(instances, zinniamast.Instance{
@@ -136,7 +137,7 @@
 		f.stop = append(f.stop, cancel)
 		f.done = append(f.done, done)
 	}
-	// A node that outlives its test goes on asking at ports that others have by then.
+	// A node that outlives its test keeps calling ports that other tests may use by then.
 	t.Cleanup(func() {
 		for _, stop := range f.stop {
 			stop()
@@ -147,7 +148,7 @@
 		}
 	})
 	for _, n := range f.nodes {
-		until(t, func() bool { return len(n.Board().Members.All()) == 3 && len(n.Board().Upstreams.All()) == 4 })
+		waitFor(t, func() bool { return len(n.Board().Members.All()) == 3 && len(n.Board().Upstreams.All()) == 4 })
 	}
 	reply := f.nodes[0].PutConfiguration(t.Context(), raw, "test", "the test's own")
 	if reply.Outcome != rollout.InForce || len(reply.Nodes) != 3 {
@@ -156,35 +157,36 @@
 	return f
 }
 
-func until(t *testing.T, condition func() bool) {
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(waitStep) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(waitStep) {
 		if time.Now().After(deadline) {
-			t.Fatal("condition did not come true")
+			t.Fatal("condition not met in time")
 		}
 	}
 }
 
-// reading is what a caller has of one streamed answer.
-type reading struct {
-	text  string
-	event string
-	whole bool
-	// gap is the longest wait between two tokens, from the last one read.
-	gap  time.Duration
-	last time.Time
+// receivedStream is the part of a streamed answer that a caller has received.
+type receivedStream struct {
+	text       string
+	lastEvent  string
+	isComplete bool
+	// longestGap is the longest wait between two tokens, also across reconnects, and last
+	// is when the latest token came.
+	longestGap time.Duration
+	last       time.Time
 }
 
-// read reads a stream, or what is left of it, from a node.
-func (r *reading) read(ctx context.Context, n *node.Node, body, key string) error {
+// read reads a stream, or the rest of it, from a node.
+func (r *receivedStream) read(ctx context.Context, n *node.Node, body, key string) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Address()+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return err
 	}
 	q.Header.Set("Authorization", "Bearer key")
 	q.Header.Set(caller.HeaderKey, key)
-	if r.event != "" {
-		q.Header.Set(caller.HeaderLastEvent, r.event)
+	if r.lastEvent != "" {
+		q.Header.Set(caller.HeaderLastEvent, r.lastEvent)
 	}
 	answer, err := http.DefaultClient.Do(q)
 	if err != nil {
@@ -197,14 +199,14 @@
 	lines := bufio.NewScanner(answer.Body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		r.line(lines.Text())
+		r.parseLine(lines.Text())
 	}
 	return lines.Err()
 }
 
-func (r *reading) line(line string) {
+func (r *receivedStream) parseLine(line string) {
 	if event, ok := strings.CutPrefix(line, "id: "); ok {
-		r.event = event
+		r.lastEvent = event
 		return
 	}
 	data, ok := strings.CutPrefix(line, "data: ")
@@ -212,7 +214,7 @@
 		return
 	}
 	if data == "[DONE]" {
-		r.whole = true
+		r.isComplete = true
 		return
 	}
 	var chunk struct {
@@ -226,39 +228,40 @@
 		r.text += chunk.Choices[0].Delta.Content
 		now := time.Now()
 		if !r.last.IsZero() {
-			r.gap = max(r.gap, now.Sub(r.last))
+			r.longestGap = max(r.longestGap, now.Sub(r.last))
 		}
 		r.last = now
 	}
 }
 
-// stream sends a long request to the first node and goes on at the others
-// until the answer is whole.
+// stream sends a long request to the first node and continues at the others until the
+// answer is complete. It returns how often the stream broke.
 func (f *fleet) stream(t *testing.T, i, prompt, tokens int) (breaks int) {
 	body := fmt.Sprintf(`{"model":"summary","stream":true,"max_tokens":%d,"messages":%s}`, tokens, messages(prompt))
-	var r reading
-	deadline := time.Now().Add(patience)
-	for at := 0; !r.whole; at = 1 + at%2 {
+	var r receivedStream
+	deadline := time.Now().Add(waitTimeout)
+	for at := 0; !r.isComplete; at = 1 + at%2 {
 		if time.Now().After(deadline) {
-			t.Errorf("stream %d is not whole after %d breaks", i, breaks)
+			t.Errorf("stream %d is not complete after %d breaks", i, breaks)
 			return breaks
 		}
-		if err := r.read(t.Context(), f.nodes[at], body, fmt.Sprint("key-", i)); err != nil || !r.whole {
+		if err := r.read(t.Context(), f.nodes[at], body, fmt.Sprint("key-", i)); err != nil || !r.isComplete {
 			breaks++
 		}
 	}
-	f.gap(r.gap)
+	f.recordGap(r.longestGap)
 	want := engine.Text(engine.Answer(messages(prompt), tokens))
 	if r.text != want {
-		t.Errorf("stream %d: %d bytes are not its answer of %d", i, len(r.text), len(want))
+		t.Errorf("stream %d: got %d bytes that differ from the expected answer of %d bytes", i, len(r.text), len(want))
 	}
 	return breaks
 }
 
-// settle waits until the engines have counted what callers have read already.
-func (f *fleet) settle(t *testing.T) {
+// waitUntilIdle waits until no engine runs a request, so that the engines' counts include all
+// that callers have read.
+func (f *fleet) waitUntilIdle(t *testing.T) {
 	t.Helper()
-	until(t, func() bool {
+	waitFor(t, func() bool {
 		for _, e := range f.engines {
 			if e.Running() > 0 {
 				return false
@@ -280,9 +283,9 @@
 	return total
 }
 
-// finishes counts, by key, the attempts that nodes took a whole answer from. A
-// peer that was handed an answer already whole holds a copy and no attempt.
-func (f *fleet) finishes() map[string]int {
+// finishedAttempts counts, by key, the attempts from which nodes received a complete answer. A
+// peer that was handed a complete answer holds a copy and has no attempt.
+func (f *fleet) finishedAttempts() map[string]int {
 	finishes := map[string]int{}
 	for _, n := range f.nodes {
 		for _, q := range n.Board().Requests.All() {
@@ -294,29 +297,30 @@
 	return finishes
 }
 
-// finishOnce checks that nodes took each of the first streams whole from one attempt.
-func (f *fleet) finishOnce(t *testing.T, streams int) {
+// checkFinishedOnce checks that nodes received each of the first streams completely from
+// exactly one attempt.
+func (f *fleet) checkFinishedOnce(t *testing.T, streams int) {
 	t.Helper()
 	want := map[string]int{}
 	for i := range streams {
 		want[fmt.Sprint("key-", i)] = 1
 	}
-	is.New(t).Equal(f.finishes(), want)
+	is.New(t).Equal(f.finishedAttempts(), want)
 }
 
-// messages is the prompt of one stream.
+// messages returns the messages of one stream's prompt.
 func messages(prompt int) []byte {
 	return fmt.Appendf(nil, `[{"role":"user","content":"contract %d"}]`, prompt)
 }
 
-// longAnswer is how many tokens an answer has at the least that runs beyond
-// any notice here: 900 gaps of 5 ms are 4.5 s.
+// longAnswer is the minimum number of tokens of an answer that takes longer than any
+// notice in these tests: 900 gaps of 5 ms are 4.5 s.
 const longAnswer = 900
 
-// longPrompts returns prompts whose answers run beyond the notice. An answer
-// that ends while it is handed over may count twice as finished at the
-// engines, whose end mark the giver has not read; where none ends, the count
-// of attempts that finished is exact.
+// longPrompts returns prompts whose answers outlast the notice. An answer that ends
+// during its handoff may be counted twice as finished by the engines, since the node
+// that hands it over has not read the end mark. If no answer ends then, the count of
+// finished attempts is exact.
 func longPrompts(streams int) []int {
 	var prompts []int
 	for prompt := 0; len(prompts) < streams; prompt++ {
@@ -327,10 +331,11 @@
 	return prompts
 }
 
-// An entry instance with 40 open streams is reclaimed on two seconds of
-// notice; the streams would run for longer. Callers read on through it until
-// it goes, then come back to other nodes. Each reads one unbroken answer, and
-// nothing is computed twice, since streams go on at the same replicas.
+// Guards against answers that are lost or recomputed when an entry instance with 40
+// open streams is reclaimed on two seconds of notice, before the streams end. Callers
+// read through it until it stops and then reconnect to other nodes. Each receives one
+// gapless answer, and nothing is recomputed, since the attempts continue on the same
+// replicas.
 func TestReclaimedNodeLosesNothing(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 30*time.Second)
@@ -338,25 +343,25 @@
 	for i, prompt := range longPrompts(40) {
 		group.Go(func() { f.stream(t, i, prompt, 1000) })
 	}
-	until(t, func() bool { return f.counts().Started == 40 })
+	waitFor(t, func() bool { return f.counts().Started == 40 })
 	f.platform.Cloud.Reclaim("node-0", 2*time.Second)
 	is.NoErr(<-f.done[0])
 	group.Wait()
-	f.settle(t)
+	f.waitUntilIdle(t)
 	counts := f.counts()
-	t.Logf("%+v, longest gap %s", counts, f.longest)
+	t.Logf("%+v, longest gap %s", counts, f.longestGap)
 	is.Equal(counts.BadResumes, 0)
 	is.Equal(counts.Started, 80)
 	is.Equal(counts.Finished, 40)
 	is.Equal(counts.ResumeComputed, 0)
-	f.finishOnce(t, 40)
+	f.checkFinishedOnce(t, 40)
 }
 
-// A whole failure domain is reclaimed at once: its entry instance and the
-// engines that run most of the streams, on three seconds of notice. Streams
-// move off the engines with their caches while the node already hands its
-// requests over; each caller reads one unbroken answer, and far less is
-// computed again than by starting over.
+// Guards against answers that are lost or mostly recomputed when a whole failure
+// domain is reclaimed on three seconds of notice: its entry instance and the engines
+// that run most of the streams. Streams move to other engines with their KV caches
+// while the node is already handing its requests over. Each caller receives one
+// gapless answer, and far fewer tokens are recomputed than by starting over.
 func TestReclaimedFailureDomainLosesNothing(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 30*time.Second)
@@ -364,7 +369,7 @@
 	for i, prompt := range longPrompts(40) {
 		group.Go(func() { f.stream(t, i, prompt, 1000) })
 	}
-	until(t, func() bool { return f.counts().Started == 40 })
+	waitFor(t, func() bool { return f.counts().Started == 40 })
 	time.Sleep(500 * time.Millisecond)
 	startOver := 0
 	for _, q := range f.nodes[0].Board().Requests.All() {
@@ -379,18 +384,18 @@
 		f.engines[i].SetFaults(engine.Faults{Down: true})
 	}
 	group.Wait()
-	f.settle(t)
+	f.waitUntilIdle(t)
 	counts := f.counts()
-	t.Logf("%d tokens recomputed, starting over %d, longest gap %s", counts.ResumeComputed, startOver, f.longest)
+	t.Logf("%d tokens recomputed, starting over %d, longest gap %s", counts.ResumeComputed, startOver, f.longestGap)
 	is.Equal(counts.BadResumes, 0)
 	is.Equal(counts.Finished, 40)
-	f.finishOnce(t, 40)
+	f.checkFinishedOnce(t, 40)
 	is.True(counts.ResumeComputed*2 < startOver)
 }
 
-// A node is stopped as planned, with minutes to drain, and then reclaimed on two
-// seconds of notice. It must hand over at the notice: the drain would end long
-// after the process is gone.
+// Guards against a node that ignores a reclaim notice of two seconds during a planned
+// stop with minutes to drain. It must hand its requests over at the notice, since the
+// drain would end long after the process is gone.
 func TestReclaimedWhileStopping(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 5*time.Minute)
@@ -398,21 +403,21 @@
 	for i, prompt := range longPrompts(10) {
 		group.Go(func() { f.stream(t, i, prompt, 1000) })
 	}
-	until(t, func() bool { return f.counts().Started == 10 })
+	waitFor(t, func() bool { return f.counts().Started == 10 })
 	f.stop[0]()
 	f.platform.Cloud.Reclaim("node-0", 2*time.Second)
 	is.NoErr(<-f.done[0])
 	group.Wait()
-	f.settle(t)
+	f.waitUntilIdle(t)
 	is.Equal(f.counts().Started, 20)
 	is.Equal(f.counts().Finished, 10)
 	is.Equal(f.counts().ResumeComputed, 0)
-	f.finishOnce(t, 10)
+	f.checkFinishedOnce(t, 10)
 }
 
-// A node is stopped as planned. It takes no new requests, lets all streams
-// end, and no caller sees a break.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Guards against interrupted streams at a planned stop: the node accepts no new
+// requests and lets all streams end, and no caller sees a break.
+func TestPlannedStopInterruptsNoStream(t *testing.T) {
 	is := is.New(t)
 	f := startFleet(t, 30*time.Second)
 	var group sync.WaitGroup
@@ -420,12 +425,12 @@
 	for i := range breaks {
 		group.Go(func() { breaks[i] = f.stream(t, i, i, 300) })
 	}
-	until(t, func() bool { return f.counts().Started == len(breaks) })
+	waitFor(t, func() bool { return f.counts().Started == len(breaks) })
 	f.stop[0]()
 	is.NoErr(<-f.done[0])
 	group.Wait()
 	is.Equal(breaks, [20]int{})
-	f.settle(t)
+	f.waitUntilIdle(t)
 	is.Equal(f.counts().Finished, len(breaks))
-	f.finishOnce(t, len(breaks))
+	f.checkFinishedOnce(t, len(breaks))
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -10,7 +10,8 @@
 	"zinniamast/rollout"
 )
 
-// openPeers opens the listener for peers and operators and the pool towards peers.
+// openPeers opens the listener for peers and operators and the pools of connections
+// to peers.
 func (n *Node) openPeers() error {
 	s := n.config.Settings
 	server, err := peer.NewServer(peer.ServerConfig{
@@ -28,8 +29,9 @@
 	if n.advertised == "" {
 		n.advertised = server.Address()
 	}
-	// Requests on their way to a peer are megabytes; on a connection of their
-	// own they do not hold heartbeats up, which would look like a death.
+	// A request that is handed over to a peer may have megabytes. Such requests have
+	// connections of their own, since heartbeats that queue behind them would be late
+	// and this node would be suspected dead.
 	for _, pool := range []**peer.Pool{&n.pool, &n.requestPool} {
 		*pool, err = peer.NewPool(peer.PoolConfig{
 			Keys: s.PeerKeys,
@@ -41,8 +43,8 @@
 	return nil
 }
 
-// exchangeRequests offers and uses the exchange of requests with peers.
-func (n *Node) exchangeRequests() error {
+// registerHandoff builds the handoff of requests between peers and registers its receiver.
+func (n *Node) registerHandoff() error {
 	s := n.config.Settings
 	n.exchange = handoff.New(handoff.Config{
 		Board:         n.board,
@@ -53,7 +55,7 @@
 		Address:       n.advertised,
 		Stopping:      n.stopping.Load,
 		MemoryCap:     int64(s.MemoryCap),
-		Context:       n.life,
+		Context:       n.runContext,
 		Logger:        n.config.Logger,
 		Registerer:    n.registry,
 	})
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// joinPeers takes part in membership and gossip.
-func (n *Node) joinPeers() error {
+// registerMembership builds the membership and gossip and registers its receiver.
+func (n *Node) registerMembership() error {
 	s := n.config.Settings
 	n.members = membership.New(membership.Config{
 		ID:            s.Instance,
@@ -87,10 +89,10 @@
 	return nil
 }
 
-// PeerAddress returns host:port by which peers reach this node.
+// PeerAddress returns the host:port at which peers reach this node.
 func (n *Node) PeerAddress() string { return n.advertised }
 
-// PutConfiguration brings a configuration into force as an operator's change does.
+// PutConfiguration puts a configuration into force in the same way as an operator's change.
 func (n *Node) PutConfiguration(ctx context.Context, raw []byte, who, why string) rollout.PutReply {
 	return n.rollout.Put(ctx, rollout.Put{
 		Raw:   raw,
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -5,14 +5,14 @@
 	"zinniamast/quarantine"
 )
 
-// maxHeld bounds the held back requests that one answer lists.
-const maxHeld = 100
+// maxHeldListed bounds the quarantined requests that one answer lists.
+const maxHeldListed = 100
 
-// held lists the requests that are held back, oldest first.
-func (n *Node) held() []operator.Held {
+// heldRequests lists the quarantined requests, oldest first.
+func (n *Node) heldRequests() []operator.Held {
 	all := n.quarantine.Held()
 	shown := make([]operator.Held, 0, len(all))
-	for _, h := range all[:min(len(all), maxHeld)] {
+	for _, h := range all[:min(len(all), maxHeldListed)] {
 		shown = append(shown, operator.Held{
 			Fingerprint: h.Fingerprint.String(),
 			Since:       h.Since,
@@ -22,15 +22,15 @@
 	return shown
 }
 
-// free lets a request that is held back run again.
-func (n *Node) free(free operator.Free) error {
-	fingerprint, err := quarantine.ParseFingerprint(free.Fingerprint)
+// freeRequest releases a request from quarantine.
+func (n *Node) freeRequest(request operator.Free) error {
+	fingerprint, err := quarantine.ParseFingerprint(request.Fingerprint)
 	if err != nil {
 		return err
 	}
 	return n.quarantine.Free(quarantine.Free{
 		Fingerprint: fingerprint,
-		By:          free.By,
-		Why:         free.Why,
+		By:          request.By,
+		Why:         request.Why,
 	})
 }
--- a/node/services.go
+++ b/node/services.go
@@ -9,8 +9,8 @@
 	"zinniamast/services"
 )
 
-// holdBackCrashes builds the quarantine that both callers' sides share.
-func (n *Node) holdBackCrashes() {
+// buildQuarantine builds the quarantine, which model and plain services share.
+func (n *Node) buildQuarantine() {
 	n.quarantine = quarantine.New(quarantine.Config{
 		CrashThreshold: func() int {
 			return n.board.Configuration.Config().Resolve(config.Match{
@@ -31,8 +31,8 @@
 	return ""
 }
 
-// serveServices builds the side for callers of plain services.
-func (n *Node) serveServices(budget *retry.Policy) error {
+// registerServices builds the handler for plain services and registers its receiver.
+func (n *Node) registerServices(budget *retry.Policy) error {
 	s := n.config.Settings
 	n.claims = claims.New(claims.Config{
 		Table:      n.table.Role(roleClaims),
@@ -59,12 +59,12 @@
 		},
 		FailureDomain: s.FailureDomain,
 		Stopping:      n.stopping.Load,
-		Context:       n.life,
+		Context:       n.runContext,
 		Logger:        n.config.Logger,
 		Registerer:    n.registry,
 	})
 	return n.peers.RegisterPeer(services.PeerName, &services.Receiver{
 		Handler: n.services,
-		Context: n.life,
+		Context: n.runContext,
 	})
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -9,117 +9,123 @@
 )
 
 const (
-	// drainPoll is how often a stopping node looks whether all has ended.
-	drainPoll = 20 * time.Millisecond
-	// giveReserve is the part of a planned stop kept for handing over what has
-	// not ended by then, and for telling its callers.
-	giveReserve = 5 * time.Second
-	// relayReserve is the end of a stop, in which callers that still read
-	// through this node are told to go on elsewhere.
-	relayReserve = 500 * time.Millisecond
-	// waveWindow lets the notices of a wave come in before requests are handed
-	// over: an upstream not yet known to leave would not be moved off first.
-	waveWindow = 100 * time.Millisecond
-	// startReserve is kept, at a reclaim, for the word to start what waited for
-	// its move off a leaving upstream.
+	// drainPollInterval is how often a stopping node checks whether all requests have ended.
+	drainPollInterval = 20 * time.Millisecond
+	// handoffReserve is the part of a planned stop that is reserved for handing over
+	// the requests that have not ended by then, and for redirecting their callers.
+	handoffReserve = 5 * time.Second
+	// redirectReserve is the last part of a stop, in which callers that still read
+	// through this node are told to continue at another node.
+	redirectReserve = 500 * time.Millisecond
+	// noticeWindow is how long a reclaimed node waits for further notices before it
+	// hands requests over. Reclaims come in waves, and a request is moved off its
+	// upstream before the handoff only if that upstream is known to be leaving.
+	noticeWindow = 100 * time.Millisecond
+	// startReserve is the part of a stop that is reserved for starting, at the peer,
+	// the requests whose handoff waited for their move off a leaving upstream.
 	startReserve = time.Second
-	// shutdownTimeout bounds the close of listeners after the drain.
+	// shutdownTimeout bounds closing the listeners after the drain.
 	shutdownTimeout = 2 * time.Second
 )
 
 // stopTimes are the moments of a stop.
 type stopTimes struct {
-	// drain is until when requests may end here, deadline when the process ends.
+	// drain is the time until which requests may finish on this node, and deadline is
+	// the time by which the process must end.
 	drain    time.Time
 	deadline time.Time
 }
 
-// planned returns the times of a planned stop that begins now.
-func (n *Node) planned() stopTimes {
+// plannedStop returns the times of a planned stop that starts now.
+func (n *Node) plannedStop() stopTimes {
 	timeout := time.Duration(n.config.Settings.StopTimeout)
 	deadline := time.Now().Add(timeout)
 	return stopTimes{
-		drain:    deadline.Add(-min(giveReserve, timeout/2)),
+		drain:    deadline.Add(-min(handoffReserve, timeout/2)),
 		deadline: deadline,
 	}
 }
 
-// reclaimedAt returns the times of a stop that the cloud forces at a moment.
-func reclaimedAt(moment time.Time) stopTimes {
+// reclaimStop returns the times of a stop forced by a reclaim at the given time.
+func reclaimStop(at time.Time) stopTimes {
 	return stopTimes{
-		drain:    time.Now().Add(waveWindow),
-		deadline: moment.Add(-relayReserve),
+		drain:    time.Now().Add(noticeWindow),
+		deadline: at.Add(-redirectReserve),
 	}
 }
 
-// stop ends the node. A planned stop lets requests end here and hands over
-// what is left near its end. A reclaim hands everything over at once: the
-// process may die at any moment of it, and what peers hold is safe.
+// stop stops the node gracefully. A planned stop lets requests finish on this node
+// and hands over the remaining ones near its deadline. After a reclaim notice all
+// requests are handed over at once: the process may die at any moment, and requests
+// that peers hold survive it.
 func (n *Node) stop(times stopTimes) error {
 	n.stopping.Store(true)
 	n.members.AnnounceLeaving()
 	n.config.Logger.Info("node stopping",
-		"requests", n.running(),
+		"requests", n.runningCount(),
 		"drain_until", times.drain,
 		"until", times.deadline)
 	times = n.drain(times)
-	n.giveAll(times.deadline)
+	n.handOverAll(times.deadline)
 	n.saveClaims(times.deadline)
-	n.depart()
-	// Callers that still read here get a last event that says where to go on.
-	n.end()
+	n.announceDeparture()
+	// Callers that still read through this node get a last event that names the node
+	// to continue at.
+	n.cancelRun()
 	return n.close()
 }
 
-// drain lets requests end here. A reclaim that is announced during a planned
-// stop shortens it; the process would otherwise die with what it still runs.
+// drain waits for requests to finish on this node. A reclaim that is announced during
+// a planned stop shortens the drain; otherwise the process would die with its running
+// requests.
 func (n *Node) drain(times stopTimes) stopTimes {
-	for n.running() > 0 && time.Now().Before(times.drain) {
+	for n.runningCount() > 0 && time.Now().Before(times.drain) {
 		select {
 		case at := <-n.reclaimed:
-			times = reclaimedAt(at)
-			n.config.Logger.Info("reclaimed while stopping", "until", times.deadline)
-		case <-time.After(drainPoll):
+			times = reclaimStop(at)
+			n.config.Logger.Info("reclaim announced during planned stop; shortening the drain", "until", times.deadline)
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return times
 }
 
-// saveClaims waits until every outcome of a call that may not be repeated is
-// in the table: an outcome that dies with the node reads as unknown for ever.
+// saveClaims waits until the outcomes of all calls that must not be repeated are in
+// the table. An outcome that is lost with the node remains unknown permanently.
 func (n *Node) saveClaims(deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if unsaved := n.claims.Close(ctx); unsaved > 0 {
-		n.config.Logger.Error("outcomes not saved", "claims", unsaved)
+		n.config.Logger.Error("failed to save the outcomes of some claims", "claims", unsaved)
 	}
 }
 
-// depart tells the failure domain that this node is gone, so that nobody
-// waits for its death to be found out.
-func (n *Node) depart() {
-	ctx, cancel := context.WithTimeout(context.Background(), relayReserve)
+// announceDeparture announces the node's departure to its failure domain, so that peers need
+// not wait until failure detection declares it dead.
+func (n *Node) announceDeparture() {
+	ctx, cancel := context.WithTimeout(context.Background(), redirectReserve)
 	defer cancel()
 	n.members.AnnounceDeparture(ctx)
 }
 
-// giveAll hands over what runs until nothing does and no caller reads here any
-// more. It looks again and again: a peer that leaves too may have handed a
-// request over to this node just before it began to stop itself.
-func (n *Node) giveAll(deadline time.Time) {
-	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(-relayReserve))
+// handOverAll hands over running requests until none runs and no caller reads through
+// this node. It repeats the check, since a peer that is leaving too may have handed a
+// request over to this node just before this node began to stop.
+func (n *Node) handOverAll(deadline time.Time) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(-redirectReserve))
 	defer cancel()
 	for ctx.Err() == nil {
-		if n.running() > 0 {
-			left := n.exchange.Give(ctx, deadline.Add(-startReserve))
-			n.config.Logger.Info("requests handed over", "left", left)
+		if n.runningCount() > 0 {
+			remaining := n.exchange.Give(ctx, deadline.Add(-startReserve))
+			n.config.Logger.Info("handed requests over to peers", "left", remaining)
 		}
-		// Held is asked before running: a request that starts in between leaves the
-		// one after it has entered the other, and is seen in one of them.
-		if n.exchange.Held() == 0 && n.running() == 0 && n.open.Load() == 0 {
+		// Held is checked before running: a request that starts in between is counted
+		// as running before it is removed from the held ones, so one of the checks
+		// sees it.
+		if n.exchange.Held() == 0 && n.runningCount() == 0 && n.openCallers.Load() == 0 {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -136,15 +142,15 @@
 	n.requestPool.Close()
 	n.controllers.Wait()
 	n.table.Close()
-	n.config.Logger.Info("node stopped", "left", n.running())
+	n.config.Logger.Info("node stopped", "left", n.runningCount())
 	if err := errors.Join(err, peerErr); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("close: %w", err)
 	}
 	return nil
 }
 
-// running counts requests that have not ended.
-func (n *Node) running() int {
+// runningCount returns the number of requests that have not ended.
+func (n *Node) runningCount() int {
 	running := 0
 	for _, q := range n.board.Requests.All() {
 		select {
@@ -156,11 +162,11 @@
 	return running
 }
 
-// counted counts the callers that are being answered.
-func (n *Node) counted(handler http.Handler) http.Handler {
+// countCallers wraps a handler to count the callers that are being answered.
+func (n *Node) countCallers(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		n.open.Add(1)
-		defer n.open.Add(-1)
+		n.openCallers.Add(1)
+		defer n.openCallers.Add(-1)
 		handler.ServeHTTP(w, q)
 	})
 }
--- a/node/table.go
+++ b/node/table.go
@@ -11,7 +11,7 @@
 	"zinniamast/tablebudget"
 )
 
-// Names under which calls to the table are counted.
+// Roles under which the table budget counts calls.
 const (
 	roleClaims   = "claims"
 	roleRollout  = "rollout"
@@ -19,10 +19,11 @@
 	roleLease    = "lease"
 )
 
-// leaseCapacity is the lease of the one node that buys instances and orders engines.
+// leaseCapacity is the name of the lease whose holder buys instances and orders engines.
 const leaseCapacity = "capacity"
 
-// openTable puts the node's one budgeted path before the platform's table.
+// openTable wraps the platform's table in the call budget that all parts of the node
+// share.
 func (n *Node) openTable() {
 	p := &n.config.Settings.Platform
 	n.table = tablebudget.New(tablebudget.Config{
@@ -33,8 +34,8 @@
 	})
 }
 
-// followConfiguration takes part in bringing configuration into force.
-func (n *Node) followConfiguration() error {
+// registerRollout builds the rollout of configurations and registers its receiver.
+func (n *Node) registerRollout() error {
 	s := n.config.Settings
 	var err error
 	n.rollout, err = rollout.New(rollout.Config{
@@ -53,8 +54,9 @@
 	return n.peers.RegisterPeer(rollout.ServiceName, n.rollout.Receiver())
 }
 
-// buyInstances competes for the lease to buy, return and order.
-func (n *Node) buyInstances() {
+// buildCapacity builds the capacity controller, which buys and returns instances and
+// orders engines while this node holds the lease, and what it depends on.
+func (n *Node) buildCapacity() {
 	s := n.config.Settings
 	n.meter = capacity.NewMeter(capacity.MeterConfig{
 		Gossip:        n.members,
@@ -79,20 +81,22 @@
 		Classes:         func() []capacity.Class { return capacity.Classes(n.board.Configuration.Config()) },
 		Engine:          n.engineOf,
 		Report:          n.reports.Last,
-		AnnounceLeaving: n.upstreamLeaves,
+		AnnounceLeaving: n.markLeaving,
 		Registerer:      n.registry,
 		Logger:          n.config.Logger,
 	})
 }
 
-// demands returns what is needed now. A node that has not confirmed its
-// configuration lately does not let anything be returned by it.
+// demands returns the current demand and whether it is complete. It is incomplete if
+// the node has not confirmed its configuration lately, so that no instance is
+// returned because of an outdated configuration.
 func (n *Node) demands() ([]capacity.Demand, bool) {
 	rates, complete := n.meter.Rates()
 	return capacity.Demands(n.board.Configuration.Config(), rates), complete && n.rollout.Current()
 }
 
-// engineOf returns what takes an order for an engine, whose effect is then looked for.
+// engineOf returns the engine of an instance for an order, and records the order so
+// that later load reports are checked for its effect.
 func (n *Node) engineOf(instance zinniamast.Instance) zinniamast.Engine {
 	if upstream := n.clients.build(instance); upstream != nil {
 		n.reports.RecordOrder(instance.ID)
@@ -101,8 +105,9 @@
 	return nil
 }
 
-// answerOperators shows the node's view and takes changes of configuration.
-func (n *Node) answerOperators() error {
+// registerOperator registers the receiver of operators' queries and changes of
+// configuration.
+func (n *Node) registerOperator() error {
 	s := n.config.Settings
 	return n.peers.RegisterOperator(operator.ServiceName, operator.NewReceiver(operator.Config{
 		Node:          s.Instance,
@@ -112,8 +117,8 @@
 		Members:       n.members,
 		Leases:        n.leases,
 		Unknowns:      n.unknowns,
-		Held:          n.held,
-		Free:          n.free,
+		Held:          n.heldRequests,
+		Free:          n.freeRequest,
 		Refusals:      n.refusals,
 		Resolve: func(ctx context.Context, d operator.Resolve) error {
 			return n.claims.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
@@ -124,6 +129,7 @@
 	}))
 }
 
+// leases lists the leases that this node competes for.
 func (n *Node) leases(context.Context) ([]operator.Lease, error) {
 	status := n.lease.Status()
 	return []operator.Lease{
@@ -135,11 +141,12 @@
 	}, nil
 }
 
-// maxUnknowns bounds the open unknowns that one answer lists.
-const maxUnknowns = 100
+// maxUnknownsListed bounds the unresolved unknown outcomes that one answer lists.
+const maxUnknownsListed = 100
 
+// unknowns lists the claims with an unknown outcome.
 func (n *Node) unknowns(ctx context.Context) ([]operator.Unknown, error) {
-	open, err := n.claims.Unknowns(ctx, maxUnknowns)
+	open, err := n.claims.Unknowns(ctx, maxUnknownsListed)
 	shown := make([]operator.Unknown, 0, len(open))
 	for _, u := range open {
 		shown = append(shown, operator.Unknown{
@@ -153,7 +160,7 @@
 	return shown, err
 }
 
-// refusals adds up what both callers' sides have refused, by reason.
+// refusals returns the number of refused requests to model and plain services, by reason.
 func (n *Node) refusals() map[string]uint64 {
 	total := map[string]uint64{}
 	for _, name := range []string{"zinniamast_refusals_total", "zinniamast_service_refusals_total"} {
--- a/node/upstreams.go
+++ b/node/upstreams.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// build returns a replica with its client, or nil for what is no upstream.
+// build returns an upstream with its client, or nil if the instance is not an upstream.
 func (u *upstreamClients) build(instance zinniamast.Instance) *blackboard.Upstream {
 	upstream := &blackboard.Upstream{
 		Instance: instance,
