--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -175,8 +175,8 @@
 	e.onReport = router.RecordReport
 }
 
-// fetchTimePerToken returns how long a replica of a service takes to fetch the KV cache
-// of one token from another replica.
+// fetchTimePerToken returns how long a replica of a service takes to fetch the KV
+// cache of one token from another replica.
 func (e *Entry) fetchTimePerToken(service string) time.Duration {
 	current := e.routes.Current()
 	if current == nil || current.Services[service].Engine == nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -217,10 +217,10 @@
 	lease.Wait()
 }
 
-// waitForControllers waits for the controllers, but no longer than the rest of the stop
-// timeout. If the store is unavailable during the stop, the last writes wait for
-// it; without the bound they would exceed the stop timeout and the process would
-// be killed.
+// waitForControllers waits for the controllers, but no longer than the rest of the
+// stop timeout. If the store is unavailable during the stop, the last writes wait for
+// it; without the bound they would exceed the stop timeout and the process would be
+// killed.
 func (e *Entry) waitForControllers(controllers *sync.WaitGroup, timeout time.Duration) {
 	ended := make(chan struct{})
 	go func() {
@@ -274,7 +274,7 @@
 	}
 	e.members.AnnounceDeparture(ctx)
 	if err := e.peerServer.Close(ctx); err != nil {
-		e.config.Logger.Warn("failed to close peer listener", "cause", err)
+		e.config.Logger.Warn("failed to end all calls from peers before closing", "cause", err)
 	}
 	e.peerPool.Close()
 	e.longPollPool.Close()
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// waitUntilServed waits until an instance answers a request successfully: the allowances of
-// a new process are empty at first.
+// waitUntilServed waits until an instance answers a request successfully: the
+// allowances of a new process are empty at first.
 func (f *fleet) waitUntilServed(name, path string) {
 	f.t.Helper()
 	status, body := 0, ""
@@ -167,8 +167,8 @@
 	return response.StatusCode, string(body)
 }
 
-// sendHanging sends a request that the replica never answers, and returns the channel that
-// receives the status.
+// sendHanging sends a request that the replica never answers, and returns the channel
+// that receives the status.
 func (f *fleet) sendHanging(name, path string) (answered <-chan int) {
 	f.replica.Behave(replica.Behaviour{
 		Hang: true,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -129,8 +129,8 @@
 	// fetchTimeout bounds one such query. Querying another peer is quicker than
 	// waiting for one that is about to stop.
 	fetchTimeout = 500 * time.Millisecond
-	// maxConcurrentFetches bounds the peers that are queried concurrently: each answer lists
-	// all replicas, and a large fleet has hundreds of peers.
+	// maxConcurrentFetches bounds the peers that are queried concurrently: each answer
+	// lists all replicas, and a large fleet has hundreds of peers.
 	maxConcurrentFetches = 3
 )
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -8,8 +8,8 @@
 	"zinniamast/registry"
 )
 
-// RelayQuery is a node's long poll to the reader of its failure domain: for changes after
-// Position, waiting up to Wait.
+// RelayQuery is a node's long poll to the reader of its failure domain: for changes
+// after Position, waiting up to Wait.
 type RelayQuery struct {
 	Position uint64
 	Wait     time.Duration
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -74,7 +74,8 @@
 	return true
 }
 
-// isAlive reports whether an instance is a member that is not declared dead.
+// isAlive reports whether an instance of this failure domain is a known member that
+// is not declared dead.
 func (e *Entry) isAlive(id string) bool {
 	member, known := e.board.Members.Get(id)
 	return known && !member.Dead
--- a/node/assemble.go
+++ b/node/assemble.go
@@ -157,7 +157,8 @@
 	}
 }
 
-// markLeaving marks an upstream as leaving once it is to be returned.
+// markLeaving marks an upstream that is to be returned as leaving; discovery then
+// announces that to every node.
 func (n *Node) markLeaving(instance string, at time.Time) {
 	n.board.Upstreams.MarkLeaving(instance, at)
 }
--- a/node/endmark_test.go
+++ b/node/endmark_test.go
@@ -23,12 +23,12 @@
 }
 
 func (h *endMarkHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	k := &endMarkWriter{
+	writer := &endMarkWriter{
 		ResponseWriter: w,
 		dropped:        h.dropped,
 	}
-	h.next.ServeHTTP(k, q)
-	if k.isDropper {
+	h.next.ServeHTTP(writer, q)
+	if writer.isDropper {
 		<-q.Context().Done()
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -57,7 +57,8 @@
 
 const (
 	sweepInterval = time.Second
-	// endedMemoryDivisor is the divisor of the memory cap that gives the share ended requests may use.
+	// endedMemoryDivisor divides the memory cap; the quotient is what ended requests
+	// may use.
 	endedMemoryDivisor = 4
 	// endedRetention is how long callers can still attach to an ended request.
 	endedRetention = time.Minute
@@ -181,7 +182,8 @@
 	}
 }
 
-// sweep periodically removes requests that ended more than endedRetention ago.
+// sweep periodically removes requests that ended more than endedRetention ago, and
+// the oldest ended ones beyond their share of the memory cap.
 func (n *Node) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/node/stop.go
+++ b/node/stop.go
@@ -69,8 +69,8 @@
 	n.handOverAll(times.deadline)
 	n.saveClaims(times.deadline)
 	n.announceDeparture()
-	// Callers that still read through this node get a last event that names the node
-	// to continue at.
+	// Callers that still read through this node get a last event that tells them to
+	// continue at another node.
 	n.cancelRun()
 	return n.close()
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-// announceDeparture announces the node's departure to its failure domain, so that peers need
-// not wait until failure detection declares it dead.
+// announceDeparture announces the node's departure to its failure domain, so that
+// peers need not wait until failure detection declares it dead.
 func (n *Node) announceDeparture() {
 	ctx, cancel := context.WithTimeout(context.Background(), redirectReserve)
 	defer cancel()
