--- a/entry/assemble.go
+++ b/entry/assemble.go
@@ -58,7 +58,7 @@
 func (e *Entry) buildFollower() {
 	s := e.config.Settings
 	store := platform.NewStore(s.StoreAddress)
-	store.OnClock(e.clock.Heard)
+	store.OnClock(e.clock.ObserveStoreTime)
 	store.OnCall(newStoreMetrics(e.registry).observe)
 	e.table = platform.NewTable(store)
 	e.follower = registry.NewFollower(registry.FollowerConfig{
@@ -76,8 +76,8 @@
 		ID:            s.Instance,
 		FailureDomain: s.FailureDomain,
 		Address:       s.Peer,
-		Offset:        e.clock.Own,
-		OnOffsets:     e.clock.Agree,
+		Offset:        e.clock.LocalOffset,
+		OnOffsets:     e.clock.SetOffset,
 		Logger:        e.config.Logger,
 	})
 }
--- a/entry/peerclient.go
+++ b/entry/peerclient.go
@@ -25,8 +25,8 @@
 	_ usage.Collector = peerClient{}
 )
 
-// TellReplicas implements registry.Peer.
-func (n peerClient) TellReplicas(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+// ReplicasAfter implements registry.Peer.
+func (n peerClient) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
 	query := RelayQuery{
 		Position: position,
 		Wait:     wait,
@@ -36,8 +36,8 @@
 	return answer.Changes, errors.Join(err, answer.Refused.err())
 }
 
-// TellConfig implements registry.Peer.
-func (n peerClient) TellConfig(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+// ConfigAfter implements registry.Peer.
+func (n peerClient) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	query := RelayQuery{
 		Position: position,
 		Wait:     wait,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -119,7 +119,7 @@
 
 // Known returns the replicas that this node knows.
 func (r *Relay) Known(_ struct{}, reply *registry.ReplicaChanges) error {
-	*reply = r.follower.Known()
+	*reply = r.follower.Replicas()
 	return nil
 }
 
@@ -176,7 +176,7 @@
 		return
 	}
 	if !e.follower.Ready() {
-		e.follower.Bring(known)
+		e.follower.Seed(known)
 	}
 }
 
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -37,14 +37,14 @@
 func newRefusal(err error) Refusal {
 	return Refusal{
 		Stale:       errors.Is(err, registry.ErrStale),
-		HistoryGone: errors.Is(err, registry.ErrHistoryGone),
+		HistoryGone: errors.Is(err, registry.ErrHistoryDropped),
 	}
 }
 
 func (r Refusal) err() error {
 	switch {
 	case r.HistoryGone:
-		return registry.ErrHistoryGone
+		return registry.ErrHistoryDropped
 	case r.Stale:
 		return registry.ErrStale
 	default:
@@ -54,7 +54,7 @@
 
 // Replicas returns the replicas that changed after a position.
 func (r *Relay) Replicas(query RelayQuery, reply *ReplicasAnswer) error {
-	changes, err := r.follower.TellReplicas(context.Background(), query.Position, query.Wait)
+	changes, err := r.follower.ReplicasAfter(context.Background(), query.Position, query.Wait)
 	reply.Changes = changes
 	reply.Refused = newRefusal(err)
 	return nil
@@ -62,7 +62,7 @@
 
 // Config returns the configuration once it is newer than a position.
 func (r *Relay) Config(query RelayQuery, reply *ConfigAnswer) error {
-	change, err := r.follower.TellConfig(context.Background(), query.Position, query.Wait)
+	change, err := r.follower.ConfigAfter(context.Background(), query.Position, query.Wait)
 	reply.Change = change
 	reply.Refused = newRefusal(err)
 	return nil
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -70,7 +70,7 @@
 		e.config.Logger.Debug("failed to fetch roster from peer", "peer", address, "cause", err)
 		return false
 	}
-	e.roster.Keep(entries)
+	e.roster.Set(entries)
 	return true
 }
 
--- a/node/assemble.go
+++ b/node/assemble.go
@@ -85,47 +85,47 @@
 		Logger:        n.config.Logger,
 	})
 	n.notices = notice.New(notice.Config{
-		Cloud:         n.config.Platform.Cloud,
-		Upstreams:     n.board.Upstreams,
-		Members:       n.board.Members,
-		Gossip:        n.members,
-		Instance:      s.Instance,
-		FailureDomain: s.FailureDomain,
-		OnOwn:         n.onReclaim,
-		Logger:        n.config.Logger,
+		Cloud:             n.config.Platform.Cloud,
+		Upstreams:         n.board.Upstreams,
+		Members:           n.board.Members,
+		Gossip:            n.members,
+		Instance:          s.Instance,
+		FailureDomain:     s.FailureDomain,
+		OnInstanceReclaim: n.onReclaim,
+		Logger:            n.config.Logger,
 	})
 }
 
 // buildRunner builds the runner of accepted model requests.
 func (n *Node) buildRunner(budget *retry.Policy) {
 	n.runner = attempt.New(attempt.Config{
-		Board:          n.board,
-		Router:         n.router,
-		Retry:          budget,
-		Quarantine:     n.quarantine,
-		Logger:         n.config.Logger,
-		Metrics:        attempt.NewMetrics(n.registry),
-		FailureDomain:  n.config.Settings.FailureDomain,
-		Produced:       n.meter.Add,
-		KVBytesASecond: kvBytesPerSecond,
+		Board:            n.board,
+		Router:           n.router,
+		Retry:            budget,
+		Quarantine:       n.quarantine,
+		Logger:           n.config.Logger,
+		Metrics:          attempt.NewMetrics(n.registry),
+		FailureDomain:    n.config.Settings.FailureDomain,
+		OnTokensProduced: n.meter.Add,
+		KVBytesPerSecond: kvBytesPerSecond,
 	})
 }
 
 // buildServer builds the server for callers.
 func (n *Node) buildServer() {
 	callers := caller.New(caller.Config{
-		Board:         n.board,
-		Runner:        n.runner,
-		Limiter:       n.limiter,
-		Locator:       n.exchange,
-		Missed:        n.meter.Add,
-		Services:      n.services,
-		Instance:      n.config.Settings.Instance,
-		FailureDomain: n.config.Settings.FailureDomain,
-		Stopping:      n.stopping.Load,
-		Context:       n.runContext,
-		Logger:        n.config.Logger,
-		Metrics:       caller.NewMetrics(n.registry),
+		Board:          n.board,
+		Runner:         n.runner,
+		Limiter:        n.limiter,
+		Locator:        n.exchange,
+		ReportUnserved: n.meter.Add,
+		Services:       n.services,
+		Instance:       n.config.Settings.Instance,
+		FailureDomain:  n.config.Settings.FailureDomain,
+		Stopping:       n.stopping.Load,
+		Context:        n.runContext,
+		Logger:         n.config.Logger,
+		Metrics:        caller.NewMetrics(n.registry),
 	})
 	n.server = caller.HTTPServer(n.newMux(n.countCallers(callers)))
 }
--- a/node/node.go
+++ b/node/node.go
@@ -83,7 +83,7 @@
 	list        *discovery.PacedList
 	upstreams   *discovery.Controller
 	notices     *notice.Controller
-	table       *tablebudget.Path
+	table       *tablebudget.Client
 	rollout     *rollout.Rollout
 	quarantine  *quarantine.Quarantine
 	claims      *claims.Claims
--- a/node/peers.go
+++ b/node/peers.go
@@ -81,7 +81,7 @@
 		},
 		Logger:        n.config.Logger,
 		ConfigVersion: func() uint64 { return n.rollout.Number() },
-		OnNewerConfig: func(address string, number uint64) { n.rollout.Newer(address, number) },
+		OnNewerConfig: func(address string, number uint64) { n.rollout.ObserveVersion(address, number) },
 	})
 	if err := n.peers.RegisterPeer(membership.ServiceName, n.members.Receiver()); err != nil {
 		return fmt.Errorf("register %s: %w", membership.ServiceName, err)
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -9,11 +9,11 @@
 const maxHeldListed = 100
 
 // heldRequests lists the quarantined requests, oldest first.
-func (n *Node) heldRequests() []operator.Held {
+func (n *Node) heldRequests() []operator.HeldRequest {
 	all := n.quarantine.Held()
-	shown := make([]operator.Held, 0, len(all))
+	shown := make([]operator.HeldRequest, 0, len(all))
 	for _, h := range all[:min(len(all), maxHeldListed)] {
-		shown = append(shown, operator.Held{
+		shown = append(shown, operator.HeldRequest{
 			Fingerprint: h.Fingerprint.String(),
 			Since:       h.Since,
 			Crashes:     h.Crashes,
@@ -23,7 +23,7 @@
 }
 
 // freeRequest releases a request from quarantine.
-func (n *Node) freeRequest(request operator.Free) error {
+func (n *Node) freeRequest(request operator.FreeArgs) error {
 	fingerprint, err := quarantine.ParseFingerprint(request.Fingerprint)
 	if err != nil {
 		return err
--- a/node/services.go
+++ b/node/services.go
@@ -35,7 +35,7 @@
 func (n *Node) registerServices(budget *retry.Policy) error {
 	s := n.config.Settings
 	n.claims = claims.New(claims.Config{
-		Table:      n.table.Role(roleClaims),
+		Table:      n.table.WithRole(roleClaims),
 		Objects:    n.config.Platform.Objects,
 		Node:       s.Instance,
 		Logger:     n.config.Logger,
@@ -46,7 +46,7 @@
 		Router:     n.router,
 		Limiter:    n.limiter,
 		Retry:      budget,
-		Hedge:      budget.Hedge,
+		AllowHedge: budget.Hedge,
 		Quarantine: n.quarantine,
 		Claims:     n.claims,
 		Issuer: issuedkeys.New(issuedkeys.Config{
@@ -58,7 +58,7 @@
 			Members: n.board.Members,
 		},
 		FailureDomain: s.FailureDomain,
-		Stopping:      n.stopping.Load,
+		IsStopping:    n.stopping.Load,
 		Context:       n.runContext,
 		Logger:        n.config.Logger,
 		Registerer:    n.registry,
--- a/node/stop.go
+++ b/node/stop.go
@@ -116,13 +116,13 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		if n.runningCount() > 0 {
-			remaining := n.exchange.Give(ctx, deadline.Add(-startReserve))
+			remaining := n.exchange.HandOff(ctx, deadline.Add(-startReserve))
 			n.config.Logger.Info("handed requests over to peers", "left", remaining)
 		}
 		// Held is checked before running: a request that starts in between is counted
 		// as running before it is removed from the held ones, so one of the checks
 		// sees it.
-		if n.exchange.Held() == 0 && n.runningCount() == 0 && n.openCallers.Load() == 0 {
+		if n.exchange.HeldCount() == 0 && n.runningCount() == 0 && n.openCallers.Load() == 0 {
 			return
 		}
 		time.Sleep(drainPollInterval)
--- a/node/table.go
+++ b/node/table.go
@@ -27,10 +27,10 @@
 func (n *Node) openTable() {
 	p := &n.config.Settings.Platform
 	n.table = tablebudget.New(tablebudget.Config{
-		Table:         n.config.Platform.Table,
-		WritesASecond: p.WritesASec,
-		ReadsASecond:  p.ReadsASec,
-		Registerer:    n.registry,
+		Table:           n.config.Platform.Table,
+		WritesPerSecond: p.WritesASec,
+		ReadsPerSecond:  p.ReadsASec,
+		Registerer:      n.registry,
 	})
 }
 
@@ -42,7 +42,7 @@
 		Node:          s.Instance,
 		FailureDomain: s.FailureDomain,
 		Board:         n.board,
-		Table:         n.table.Role(roleRollout),
+		Table:         n.table.WithRole(roleRollout),
 		Transport:     n.pool,
 		Joined:        n.members.Joined,
 		Logger:        n.config.Logger,
@@ -65,7 +65,7 @@
 		FailureDomain: s.FailureDomain,
 	})
 	n.lease = lease.New(lease.Config{
-		Table:  n.table.Role(roleLease),
+		Table:  n.table.WithRole(roleLease),
 		Name:   leaseCapacity,
 		Holder: s.Instance,
 		Logger: n.config.Logger,
@@ -73,7 +73,7 @@
 	n.reports = capacity.NewReports(n.board.Upstreams)
 	n.capacity = capacity.New(capacity.Config{
 		Lease:           n.lease,
-		Table:           n.table.Role(roleCapacity),
+		Table:           n.table.WithRole(roleCapacity),
 		Cloud:           n.config.Platform.Cloud,
 		List:            n.list,
 		Weights:         n.config.Platform.Weights,
@@ -92,7 +92,7 @@
 // returned because of an outdated configuration.
 func (n *Node) demands() ([]capacity.Demand, bool) {
 	rates, complete := n.meter.Rates()
-	return capacity.Demands(n.board.Configuration.Config(), rates), complete && n.rollout.Current()
+	return capacity.Demands(n.board.Configuration.Config(), rates), complete && n.rollout.IsCurrent()
 }
 
 // engineOf returns the engine of an instance for an order, and records the order so
@@ -120,7 +120,7 @@
 		Held:          n.heldRequests,
 		Free:          n.freeRequest,
 		Refusals:      n.refusals,
-		Resolve: func(ctx context.Context, d operator.Resolve) error {
+		Resolve: func(ctx context.Context, d operator.ResolveArgs) error {
 			return n.claims.Resolve(ctx, d.Organisation, d.Service, d.Key, d.Ran, d.By)
 		},
 		Explain: func(_ context.Context, request string) (string, error) {
@@ -145,11 +145,11 @@
 const maxUnknownsListed = 100
 
 // unknowns lists the claims with an unknown outcome.
-func (n *Node) unknowns(ctx context.Context) ([]operator.Unknown, error) {
+func (n *Node) unknowns(ctx context.Context) ([]operator.UnknownCall, error) {
 	open, err := n.claims.Unknowns(ctx, maxUnknownsListed)
-	shown := make([]operator.Unknown, 0, len(open))
+	shown := make([]operator.UnknownCall, 0, len(open))
 	for _, u := range open {
-		shown = append(shown, operator.Unknown{
+		shown = append(shown, operator.UnknownCall{
 			Organisation: u.Organisation,
 			Service:      u.Service,
 			Key:          u.Key,
