--- a/usage/counter.go
+++ b/usage/counter.go
@@ -1,11 +1,11 @@
-// Package usage counts which organisation's requests began to run in each
+// Package usage counts the requests that each organisation starts in each
 // window of true time, and reports each window once.
 //
-// Each node hands its counts about once a second to the node that writes for
-// its failure domain, which puts them into the platform's table in one call,
-// so that they outlive both. The holder of the duty's lease adds them up, writes
-// the report to the table before it is sent, and sends it: whoever holds the
-// duty next sends exactly the same.
+// Each node sends its counts about once a second to the writer of its failure
+// domain, which stores them in the platform's table in one call, so that the
+// counts survive the loss of both nodes. The holder of the reporting lease sums
+// the counts, stores the report in the table, and only then sends it, so that
+// the next lease holder sends exactly the same report.
 package usage
 
 import (
@@ -24,44 +24,47 @@
 
 // Partitions of the table.
 const (
-	// CountsPartition holds one item for each node and each life of a node that
-	// wrote for it. A node's newest one holds all that the others hold.
+	// CountsPartition holds one item for each pair of a counting node's
+	// incarnation and a writer. The newest item of an incarnation includes
+	// everything that its other items contain.
 	CountsPartition = "usage"
-	// ReportsPartition holds one item a window that was reported.
+	// ReportsPartition holds one item for each reported window.
 	ReportsPartition = "usage_report"
 )
 
 const (
-	// writeInterval is the time between two writes: what a node has counted since
-	// is lost with it, and a report may be off by a twentieth of five seconds.
+	// writeInterval is the time between two writes. A node that fails loses what
+	// it has counted since its last write, and a report may be off by a twentieth
+	// of five seconds.
 	writeInterval = time.Second
-	// writeDelay is up to how long after its moment a node hands its counts on or
-	// writes, so that nodes do not call together.
+	// writeDelay is the maximum random delay before a node sends or writes its
+	// counts, which keeps nodes from calling at the same time.
 	writeDelay = 300 * time.Millisecond
-	// collectDelay is how much later a node writes that others hand theirs to.
+	// collectDelay is the additional delay of a writer, which lets the other nodes
+	// send their counts first.
 	collectDelay = 350 * time.Millisecond
-	// keepWindows is for how many windows a node's counts stay in its item:
-	// outages of the store shorter than that cost no counts.
-	keepWindows = 12
+	// retainedWindows is the number of windows whose counts a node keeps in its
+	// item. Store outages shorter than that lose no counts.
+	retainedWindows = 12
 	// callTimeout bounds one call to the table or to another node.
 	callTimeout = 2 * time.Second
-	// writtenAtOnce bounds the items of one write: a call may hold a megabyte, and
-	// an item is some three kilobytes.
-	writtenAtOnce = 50
+	// maxItemsPerWrite bounds the items of one write: a call is limited to one
+	// megabyte, and an item takes about three kilobytes.
+	maxItemsPerWrite = 50
 )
 
-// Clock tells true time.
+// Clock provides true time.
 type Clock interface {
-	// Now returns true time; false while it is not known.
+	// Now returns true time, or false while it is unknown.
 	Now() (time.Time, bool)
 }
 
-// Collector writes other nodes' counts with its own.
+// Collector accepts the counts of other nodes and writes them with its own.
 type Collector interface {
 	Collect(ctx context.Context, counts Counts) error
 }
 
-// CounterConfig says what a counter counts and where it writes.
+// CounterConfig configures a Counter.
 type CounterConfig struct {
 	Table zinniamast.Table
 	Clock Clock
@@ -69,53 +72,52 @@
 	Node string
 	// Window is the length of a window.
 	Window time.Duration
-	// Writer returns the node that writes for this one; nil means that this node
-	// writes itself, and for those that hand it theirs.
+	// Writer returns the node that writes on behalf of this one. If it returns nil,
+	// this node writes its own counts and those that other nodes send to it.
 	Writer func() Collector
-	// Logger hears of failures; nil means slog's default.
+	// Logger receives failures; nil means slog's default.
 	Logger *slog.Logger
 }
 
-// Counts are what one life of a node has counted.
+// Counts is a snapshot of what one incarnation of a node has counted.
 type Counts struct {
-	// Node names the node and its life.
+	// Node identifies the node and its incarnation.
 	Node string `json:"node"`
-	// Sequence rises with each reading of the counts in a node's life.
+	// Sequence increases with each snapshot of an incarnation.
 	Sequence uint64 `json:"sequence"`
-	// ThroughMS is the true time up to which the counts are whole, in
-	// milliseconds since 1970.
+	// ThroughMS is the true time up to which the counts are complete, in
+	// milliseconds since the Unix epoch.
 	ThroughMS int64 `json:"through_ms"`
-	// Stopped means that the node counts no more.
+	// Stopped means that the node has stopped counting.
 	Stopped bool `json:"stopped,omitempty"`
 	// Windows holds counts by window and organisation.
 	Windows map[string]map[string]int `json:"windows"`
 }
 
-// Counter counts the requests that begin at one node.
+// Counter counts the requests that start at one node.
 type Counter struct {
 	config CounterConfig
-	// life names the node and its life.
-	life string
+	// incarnation identifies the node and this run of its process.
+	incarnation string
 
 	mu sync.Mutex
 	// windows holds counts by window and organisation.
 	windows map[int64]map[string]int
-	// early counts requests that began before true time was known.
-	early map[string]int
-	// sequence is that of the last reading.
+	// untimed counts requests that started before true time was known.
+	untimed map[string]int
+	// sequence is the sequence number of the last snapshot.
 	sequence uint64
-	// collected holds what other nodes handed over and is not written yet.
-	collected map[string]Counts
-	// failing says that the last write failed.
-	failing bool
+	// collected holds counts received from other nodes and not written yet.
+	collected       map[string]Counts
+	lastWriteFailed bool
 
-	// sheet names the items that this node writes now, and revisions are theirs;
-	// both belong to Run.
-	sheet     string
-	revisions map[string]uint64
+	// itemSuffix ends the sort keys of the items that this node currently writes,
+	// and revisions holds the revisions of these items by node. Only Run uses them.
+	itemSuffix string
+	revisions  map[string]uint64
 }
 
-// NewCounter returns a counter of one node's life.
+// NewCounter returns a counter for one incarnation of a node.
 func NewCounter(config CounterConfig) *Counter {
 	if config.Logger == nil {
 		config.Logger = slog.Default()
@@ -124,38 +126,39 @@
 		config.Writer = func() Collector { return nil }
 	}
 	c := &Counter{
-		config:    config,
-		life:      config.Node + "/" + randomName(),
-		windows:   map[int64]map[string]int{},
-		early:     map[string]int{},
-		collected: map[string]Counts{},
+		config:      config,
+		incarnation: config.Node + "/" + randomName(),
+		windows:     map[int64]map[string]int{},
+		untimed:     map[string]int{},
+		collected:   map[string]Counts{},
 	}
-	c.turnSheet()
+	c.startNewItems()
 	return c
 }
 
 func randomName() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// turnSheet goes on with new items.
-func (c *Counter) turnSheet() {
-	c.sheet = randomName()
+// startNewItems makes later writes create new items instead of updating the
+// present ones.
+func (c *Counter) startNewItems() {
+	c.itemSuffix = randomName()
 	c.revisions = map[string]uint64{}
 }
 
-// CountStarted counts a request of an organisation that begins to run now.
+// CountStarted counts a request of an organisation that starts now.
 func (c *Counter) CountStarted(organisation string) {
 	now, ok := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !ok {
-		c.early[organisation]++
+		c.untimed[organisation]++
 		return
 	}
-	c.window(windowOf(now, c.config.Window))[organisation]++
+	c.windowCounts(windowOf(now, c.config.Window))[organisation]++
 }
 
-// window returns a window's counts; the caller holds the lock.
-func (c *Counter) window(number int64) map[string]int {
+// windowCounts returns the counts of a window; the caller holds the lock.
+func (c *Counter) windowCounts(number int64) map[string]int {
 	known, ok := c.windows[number]
 	if !ok {
 		known = map[string]int{}
@@ -164,7 +167,7 @@
 	return known
 }
 
-// windowOf returns the number of the window that holds a time.
+// windowOf returns the number of the window that contains a time.
 func windowOf(at time.Time, length time.Duration) int64 { return at.UnixNano() / int64(length) }
 
 // windowEnd returns when a window ends.
@@ -172,18 +175,19 @@
 	return time.Unix(0, (number+1)*int64(length))
 }
 
-// errNotWriting means that a node takes in no counts of others.
+// errNotWriting means that a node accepts no counts of other nodes.
 var errNotWriting = errors.New("usage: the last write to the table failed")
 
-// Collect takes another node's counts in; they are written with this node's own.
+// Collect accepts another node's counts, to be written with this node's own.
 //
-// Failure: the writer alone loses its way to the store, and for as long as that
-// lasts the counts of its failure domain reach no report: a window was off by a
-// fifth. It takes none, and the nodes write for themselves meanwhile.
+// It rejects them after a failed write, and the other nodes then write their own
+// counts. If a writer that alone is cut off from the store accepted counts, those
+// of its failure domain would be missing from the reports: a window was off by a
+// fifth.
 func (c *Counter) Collect(counts Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failing {
+	if c.lastWriteFailed {
 		return errNotWriting
 	}
 	if known, ok := c.collected[counts.Node]; !ok || counts.Sequence > known.Sequence {
@@ -192,22 +196,23 @@
 	return nil
 }
 
-// Run hands over or writes the counts until ctx ends, and a last time then.
+// Run sends or writes the counts until ctx ends, and then writes them once more.
 func (c *Counter) Run(ctx context.Context) {
 	for {
 		select {
-		case <-time.After(c.untilNext()):
-			c.tell(ctx)
+		case <-time.After(c.untilNextWrite()):
+			c.deliver(ctx)
 		case <-ctx.Done():
-			c.writeOwn(context.WithoutCancel(ctx), true)
+			c.writeCounts(context.WithoutCancel(ctx), true)
 			return
 		}
 	}
 }
 
-// untilNext is the time to the next write. Writes divide each window evenly,
-// and one comes right after its end, when its report is waited for.
-func (c *Counter) untilNext() time.Duration {
+// untilNextWrite returns the time to the next write. Writes are spread evenly over
+// each window, and one follows directly after its end, when the reporter needs
+// the counts.
+func (c *Counter) untilNextWrite() time.Duration {
 	wait := rand.N(writeDelay)
 	if c.config.Writer() == nil {
 		wait = collectDelay + rand.N(writeDelay)/3
@@ -220,29 +225,31 @@
 	return writeInterval - since + wait
 }
 
-// tell hands the counts to the node that writes, or writes them.
+// deliver sends the counts to the writer, or writes them if there is none or the
+// call fails.
 //
-// Load: 91 nodes that write for themselves each five seconds make 18 calls a
-// second, a fifth of all calls to the store, and lose five seconds' counts with
-// each that dies. One writer in each of four failure domains makes four.
-func (c *Counter) tell(ctx context.Context) {
+// If each of 91 nodes wrote its own counts every five seconds, the fleet would
+// make 18 calls a second, a fifth of all calls to the store, and each node that
+// fails would lose five seconds of counts. One writer in each of four failure
+// domains makes four calls a second.
+func (c *Counter) deliver(ctx context.Context) {
 	writer := c.config.Writer()
 	now, ok := c.config.Clock.Now()
 	if writer == nil || !ok {
-		c.writeOwn(ctx, false)
+		c.writeCounts(ctx, false)
 		return
 	}
-	asked, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := writer.Collect(asked, c.snapshot(now, false)); err != nil {
-		c.config.Logger.Info("usage not handed over", "cause", err)
-		c.writeOwn(ctx, false)
+	if err := writer.Collect(callCtx, c.snapshot(now, false)); err != nil {
+		c.config.Logger.Info("sending usage counts to the writer failed; writing them to the table", "cause", err)
+		c.writeCounts(ctx, false)
 	}
 }
 
-// writeOwn writes this node's counts and what it collected. A failed write is
-// made up for by the next, which holds all that it held.
-func (c *Counter) writeOwn(ctx context.Context, last bool) {
+// writeCounts writes this node's counts and those it has collected. The next
+// write makes up for a failed one, because it contains the same counts.
+func (c *Counter) writeCounts(ctx context.Context, last bool) {
 	now, ok := c.config.Clock.Now()
 	if !ok {
 		return
@@ -251,17 +258,17 @@
 	defer cancel()
 	all := append(c.takeCollected(), c.snapshot(now, last))
 	for len(all) > 0 {
-		batch := all[:min(len(all), writtenAtOnce)]
+		batch := all[:min(len(all), maxItemsPerWrite)]
 		all = all[len(batch):]
 		err := c.put(ctx, batch)
 		c.mu.Lock()
-		c.failing = err != nil
+		c.lastWriteFailed = err != nil
 		c.mu.Unlock()
 		if err != nil {
-			// The effect may be open. New items leave it behind: of a node's items
-			// the newest counts.
-			c.turnSheet()
-			c.config.Logger.Warn("usage not written", "nodes", len(batch), "cause", err)
+			// The write may have taken effect, so the revisions are unknown. New
+			// items avoid conflicts, and only the newest item of a node is counted.
+			c.startNewItems()
+			c.config.Logger.Warn("writing usage counts to the table failed", "nodes", len(batch), "cause", err)
 		}
 	}
 }
@@ -277,7 +284,7 @@
 	return all
 }
 
-// put writes one item for each node's counts, in one call.
+// put writes one item for the counts of each node, in one call.
 func (c *Counter) put(ctx context.Context, batch []Counts) error {
 	writes := make([]zinniamast.Write, 0, len(batch))
 	for _, counts := range batch {
@@ -289,7 +296,7 @@
 			Item: zinniamast.Item{
 				Key: zinniamast.Key{
 					Partition: CountsPartition,
-					Sort:      counts.Node + "/" + c.sheet,
+					Sort:      counts.Node + "/" + c.itemSuffix,
 				},
 				Value: value,
 			},
@@ -305,25 +312,25 @@
 	return nil
 }
 
-// snapshot returns the node's counts and forgets old windows.
+// snapshot returns the node's counts and drops old windows.
 func (c *Counter) snapshot(now time.Time, last bool) Counts {
 	current := windowOf(now, c.config.Window)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sequence++
 	item := Counts{
-		Node:      c.life,
+		Node:      c.incarnation,
 		Sequence:  c.sequence,
 		ThroughMS: now.UnixMilli(),
 		Stopped:   last,
 		Windows:   map[string]map[string]int{},
 	}
-	for organisation, count := range c.early {
-		c.window(current)[organisation] += count
+	for organisation, count := range c.untimed {
+		c.windowCounts(current)[organisation] += count
 	}
-	clear(c.early)
+	clear(c.untimed)
 	for number, known := range c.windows {
-		if number <= current-keepWindows {
+		if number <= current-retainedWindows {
 			delete(c.windows, number)
 			continue
 		}
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -13,36 +13,42 @@
 )
 
 const (
-	// lookInterval is how often the holder looks whether a window is due.
-	lookInterval = 500 * time.Millisecond
-	// settleTime is how long after a window's end the nodes' counts are there:
-	// they write each second.
+	// pollInterval is how often the lease holder checks whether a window is due.
+	pollInterval = 500 * time.Millisecond
+	// settleTime is how long after the end of a window the nodes' counts are in the
+	// table; nodes write every second.
 	settleTime = 2500 * time.Millisecond
-	// duePart of the time until a report is due is waited for nodes that have
-	// not written; they may be dead, or cut off.
-	duePart = 0.65
-	// catchUp is how many windows back a new holder begins.
-	catchUp = 6
-	// queryLimit is how many items one read takes.
+	// missingCountsWaitFraction is the part of the time until a report is due for
+	// which the reporter waits for nodes that have not written. They may have
+	// failed or lost their connection.
+	missingCountsWaitFraction = 0.65
+	// catchUpWindows is how many windows before the current one a new lease holder
+	// starts.
+	catchUpWindows = 6
+	// queryLimit is the maximum number of items that one query reads.
 	queryLimit = 2000
-	// sendTime is what the lease must still last for one report to be sent.
-	sendTime = time.Second
-	// keepReports is for how many windows reports and items of dead nodes stay.
-	keepReports = 24
-	// replacedAfter is how many windows behind the newest of its life an item is
-	// dropped; until then a write whose answer was lost may still come.
-	replacedAfter = 2
-	// prunedAtOnce bounds the items removed with one window.
-	prunedAtOnce = 50
+	// sendTimeout bounds the sending of one report; the lease must remain valid for
+	// at least that long.
+	sendTimeout = time.Second
+	// retainedReportWindows is the number of windows for which reports and the items
+	// of failed nodes are kept.
+	retainedReportWindows = 24
+	// replacedAfterWindows is how many windows an item must be older than the newest
+	// item of its incarnation to be removed. Until then, a write whose response was
+	// lost may still take effect.
+	replacedAfterWindows = 2
+	// maxPrunedItems bounds the items removed during the processing of one window.
+	maxPrunedItems = 50
 )
 
-// Lease is the right to report.
+// Lease permits its holder to report usage.
 type Lease interface {
-	// Check returns the fencing number if this node may act for at least need.
+	// Check returns the fencing number if this node holds the lease for at least
+	// need.
 	Check(need time.Duration) (uint64, error)
 }
 
-// ReporterConfig says what a reporter works with.
+// ReporterConfig configures a Reporter.
 type ReporterConfig struct {
 	Table  zinniamast.Table
 	Clock  Clock
@@ -51,20 +57,20 @@
 	// Window is the length of a window, and Due how long after its end its report is due.
 	Window time.Duration
 	Due    time.Duration
-	// Logger hears of reports; nil means slog's default.
+	// Logger receives reports and failures; nil means slog's default.
 	Logger *slog.Logger
 }
 
 // Reporter reports windows while this node holds the lease.
 type Reporter struct {
 	config ReporterConfig
-	// fence is the one under which next was found.
+	// fence is the fencing number under which nextWindow was set.
 	fence uint64
-	// next is the first window that this holder has not sent, and since the one
-	// that ran when it became the holder: nobody else can have written a report of
-	// that one or a later one, but a holder that follows it.
-	next  int64
-	since int64
+	// nextWindow is the first window that this holder has not reported.
+	// acquiredWindow is the window in which it acquired the lease; a report of that
+	// window or a later one can only come from this holder or from its successors.
+	nextWindow     int64
+	acquiredWindow int64
 }
 
 // NewReporter returns a reporter; Run starts it.
@@ -79,7 +85,7 @@
 
 // Run reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -87,17 +93,18 @@
 		case <-ctx.Done():
 			return
 		}
-		if err := r.look(ctx); err != nil && ctx.Err() == nil {
-			r.config.Logger.Warn("usage not reported", "window", r.next, "cause", err)
+		if err := r.reportDueWindows(ctx); err != nil && ctx.Err() == nil {
+			r.config.Logger.Warn("reporting usage failed", "window", r.nextWindow, "cause", err)
 		}
 	}
 }
 
-// look sends what is due.
-func (r *Reporter) look(ctx context.Context) error {
-	fence, err := r.config.Lease.Check(sendTime)
+// reportDueWindows sends the reports of all windows that are due, if this node
+// holds the lease.
+func (r *Reporter) reportDueWindows(ctx context.Context) error {
+	fence, err := r.config.Lease.Check(sendTimeout)
 	if err != nil {
-		// Somebody else holds the duty.
+		// Another node holds the lease.
 		return nil
 	}
 	now, ok := r.config.Clock.Now()
@@ -107,35 +114,35 @@
 	current := windowOf(now, r.config.Window)
 	if fence != r.fence {
 		r.fence = fence
-		r.next = current - catchUp
-		r.since = current
+		r.nextWindow = current - catchUpWindows
+		r.acquiredWindow = current
 	}
-	for r.next < current {
-		sent, err := r.window(ctx, r.next, now)
+	for r.nextWindow < current {
+		sent, err := r.reportWindow(ctx, r.nextWindow, now)
 		if err != nil || !sent {
 			return err
 		}
-		r.next++
+		r.nextWindow++
 	}
 	return nil
 }
 
-// window sends one window's report and says whether it was sent.
-func (r *Reporter) window(ctx context.Context, number int64, now time.Time) (bool, error) {
+// reportWindow sends the report of one window and returns whether it was sent.
+func (r *Reporter) reportWindow(ctx context.Context, number int64, now time.Time) (bool, error) {
 	waited := now.Sub(windowEnd(number, r.config.Window))
 	if waited < settleTime {
 		return false, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err := r.known(ctx, number)
+	report, err := r.previousReport(ctx, number)
 	if errors.Is(err, zinniamast.ErrNotFound) {
-		var whole bool
-		report, whole, err = r.add(ctx, number)
-		if err != nil || !whole && waited < time.Duration(duePart*float64(r.config.Due)) {
+		var complete bool
+		report, complete, err = r.sumCounts(ctx, number)
+		if err != nil || !complete && waited < time.Duration(missingCountsWaitFraction*float64(r.config.Due)) {
 			return false, err
 		}
-		report, err = r.write(ctx, report)
+		report, err = r.storeReport(ctx, report)
 	}
 	if err != nil {
 		return false, err
@@ -150,17 +157,18 @@
 	}
 }
 
-// known returns the report that an earlier holder has written. Where there can
-// be none it is not asked for: a write meets what stands there all the same.
-func (r *Reporter) known(ctx context.Context, number int64) (zinniamast.UsageReport, error) {
-	if number >= r.since {
+// previousReport returns the report stored by an earlier lease holder. It does not
+// query the table for windows for which there can be none; storeReport would
+// detect an existing report in any case.
+func (r *Reporter) previousReport(ctx context.Context, number int64) (zinniamast.UsageReport, error) {
+	if number >= r.acquiredWindow {
 		return zinniamast.UsageReport{}, zinniamast.ErrNotFound
 	}
-	return r.written(ctx, number)
+	return r.storedReport(ctx, number)
 }
 
-// written returns the report that stands in the table.
-func (r *Reporter) written(ctx context.Context, number int64) (zinniamast.UsageReport, error) {
+// storedReport reads the report of a window from the table.
+func (r *Reporter) storedReport(ctx context.Context, number int64) (zinniamast.UsageReport, error) {
 	var report zinniamast.UsageReport
 	item, err := r.config.Table.Get(ctx, reportKey(number))
 	if err != nil {
@@ -169,8 +177,9 @@
 	return report, json.Unmarshal(item.Value, &report)
 }
 
-// add sums the nodes' counts and says whether all of them are whole.
-func (r *Reporter) add(ctx context.Context, number int64) (zinniamast.UsageReport, bool, error) {
+// sumCounts sums the counts of all nodes for a window and returns whether all of
+// them are complete.
+func (r *Reporter) sumCounts(ctx context.Context, number int64) (zinniamast.UsageReport, bool, error) {
 	report := zinniamast.UsageReport{
 		Window: number,
 		Counts: map[string]int{},
@@ -181,30 +190,31 @@
 	}
 	end := windowEnd(number, r.config.Window).UnixMilli()
 	name := strconv.FormatInt(number, 10)
-	whole := true
-	nodes := r.newest(items)
+	complete := true
+	nodes := r.latestCounts(items)
 	for _, node := range nodes {
 		for organisation, count := range node.Windows[name] {
 			report.Counts[organisation] += count
 		}
-		// A node that was silent for windows is dead and will add nothing.
+		// A node that has not written for more than two windows is assumed to have
+		// failed and to add no more counts.
 		silent := end-node.ThroughMS > 2*r.config.Window.Milliseconds()
 		if node.ThroughMS < end && !node.Stopped && !silent {
-			whole = false
+			complete = false
 		}
 	}
 	r.prune(ctx, items, nodes, number)
-	return report, whole, nil
+	return report, complete, nil
 }
 
-// newest returns the last counts of each life of a node: one life may stand in
-// items of several writers.
-func (r *Reporter) newest(items []zinniamast.Item) map[string]Counts {
+// latestCounts returns the latest counts of each incarnation of a node; several
+// writers may have stored items for the same incarnation.
+func (r *Reporter) latestCounts(items []zinniamast.Item) map[string]Counts {
 	nodes := map[string]Counts{}
 	for _, item := range items {
 		var node Counts
 		if err := json.Unmarshal(item.Value, &node); err != nil {
-			r.config.Logger.Warn("unreadable usage", "item", item.Key.Sort, "cause", err)
+			r.config.Logger.Warn("decoding usage counts failed; ignoring item", "item", item.Key.Sort, "cause", err)
 			continue
 		}
 		if known, ok := nodes[node.Node]; !ok || node.Sequence > known.Sequence {
@@ -214,12 +224,13 @@
 	return nodes
 }
 
-// write puts the report into the table before it is sent.
+// storeReport writes the report to the table before it is sent, and returns the
+// stored one if another holder has written it already.
 //
-// Failure: a holder sends a report and dies; the next one, which sees counts
-// that came later, sends another one for the same window. With the report in
-// the table first, every holder sends the one that stands there.
-func (r *Reporter) write(ctx context.Context, report zinniamast.UsageReport) (zinniamast.UsageReport, error) {
+// If a holder sent a report and failed, the next holder would see counts that
+// arrived later and send a different report for the same window. As the report
+// is stored first, every holder sends the stored one.
+func (r *Reporter) storeReport(ctx context.Context, report zinniamast.UsageReport) (zinniamast.UsageReport, error) {
 	value, err := json.Marshal(report)
 	if err != nil {
 		return report, fmt.Errorf("usage: %w", err)
@@ -231,19 +242,21 @@
 		},
 	}})
 	if errors.Is(err, zinniamast.ErrConflict) {
-		return r.written(ctx, report.Window)
+		return r.storedReport(ctx, report.Window)
 	}
 	return report, err
 }
 
-// send sends a report if the lease still lasts.
+// send sends a report if this node still holds the lease under the same fencing
+// number.
 func (r *Reporter) send(ctx context.Context, report zinniamast.UsageReport) (bool, error) {
-	fence, err := r.config.Lease.Check(sendTime)
+	fence, err := r.config.Lease.Check(sendTimeout)
 	if err != nil || fence != r.fence {
 		return false, nil
 	}
-	// Once sent it is waited for, also by a node that stops: the lease is released after it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTime)
+	// A stopping node also waits for the call to finish, because it releases the
+	// lease afterwards.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTimeout)
 	defer cancel()
 	if err := r.config.Duties.Report(ctx, fence, report); err != nil {
 		return false, err
@@ -252,15 +265,15 @@
 	return true, nil
 }
 
-// prune removes items of nodes that are long dead or that another item of the
-// same life has replaced, and old reports.
+// prune removes the items of nodes that stopped writing long ago, items replaced
+// by a newer item of the same incarnation, and old reports.
 func (r *Reporter) prune(ctx context.Context, items []zinniamast.Item, nodes map[string]Counts, number int64) {
-	old := windowEnd(number-keepReports, r.config.Window).UnixMilli()
-	replaced := replacedAfter * r.config.Window.Milliseconds()
+	old := windowEnd(number-retainedReportWindows, r.config.Window).UnixMilli()
+	replaced := replacedAfterWindows * r.config.Window.Milliseconds()
 	var removals []zinniamast.Write
 	for _, item := range items {
 		var node Counts
-		if json.Unmarshal(item.Value, &node) != nil || len(removals) == prunedAtOnce {
+		if json.Unmarshal(item.Value, &node) != nil || len(removals) == maxPrunedItems {
 			continue
 		}
 		if node.ThroughMS < old || node.ThroughMS < nodes[node.Node].ThroughMS-replaced {
@@ -272,7 +285,7 @@
 		}
 	}
 	r.remove(ctx, removals)
-	if report, err := r.config.Table.Get(ctx, reportKey(number-keepReports)); err == nil {
+	if report, err := r.config.Table.Get(ctx, reportKey(number-retainedReportWindows)); err == nil {
 		r.remove(ctx, []zinniamast.Write{{
 			Item:   report,
 			Delete: true,
@@ -286,6 +299,6 @@
 		return
 	}
 	if err := r.config.Table.Write(ctx, removals); err != nil {
-		r.config.Logger.Debug("old usage stays for now", "items", len(removals), "cause", err)
+		r.config.Logger.Debug("removing old usage items failed; they are kept until a later attempt", "items", len(removals), "cause", err)
 	}
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -18,31 +18,31 @@
 	"zinniamast/usage"
 )
 
-// handClock is true time as the test sets it.
-type handClock struct {
+// manualClock is a true-time clock that the test sets.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *handClock) Now() (time.Time, bool) {
+func (c *manualClock) Now() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now, true
 }
 
-func (c *handClock) set(at time.Time) {
+func (c *manualClock) set(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = at
 }
 
-// right is a lease that the test gives and takes away.
-type right struct {
+// manualLease is a lease that the test grants and revokes.
+type manualLease struct {
 	mu    sync.Mutex
 	fence uint64
 }
 
-func (r *right) Check(time.Duration) (uint64, error) {
+func (r *manualLease) Check(time.Duration) (uint64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fence == 0 {
@@ -51,7 +51,7 @@
 	return r.fence, nil
 }
 
-func (r *right) set(fence uint64) {
+func (r *manualLease) set(fence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fence = fence
@@ -59,12 +59,12 @@
 
 const window = 5 * time.Second
 
-// fleet is counters and reporters on one stand-in store.
+// fleet runs counters and reporters against one fake store.
 type fleet struct {
 	t      *testing.T
 	is     *is.I
 	store  *store.Store
-	clock  *handClock
+	clock  *manualClock
 	duties *duties.Duties
 }
 
@@ -74,7 +74,7 @@
 		t:      t,
 		is:     is.New(t),
 		store:  store.New(),
-		clock:  &handClock{},
+		clock:  &manualClock{},
 		duties: &duties.Duties{},
 	}
 	// Window 100 begins at 500 s.
@@ -87,7 +87,7 @@
 	return platform.NewTable(platform.NewStore(f.store.Address()))
 }
 
-// counter runs a counter until the returned function is called.
+// counter starts a counter, which runs until the returned function is called.
 func (f *fleet) counter(node string) (*usage.Counter, func()) {
 	c := usage.NewCounter(usage.CounterConfig{
 		Table:  f.table(),
@@ -99,9 +99,10 @@
 	return c, f.run(c.Run)
 }
 
-// reporter runs a reporter with a lease of its own.
-func (f *fleet) reporter() (*right, func()) {
-	lease := &right{}
+// reporter starts a reporter with its own lease, which runs until the returned
+// function is called.
+func (f *fleet) reporter() (*manualLease, func()) {
+	lease := &manualLease{}
 	r := usage.NewReporter(usage.ReporterConfig{
 		Table:  f.table(),
 		Clock:  f.clock,
@@ -129,7 +130,7 @@
 	return stop
 }
 
-// report waits for the report of a window.
+// report waits until a window is reported and returns that call.
 func (f *fleet) report(number int64) duties.Call {
 	f.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -143,9 +144,9 @@
 	return duties.Call{}
 }
 
-// A node counts requests and is killed a second later, before the window ends.
-// Its counts are in the report: they were in the table.
-func TestCountsOutliveTheirNode(t *testing.T) {
+// A node counts requests and stops a second later, before the window ends. Its
+// counts are included in the report, because they are in the table.
+func TestCountsSurviveNodeFailure(t *testing.T) {
 	f := newFleet(t)
 	killed, kill := f.counter("node-1")
 	other, stopOther := f.counter("node-2")
@@ -166,30 +167,31 @@
 	f.is.Equal(call.Fence, uint64(1))
 }
 
-// handedTo hands counts to another node; a dead one takes none.
-type handedTo struct {
+// remoteCollector forwards counts to another node's counter; a dead node returns
+// an error.
+type remoteCollector struct {
 	counter *usage.Counter
 	dead    *atomic.Bool
 }
 
-func (h handedTo) Collect(_ context.Context, counts usage.Counts) error {
+func (h remoteCollector) Collect(_ context.Context, counts usage.Counts) error {
 	if h.dead.Load() {
 		return errors.New("no answer")
 	}
 	return h.counter.Collect(counts)
 }
 
-// A node hands its counts to the writer of its failure domain. The writer is
-// killed, the node writes itself for a moment and hands them to the next
-// writer; then it is killed too. Its counts stand in items of three nodes, and
-// each request is in the report once.
-func TestCountsOutliveTheirWriter(t *testing.T) {
+// A node sends its counts to the writer of its failure domain. The writer fails,
+// the node writes its own counts for a moment and then sends them to the next
+// writer; then the node stops too. Items written by three nodes contain its
+// counts, and the report counts each request once.
+func TestCountsSurviveWriterFailure(t *testing.T) {
 	f := newFleet(t)
 	first, killFirst := f.counter("writer-1")
 	next, _ := f.counter("writer-2")
 	var dead atomic.Bool
 	var writer atomic.Value
-	writer.Store(handedTo{
+	writer.Store(remoteCollector{
 		counter: first,
 		dead:    &dead,
 	})
@@ -198,7 +200,7 @@
 		Clock:  f.clock,
 		Node:   "node",
 		Window: window,
-		Writer: func() usage.Collector { return writer.Load().(handedTo) },
+		Writer: func() usage.Collector { return writer.Load().(remoteCollector) },
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	kill := f.run(c.Run)
@@ -209,7 +211,7 @@
 	c.CountStarted("acme")
 	f.clock.set(time.Unix(503, 0))
 	time.Sleep(1500 * time.Millisecond)
-	writer.Store(handedTo{
+	writer.Store(remoteCollector{
 		counter: next,
 		dead:    &atomic.Bool{},
 	})
@@ -223,10 +225,11 @@
 	f.is.Equal(f.report(100).Report.Counts, map[string]int{"acme": 3})
 }
 
-// What the platform sees: a window's report lacks a fifth of the requests, those
-// of one failure domain. Its writer alone is cut off from the store while its
-// nodes go on handing their counts to it. It refuses them now, and they write.
-func TestWriterWithoutTheStoreTakesNoCounts(t *testing.T) {
+// A writer alone is cut off from the store while the nodes of its failure domain
+// keep sending counts to it; a window's report then lacked the requests of that
+// failure domain, a fifth of all. The writer must reject the counts, so that the
+// nodes write them.
+func TestWriterWithoutStoreRejectsCounts(t *testing.T) {
 	f := newFleet(t)
 	writer := usage.NewCounter(usage.CounterConfig{
 		Table:  platform.NewTable(platform.NewStore("127.0.0.1:1")),
@@ -236,7 +239,7 @@
 		Logger: slog.New(slog.DiscardHandler),
 	})
 	f.run(writer.Run)
-	handed := handedTo{
+	handed := remoteCollector{
 		counter: writer,
 		dead:    &atomic.Bool{},
 	}
@@ -257,9 +260,9 @@
 	f.is.Equal(f.report(100).Report.Counts, map[string]int{"acme": 1})
 }
 
-// A holder sends a report and loses the duty; afterwards a late count arrives.
-// Its successor sends the same report again and never another one.
-func TestSuccessorSendsTheSame(t *testing.T) {
+// A lease holder sends a report and loses the lease; afterwards a late count
+// arrives. The next holder sends the same report again and never a different one.
+func TestSuccessorSendsSameReport(t *testing.T) {
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
 	c.CountStarted("acme")
@@ -289,8 +292,8 @@
 	f.is.True(again >= 2)
 }
 
-// The cloud does not answer for a while. The report comes when it does.
-func TestReportsWhenTheCloudReturns(t *testing.T) {
+// The cloud is unavailable for a while. The report is sent when it recovers.
+func TestReportsAfterCloudOutage(t *testing.T) {
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
 	c.CountStarted("acme")
@@ -306,9 +309,9 @@
 	f.is.Equal(f.report(100).Report.Counts, map[string]int{"acme": 1})
 }
 
-// The store takes writes and loses the answers. The node's counts stand once
-// and whole.
-func TestLostAnswers(t *testing.T) {
+// The store applies writes, but their responses are lost. The report contains
+// each of the node's requests exactly once.
+func TestLostWriteResponsesCountOnce(t *testing.T) {
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
 	f.store.SetFault(store.Fault{
