--- a/issuedkeys/bench_test.go
+++ b/issuedkeys/bench_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// BenchmarkIssueVerifyTake is what one booking under an issued key pays.
+// BenchmarkIssueVerifyTake measures the cost of the issued key of one booking:
+// issuing it, verifying it and using it once.
 func BenchmarkIssueVerifyTake(b *testing.B) {
 	issuer := newIssuer(secret)
 	b.ReportAllocs()
--- a/issuedkeys/issuer.go
+++ b/issuedkeys/issuer.go
@@ -1,6 +1,6 @@
-// Package issuedkeys issues idempotency keys that one process alone may
-// dispatch, so that calls which may not be repeated go on without the table:
-// the process's memory is the claim.
+// Package issuedkeys issues idempotency keys that only the issuing process may
+// dispatch. Calls that must not be repeated therefore remain possible while the
+// table is unavailable: the process keeps the claims in memory.
 package issuedkeys
 
 import (
@@ -24,7 +24,7 @@
 var (
 	// ErrForged means that the key was not issued to this organisation for this service.
 	ErrForged = errors.New("issuedkeys: key was not issued to this organisation for this service")
-	// ErrExpired means that the key may not be used for the first time any more.
+	// ErrExpired means that the key has expired and cannot be used for the first time.
 	ErrExpired = errors.New("issuedkeys: key has expired")
 	// ErrConflict means that the key was used with another call.
 	ErrConflict = errors.New("issuedkeys: key was used with another call")
@@ -32,30 +32,30 @@
 	ErrElsewhere = errors.New("issuedkeys: key was issued by another process")
 )
 
-// Config says who issues.
+// Config configures an Issuer.
 type Config struct {
 	// Node is the instance's name.
 	Node string
-	// Secrets sign and prove keys; the first signs, every one is believed. All
-	// nodes of the fleet share them.
+	// Secrets sign and verify keys: the first one signs, and a signature by any of
+	// them is accepted. All nodes of the fleet share them.
 	Secrets []string
-	// Lifetime is how long a key may wait for its first use; 15 minutes if zero.
+	// Lifetime is the time after which an unused key expires; 15 minutes if zero.
 	Lifetime time.Duration
-	// Retain is how long after that an outcome is remembered; one hour if zero.
+	// Retain is how long an outcome is kept after the key expires; one hour if zero.
 	Retain time.Duration
 }
 
-// Issuer issues keys and remembers what became of them. A process has one; its
-// epoch is never used by another process, not even after a restart under the
-// same name, so no other process can believe that a key is its own.
+// Issuer issues keys and records the outcome of their use. A process has one
+// issuer. Its epoch is unique to the process and changes with a restart under the
+// same name, so no other process takes the key for one of its own.
 type Issuer struct {
 	config Config
 	epoch  string
 
-	mu     sync.Mutex
-	serial uint64
-	uses   map[uint64]*Use
-	swept  time.Time
+	mu        sync.Mutex
+	serial    uint64
+	uses      map[uint64]*Use
+	lastSweep time.Time
 }
 
 // New returns the process's issuer.
@@ -73,10 +73,11 @@
 	}
 }
 
-// Epoch returns the process's own epoch.
+// Epoch returns the epoch of this process.
 func (i *Issuer) Epoch() string { return i.epoch }
 
-// Issue returns new keys and when they expire. It costs no memory per key.
+// Issue returns new keys and the time at which they expire. It stores nothing per
+// key.
 func (i *Issuer) Issue(organisation, service string, count int) ([]string, time.Time) {
 	i.mu.Lock()
 	first := i.serial + 1
@@ -96,19 +97,20 @@
 	return keys, expires
 }
 
-// Use is the one use of a key.
+// Use is the single use of a key.
 type Use struct {
 	callHash string
 	expires  time.Time
 	// Done is closed when the outcome is known.
 	Done chan struct{}
-	// Answer or Refusal stand once Done is closed.
+	// Answer or Refusal is set once Done is closed.
 	Answer  *zinniamast.ServiceAnswer
 	Refusal *zinniamast.Refusal
 }
 
-// Take starts the use of a key of this process, or returns the one that was
-// started before and false. A use that ended in "not run" starts again.
+// Take starts the use of a key of this process and returns true, or returns the
+// use that was started earlier and false. If the earlier use ended without running
+// the call, a new one is started.
 func (i *Issuer) Take(key Key, callHash string) (*Use, bool, error) {
 	if key.Epoch != i.epoch {
 		return nil, false, ErrElsewhere
@@ -117,12 +119,12 @@
 	defer i.mu.Unlock()
 	now := time.Now()
 	i.sweep(now)
-	known, ok := i.uses[key.Serial]
-	if ok && !known.free() {
-		if known.callHash != callHash {
+	earlier, ok := i.uses[key.Serial]
+	if ok && !earlier.isRepeatable() {
+		if earlier.callHash != callHash {
 			return nil, false, ErrConflict
 		}
-		return known, false, nil
+		return earlier, false, nil
 	}
 	if now.After(key.Expires) {
 		return nil, false, ErrExpired
@@ -136,8 +138,8 @@
 	return use, true, nil
 }
 
-// free says whether the use ended and nothing ran.
-func (u *Use) free() bool {
+// isRepeatable reports whether the use has ended without running the call.
+func (u *Use) isRepeatable() bool {
 	select {
 	case <-u.Done:
 		return u.Refusal != nil && u.Refusal.Ran == zinniamast.NotRun
@@ -153,21 +155,21 @@
 	close(u.Done)
 }
 
-// sweep forgets outcomes of keys that expired long ago; the caller holds the
-// lock. Such a key cannot start again, because it has expired.
+// sweep removes the outcomes of keys whose retention has ended; the caller holds
+// the lock. Such a key cannot be used again, because it has expired.
 func (i *Issuer) sweep(now time.Time) {
-	if now.Sub(i.swept) < time.Minute {
+	if now.Sub(i.lastSweep) < time.Minute {
 		return
 	}
-	i.swept = now
+	i.lastSweep = now
 	for serial, use := range i.uses {
-		if now.After(use.expires.Add(i.config.Retain)) && use.ended() {
+		if now.After(use.expires.Add(i.config.Retain)) && use.hasEnded() {
 			delete(i.uses, serial)
 		}
 	}
 }
 
-func (u *Use) ended() bool {
+func (u *Use) hasEnded() bool {
 	select {
 	case <-u.Done:
 		return true
@@ -176,7 +178,8 @@
 	}
 }
 
-// Known tells what is known here of a key, for refusals that come before its use.
+// Known returns whether the call of a key ran, as far as this process knows, for
+// refusals that precede the use of the key.
 func (i *Issuer) Known(text string) zinniamast.Ran {
 	key, err := parse(text)
 	if err != nil || key.Epoch != i.epoch {
@@ -188,11 +191,11 @@
 	switch {
 	case !ok && time.Now().After(key.Expires.Add(i.config.Retain)):
 		return zinniamast.Unknown
-	case !ok || use.free():
+	case !ok || use.isRepeatable():
 		return zinniamast.NotRun
-	case use.ended() && use.Answer != nil:
+	case use.hasEnded() && use.Answer != nil:
 		return zinniamast.DidRun
-	case use.ended():
+	case use.hasEnded():
 		return use.Refusal.Ran
 	default:
 		return zinniamast.Unknown
--- a/issuedkeys/issuer_test.go
+++ b/issuedkeys/issuer_test.go
@@ -33,8 +33,8 @@
 	// Output: node.1 2 <nil>
 }
 
-// A key that another organisation got hold of, that was altered, or that was
-// signed before a secret was dropped proves nothing.
+// A key is rejected if another organisation or service presents it, if it was
+// altered, or if it was signed with a secret that has been removed.
 func TestVerify(t *testing.T) {
 	is := is.New(t)
 	old, rotated, dropped := newIssuer(secret), newIssuer("the next "+secret, secret), newIssuer("the next "+secret)
@@ -58,25 +58,26 @@
 	}
 }
 
-// The same key comes a hundred times at once. One request may run it; a
-// restarted process of the same name may not, and cannot say that it did not run.
-func TestTakeOnce(t *testing.T) {
+// A hundred requests present the same key at once. Only one of them may run the
+// call. A restarted process of the same name may not run it and must report its
+// outcome as unknown.
+func TestTakeAllowsOneUse(t *testing.T) {
 	is := is.New(t)
 	issuer := newIssuer(secret)
 	keys, _ := issuer.Issue("north", "booking", 1)
 	key, err := issuer.Verify("north", "booking", keys[0])
 	is.NoErr(err)
-	var mine atomic.Int32
+	var takenCount atomic.Int32
 	var done sync.WaitGroup
 	for range 100 {
 		done.Go(func() {
 			if _, taken, _ := issuer.Take(key, "call"); taken {
-				mine.Add(1)
+				takenCount.Add(1)
 			}
 		})
 	}
 	done.Wait()
-	is.Equal(mine.Load(), int32(1))
+	is.Equal(takenCount.Load(), int32(1))
 	_, _, err = issuer.Take(key, "another call")
 	is.True(errors.Is(err, issuedkeys.ErrConflict))
 	restarted := newIssuer(secret)
@@ -85,8 +86,8 @@
 	is.Equal(restarted.Known(keys[0]), zinniamast.Unknown)
 }
 
-// What is known of a key: nothing ran before its use and after a use that did
-// not run; a key whose outcome was forgotten is unknown, and cannot start again.
+// A key counts as not run before its use and after a use that did not run. A key
+// whose outcome has been removed is unknown and cannot be used again.
 func TestKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -99,8 +100,8 @@
 		is.Equal(issuer.Known(keys[0]), zinniamast.Unknown)
 		use.End(nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "none"))
 		is.Equal(issuer.Known(keys[0]), zinniamast.NotRun)
-		use, mine, _ := issuer.Take(key, "call")
-		is.True(mine) // what did not run may start again
+		use, taken, _ := issuer.Take(key, "call")
+		is.True(taken) // a call that did not run may start again
 		use.End(&zinniamast.ServiceAnswer{Status: 200}, nil)
 		is.Equal(issuer.Known(keys[0]), zinniamast.DidRun)
 		time.Sleep(time.Until(expires) + time.Second)
--- a/issuedkeys/key.go
+++ b/issuedkeys/key.go
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// prefix begins every issued key.
+// prefix is the start of every issued key.
 const prefix = "zk1."
 
-// parts is how many parts an issued key has.
-const parts = 6
+// partCount is the number of dot-separated parts of an issued key.
+const partCount = 6
 
-// macSize is how many bytes of the MAC a key carries.
-const macSize = 16
+// macBytes is the number of bytes of the MAC that a key contains.
+const macBytes = 16
 
-// Key is an issued key, taken apart.
+// Key is a parsed issued key.
 type Key struct {
-	// Node and Epoch name the process that alone may dispatch the key.
+	// Node and Epoch identify the only process that may dispatch the key.
 	Node  string
 	Epoch string
-	// Serial tells the epoch's keys apart.
+	// Serial identifies the key within its epoch.
 	Serial uint64
-	// Expires is until when the key may be used for the first time.
+	// Expires is the time until which the key may be used for the first time.
 	Expires time.Time
 }
 
-// Is says whether an idempotency key looks like an issued one.
+// Is reports whether an idempotency key has the form of an issued key, without
+// verifying it.
 func Is(text string) bool { return strings.HasPrefix(text, prefix) }
 
-// body is the signed part of the key's text.
+// body returns the signed part of the key's text.
 func (k *Key) body() string {
 	node := base64.RawURLEncoding.EncodeToString([]byte(k.Node))
 	return fmt.Sprintf("%s%s.%s.%d.%d", prefix, node, k.Epoch, k.Serial, k.Expires.Unix())
 }
 
-// mac binds the key to its organisation and service.
+// mac returns the MAC that binds the key to its organisation and service.
 func mac(secret, body, organisation, service string) string {
 	h := hmac.New(sha256.New, []byte(secret))
 	fmt.Fprintf(h, "%q %q %q", body, organisation, service)
-	return base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:macSize])
+	return base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:macBytes])
 }
 
-// sign returns the key's text.
+// sign returns the key's text with its MAC.
 func (k *Key) sign(secret, organisation, service string) string {
 	body := k.body()
 	return body + "." + mac(secret, body, organisation, service)
 }
 
-// parse takes a key apart without believing it.
+// parse parses a key without verifying its signature.
 func parse(text string) (Key, error) {
 	fields := strings.Split(text, ".")
-	if len(fields) != parts || !Is(text) {
+	if len(fields) != partCount || !Is(text) {
 		return Key{}, ErrForged
 	}
 	node, err := base64.RawURLEncoding.DecodeString(fields[1])
@@ -78,9 +79,9 @@
 	}, nil
 }
 
-// Verify takes a key apart and proves that the fleet issued it to this
-// organisation for this service. Without the proof a caller could make two
-// keys that look different and are used as one.
+// Verify parses a key and verifies that the fleet issued it to this organisation
+// for this service. It compares the whole text, because a caller could otherwise
+// make two keys that differ in their text and count as one.
 func (i *Issuer) Verify(organisation, service, text string) (Key, error) {
 	key, err := parse(text)
 	if err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -12,34 +12,36 @@
 	"zinniamast/strictjson"
 )
 
-// Settings are what one entry instance learns from its settings file.
+// Settings holds the contents of the settings file of one entry instance.
 type Settings struct {
 	// Instance is the instance's name.
 	Instance string `json:"instance"`
-	// FailureDomain is where it runs.
+	// FailureDomain is the failure domain that the instance runs in.
 	FailureDomain string `json:"failure_domain"`
-	// Weight is its size relative to the other entry instances.
+	// Weight is the size of the instance relative to the other entry instances.
 	Weight float64 `json:"weight"`
-	// Listen is host:port for callers, with /metrics, /healthz and /readyz.
+	// Listen is the host:port that callers use; it also serves /metrics, /healthz
+	// and /readyz.
 	Listen string `json:"listen"`
-	// PeerListen is host:port for peers and operators.
+	// PeerListen is the host:port that peers and operators use.
 	PeerListen string `json:"peer_listen"`
-	// PeerAdvertise is host:port by which peers reach PeerListen; empty means
-	// the same. It differs behind an address translation or a fault proxy.
+	// PeerAdvertise is the host:port at which peers reach PeerListen; empty means
+	// PeerListen itself. It differs behind an address translation or a fault proxy.
 	PeerAdvertise string `json:"peer_advertise,omitempty"`
-	// Peers are host:port of some other nodes, to join by.
+	// Peers lists the host:port of some other nodes through which this one joins.
 	Peers []string `json:"peers"`
-	// PeerKeys are shared keys of at least 32 characters; the first proves,
-	// every one is believed, so that keys rotate without a gap.
+	// PeerKeys are shared keys of at least 32 characters. The node authenticates
+	// itself with the first and accepts all of them, so that keys can be rotated
+	// without an interruption.
 	PeerKeys []string `json:"peer_keys"`
 	// OperatorKeys are shared keys of operators, with the same rules.
 	OperatorKeys []string `json:"operator_keys"`
-	// Platform says where the platform's services are.
+	// Platform holds the endpoints of the platform's services.
 	Platform Platform `json:"platform"`
-	// StopTimeout bounds a graceful stop; running requests are handed to peers
-	// before it ends.
+	// StopTimeout bounds a graceful stop; running requests are transferred to
+	// peers before it ends.
 	StopTimeout config.Duration `json:"stop_timeout"`
-	// MemoryCap bounds prompts and partial answers held by the node.
+	// MemoryCap bounds the memory for prompts and partial answers on the node.
 	MemoryCap config.Size `json:"memory_cap"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level"`
@@ -57,15 +59,16 @@
 	Region     string `json:"region"`
 	AccessKey  string `json:"access_key"`
 	SecretKey  string `json:"secret_key"`
-	// WritesASec and ReadsASec are this node's share of the fleet's rate of calls to the table.
+	// WritesASec and ReadsASec are this node's share of the fleet's permitted rate
+	// of calls to the table.
 	WritesASec float64 `json:"writes_a_second"`
 	ReadsASec  float64 `json:"reads_a_second"`
 }
 
-// Defaults for fields a settings file may leave out.
+// Defaults for optional fields, and the minimum key length.
 const (
-	// defaultStopTimeout is above the configuration's built-in deadline of two
-	// minutes, so that a planned stop cuts no request that was accepted before it.
+	// defaultStopTimeout exceeds the configuration's built-in deadline of two
+	// minutes, so that a planned stop interrupts no request accepted before it.
 	defaultStopTimeout = 150 * time.Second
 	defaultMemoryCap   = 512 << 20
 	minKeyLength       = 32
@@ -84,7 +87,7 @@
 	return parsed, nil
 }
 
-// Parse reads settings strictly, fills defaults and checks them.
+// Parse decodes settings strictly, applies defaults and checks the result.
 func Parse(raw []byte) (*Settings, error) {
 	s := &Settings{
 		Weight:      1,
@@ -133,7 +136,7 @@
 	return checkKeys("operator_keys", s.OperatorKeys)
 }
 
-// PeerAddress is host:port that peers are told to reach this node by.
+// PeerAddress returns the host:port that this node advertises to its peers.
 func (s *Settings) PeerAddress() string {
 	if s.PeerAdvertise != "" {
 		return s.PeerAdvertise
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"zinniamast/settings"
 )
 
-const whole = `{
+const validSettings = `{
   "instance": "entry-1",
   "failure_domain": "burnaby-a",
   "listen": "127.0.0.1:8080",
@@ -21,10 +21,11 @@
   "memory_cap": "1GiB"
 }`
 
-// A node that starts with a mistaken setting would join with the wrong domain
-// or be open to a stranger; each mistake must stop it with its line or path.
-func TestParseNamesWhatIsWrong(t *testing.T) {
-	_, err := settings.Parse([]byte(whole))
+// A node that starts with a wrong setting could join in the wrong failure domain or
+// accept unauthorised peers. Each mistake must be rejected with its line or path,
+// and the error must not contain a key.
+func TestParseReportsLocation(t *testing.T) {
+	_, err := settings.Parse([]byte(validSettings))
 	is.New(t).NoErr(err)
 	cases := []struct{ name, old, new, path string }{
 		{name: "unknown field", old: `"peers"`, new: `"seeds"`, path: "line 6"},
@@ -39,7 +40,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			check := is.New(t)
-			_, err := settings.Parse([]byte(strings.Replace(whole, c.old, c.new, 1)))
+			_, err := settings.Parse([]byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			check.True(err != nil)
 			check.True(strings.Contains(err.Error(), c.path))
 			check.True(!strings.Contains(err.Error(), "kkk"))
@@ -48,7 +49,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"weight":-1}`))
 	f.Add([]byte(`{"memory_cap":"1GiB"}{`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/strictjson/decode.go
+++ b/strictjson/decode.go
@@ -1,5 +1,5 @@
-// Package strictjson decodes JSON that an operator wrote and says where and
-// how it is wrong.
+// Package strictjson decodes JSON written by operators and reports the line and
+// the cause of each error.
 package strictjson
 
 import (
@@ -11,54 +11,56 @@
 	"strings"
 )
 
-// Decode fills target from raw; an unknown field, one given twice, or trailing
+// Decode decodes raw into target. An unknown field, a duplicate field or trailing
 // text is an error that names its line.
 func Decode(raw []byte, target any) error {
-	if err := unique(raw); err != nil {
+	if err := rejectDuplicateFields(raw); err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
-		return fmt.Errorf("line %d: %w", line(raw, offset(err, raw, decoder)), err)
+		return fmt.Errorf("line %d: %w", lineNumber(raw, errorOffset(err, raw, decoder)), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("line %d: text after the end of the document", line(raw, decoder.InputOffset()))
+		return fmt.Errorf("line %d: text after the end of the document", lineNumber(raw, decoder.InputOffset()))
 	}
 	return nil
 }
 
-// unique refuses a field that is given twice, at any depth, with its path.
+// rejectDuplicateFields returns an error with the path of the first field that
+// occurs twice, at any depth.
 //
-// Failure: encoding/json silently takes the last of two. An operator who pastes
-// a second "defaults" beside the first changes the whole fleet without a word.
-// What is no JSON at all is left to the decoder, which says so.
-func unique(raw []byte) error {
+// encoding/json silently uses the last of two values, so an operator who pastes a
+// second "defaults" next to the first would change the whole fleet without a
+// warning. Invalid JSON is left to the decoder, which reports it.
+func rejectDuplicateFields(raw []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	path, err := twice(decoder)
+	path, err := duplicateField(decoder)
 	if path == "" || err != nil {
 		return nil
 	}
-	return fmt.Errorf("line %d: %s is given twice", line(raw, decoder.InputOffset()), path)
+	return fmt.Errorf("line %d: %s is given twice", lineNumber(raw, decoder.InputOffset()), path)
 }
 
-// twice returns the path of the first field of the next value that is given twice.
-func twice(decoder *json.Decoder) (string, error) {
+// duplicateField returns the path of the first duplicate field in the next value,
+// or an empty string if there is none.
+func duplicateField(decoder *json.Decoder) (string, error) {
 	token, err := decoder.Token()
 	if err != nil {
 		return "", err
 	}
 	switch token {
 	case json.Delim('{'):
-		return twiceInObject(decoder)
+		return duplicateInObject(decoder)
 	case json.Delim('['):
-		return twiceInArray(decoder)
+		return duplicateInArray(decoder)
 	default:
 		return "", nil
 	}
 }
 
-func twiceInObject(decoder *json.Decoder) (string, error) {
+func duplicateInObject(decoder *json.Decoder) (string, error) {
 	seen := map[string]bool{}
 	for decoder.More() {
 		token, err := decoder.Token()
@@ -70,7 +72,7 @@
 			return name, nil
 		}
 		seen[name] = true
-		path, err := twice(decoder)
+		path, err := duplicateField(decoder)
 		if err != nil {
 			return "", err
 		}
@@ -82,9 +84,9 @@
 	return "", err
 }
 
-func twiceInArray(decoder *json.Decoder) (string, error) {
+func duplicateInArray(decoder *json.Decoder) (string, error) {
 	for i := 0; decoder.More(); i++ {
-		path, err := twice(decoder)
+		path, err := duplicateField(decoder)
 		if err != nil {
 			return "", err
 		}
@@ -96,8 +98,9 @@
 	return "", err
 }
 
-// offset returns where in the input an error stands, as well as it tells.
-func offset(err error, raw []byte, decoder *json.Decoder) int64 {
+// errorOffset returns the offset in the input at which an error occurred, as far as
+// the error provides it.
+func errorOffset(err error, raw []byte, decoder *json.Decoder) int64 {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
 		return syntax.Offset
@@ -108,36 +111,36 @@
 	}
 	var value *ValueError
 	if errors.As(err, &value) {
-		return find(raw, value.Raw)
+		return indexOf(raw, value.Raw)
 	}
-	if field, found := strings.CutPrefix(err.Error(), unknownField); found {
-		return find(raw, []byte(field))
+	if field, found := strings.CutPrefix(err.Error(), unknownFieldPrefix); found {
+		return indexOf(raw, []byte(field))
 	}
 	return decoder.InputOffset()
 }
 
-// unknownField begins encoding/json's error for a field that is not known,
-// which has no type; the field follows in quotes.
-const unknownField = "json: unknown field "
+// unknownFieldPrefix is the start of the error text of encoding/json for an unknown
+// field, followed by the quoted field; encoding/json has no error type for it.
+const unknownFieldPrefix = "json: unknown field "
 
-// ValueError is what an UnmarshalJSON method returns for a value it does not
-// take, so that the value's line can be named.
+// ValueError is returned by UnmarshalJSON methods for a value that they reject, so
+// that Decode can report the line of the value.
 type ValueError struct {
-	// Raw is the value as it stands in the input.
+	// Raw is the value as written in the input.
 	Raw []byte
-	// Message says what is wrong and what would be right.
+	// Message describes the error and a valid value.
 	Message string
 }
 
 // Error implements error.
 func (e *ValueError) Error() string { return e.Message }
 
-// find returns the first place of a piece of the input; encoding/json gives
-// none for errors of these kinds.
-func find(raw, piece []byte) int64 { return int64(max(bytes.Index(raw, piece), 0)) }
+// indexOf returns the offset of the first occurrence of piece in the input, or 0;
+// encoding/json provides no offset for these kinds of errors.
+func indexOf(raw, piece []byte) int64 { return int64(max(bytes.Index(raw, piece), 0)) }
 
-// line returns the number of the line at an offset, from 1.
-func line(raw []byte, offset int64) int {
+// lineNumber returns the number of the line at an offset, counted from 1.
+func lineNumber(raw []byte, offset int64) int {
 	offset = min(offset, int64(len(raw)))
 	return 1 + bytes.Count(raw[:offset], []byte("\n"))
 }
--- a/strictjson/decode_test.go
+++ b/strictjson/decode_test.go
@@ -9,9 +9,9 @@
 	"zinniamast/strictjson"
 )
 
-// An operator gives a field twice, at the top or deep inside. The document is
-// refused with the line and the path, and not taken by its last value.
-func TestFieldGivenTwice(t *testing.T) {
+// A field occurs twice, at the top level or nested. The document must be rejected
+// with the line and the path instead of being decoded with the last value.
+func TestDuplicateField(t *testing.T) {
 	type inner struct {
 		A int     `json:"a"`
 		B []inner `json:"b"`
@@ -31,8 +31,8 @@
 	is.New(t).NoErr(strictjson.Decode([]byte(`{"a":1,"b":[{"a":1},{"a":2}]}`), &target))
 }
 
-// What is no JSON is told as such.
-func TestBrokenDocument(t *testing.T) {
+// Invalid JSON is reported as such and not as a duplicate field.
+func TestInvalidJSON(t *testing.T) {
 	var target struct{}
 	err := strictjson.Decode([]byte(`{"a":`), &target)
 	check := is.New(t)
