--- a/config/capacity.go
+++ b/config/capacity.go
@@ -2,25 +2,27 @@
 
 import "fmt"
 
-// Capacity says what may be bought. Without it nothing is bought or returned.
+// Capacity configures which instances may be bought. Without it, no instance is
+// bought or returned.
 type Capacity struct {
 	// Classes are the machine classes that may be bought for models.
 	Classes []MachineClass `json:"classes"`
-	// Headroom is by how much capacity exceeds what is asked; 1.1 if left out.
+	// Headroom is the ratio of capacity to demand; 1.1 if left out.
 	Headroom *float64 `json:"headroom,omitempty"`
 }
 
-// MachineClass is a machine class of the cloud's offers.
+// MachineClass is an instance class that the cloud offers.
 type MachineClass struct {
 	Name string `json:"name"`
-	// TokensASecond is what one instance generates at the latency target.
+	// TokensASecond is the rate at which one instance generates tokens while it
+	// meets the latency target.
 	TokensASecond float64 `json:"tokens_a_second"`
 }
 
 // defaultHeadroom lets demand grow by a tenth while an instance loads.
 const defaultHeadroom = 1.1
 
-// HeadroomFactor returns the headroom in force.
+// HeadroomFactor returns the configured headroom or its default.
 func (c *Capacity) HeadroomFactor() float64 {
 	if c.Headroom == nil {
 		return defaultHeadroom
@@ -28,7 +30,8 @@
 	return *c.Headroom
 }
 
-// Held returns what each replica of the model shall hold.
+// Held returns the models, adapters and versions that each replica of the model
+// must hold.
 func (m *Model) Held() []string {
 	if len(m.Holds) == 0 {
 		return []string{m.Name}
@@ -36,8 +39,9 @@
 	return m.Holds
 }
 
-// capacity checks the classes and what is needed of each model.
-func (p *problems) capacity(c *Config) {
+// checkCapacity checks the instance classes, the headroom and the minimum capacity
+// of each model.
+func (p *problems) checkCapacity(c *Config) {
 	for i, model := range c.Models {
 		if model.MinTokensASecond < 0 {
 			p.add(fmt.Sprintf("models[%d].min_tokens_a_second", i), "%v is below 0; leave it out for none", model.MinTokensASecond)
@@ -52,7 +56,7 @@
 	names := map[string]string{}
 	for i, class := range c.Capacity.Classes {
 		path := fmt.Sprintf("capacity.classes[%d]", i)
-		p.named(path+".name", class.Name, names)
+		p.checkName(path+".name", class.Name, names)
 		if class.TokensASecond <= 0 {
 			p.add(path+".tokens_a_second", "%v is not above 0; write what one instance generates a second at the latency target", class.TokensASecond)
 		}
--- a/config/check.go
+++ b/config/check.go
@@ -13,35 +13,36 @@
 // keyHashBytes is the length of a SHA-256 hash.
 const keyHashBytes = 32
 
-// name is what organisations, models and services may be called.
-var name = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/@-]{0,127}$`)
+// namePattern matches valid names of organisations, models, services and instance
+// classes.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/@-]{0,127}$`)
 
-var classes = []string{string(request.ClassUrgent), string(request.ClassNormal), string(request.ClassBulk)}
+var classNames = []string{string(request.ClassUrgent), string(request.ClassNormal), string(request.ClassBulk)}
 
-// problems collects what is wrong, each with its path.
+// problems collects configuration errors, each with its path.
 type problems []error
 
 func (p *problems) add(path, format string, args ...any) {
 	*p = append(*p, fmt.Errorf("%s: %s", path, fmt.Sprintf(format, args...)))
 }
 
-// Check finds everything that a parsed configuration must not contain. Each
-// line of the error names a path and what would be right there.
+// Check returns an error with one line for each invalid value of a parsed
+// configuration. Each line names the path and describes a valid value.
 func (c *Config) Check() error {
 	var p problems
-	p.policy("defaults", &c.Defaults)
-	p.organisations(c.Organisations)
-	p.offers(c)
-	p.capacity(c)
+	p.checkPolicy("defaults", &c.Defaults)
+	p.checkOrganisations(c.Organisations)
+	p.checkOfferings(c)
+	p.checkCapacity(c)
 	for i := range c.Exceptions {
-		p.exception(c, i)
+		p.checkException(c, i)
 	}
 	return errors.Join(p...)
 }
 
-// named checks a name and that it stands once.
-func (p *problems) named(path, value string, seen map[string]string) {
-	if !name.MatchString(value) {
+// checkName checks that a name is valid and unique.
+func (p *problems) checkName(path, value string, seen map[string]string) {
+	if !namePattern.MatchString(value) {
 		p.add(path, "%q is no name; write letters, digits and . _ : / @ -, at most 128, beginning with a letter or digit", value)
 		return
 	}
@@ -52,18 +53,18 @@
 	seen[value] = path
 }
 
-func (p *problems) organisations(organisations []Organisation) {
+func (p *problems) checkOrganisations(organisations []Organisation) {
 	names, hashes := map[string]string{}, map[string]string{}
 	for i, organisation := range organisations {
 		path := fmt.Sprintf("organisations[%d]", i)
-		p.named(path+".name", organisation.Name, names)
+		p.checkName(path+".name", organisation.Name, names)
 		for j, hash := range organisation.KeyHashes {
-			p.keyHash(fmt.Sprintf("%s.key_hashes[%d]", path, j), hash, hashes)
+			p.checkKeyHash(fmt.Sprintf("%s.key_hashes[%d]", path, j), hash, hashes)
 		}
 	}
 }
 
-func (p *problems) keyHash(path, hash string, seen map[string]string) {
+func (p *problems) checkKeyHash(path, hash string, seen map[string]string) {
 	raw, err := hex.DecodeString(hash)
 	if err != nil || len(raw) != keyHashBytes || hash != strings.ToLower(hash) {
 		p.add(path, "is not a hash; write the SHA-256 of the key as 64 lower-case hex digits")
@@ -76,20 +77,21 @@
 	seen[hash] = path
 }
 
-// offers checks models and services, which share the names of the instance list.
-func (p *problems) offers(c *Config) {
+// checkOfferings checks models and services, whose names share one namespace in the
+// instance list.
+func (p *problems) checkOfferings(c *Config) {
 	names := map[string]string{}
 	for i, model := range c.Models {
-		p.named(fmt.Sprintf("models[%d].name", i), model.Name, names)
+		p.checkName(fmt.Sprintf("models[%d].name", i), model.Name, names)
 	}
 	for i := range c.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		p.named(path+".name", c.Services[i].Name, names)
-		p.service(path, &c.Services[i])
+		p.checkName(path+".name", c.Services[i].Name, names)
+		p.checkService(path, &c.Services[i])
 	}
 }
 
-func (p *problems) service(path string, s *Service) {
+func (p *problems) checkService(path string, s *Service) {
 	seen := map[Call]int{}
 	for i, call := range s.Calls {
 		path := fmt.Sprintf("%s.calls[%d]", path, i)
@@ -114,7 +116,7 @@
 	}
 }
 
-func (p *problems) exception(c *Config, i int) {
+func (p *problems) checkException(c *Config, i int) {
 	path := fmt.Sprintf("exceptions[%d]", i)
 	exception := &c.Exceptions[i]
 	if strings.TrimSpace(exception.Reason) == "" {
@@ -123,8 +125,8 @@
 	if exception.Set == (Policy{}) {
 		p.add(path+".set", "is empty; name a field to change, or remove the exception")
 	}
-	p.policy(path+".set", &exception.Set)
-	p.match(path+".match", c, exception.Match)
+	p.checkPolicy(path+".set", &exception.Set)
+	p.checkMatch(path+".match", c, exception.Match)
 	for j := range i {
 		earlier := &c.Exceptions[j]
 		if earlier.Match == exception.Match && sameFields(&earlier.Set, &exception.Set) {
@@ -133,8 +135,8 @@
 	}
 }
 
-// match finds an exception that can match nothing, or everything.
-func (p *problems) match(path string, c *Config, m Match) {
+// checkMatch checks that an exception can match something, but not everything.
+func (p *problems) checkMatch(path string, c *Config, m Match) {
 	if m == (Match{}) {
 		p.add(path, "matches everything; change defaults instead")
 	}
@@ -150,7 +152,7 @@
 	if m.Service != "" && c.Service(m.Service) == nil {
 		p.add(path+".service", "matches nothing: there is no service %q; known are %s", m.Service, c.serviceNames())
 	}
-	if m.Class != "" && !contains(classes, m.Class) {
-		p.add(path+".class", "matches nothing: there is no class %q; known are %s", m.Class, list(classes))
+	if m.Class != "" && !contains(classNames, m.Class) {
+		p.add(path+".class", "matches nothing: there is no class %q; known are %s", m.Class, quotedList(classNames))
 	}
 }
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -14,8 +14,8 @@
 	hashB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 )
 
-// whole is a valid configuration to break.
-const whole = `{
+// validConfig is a valid configuration into which the tests introduce errors.
+const validConfig = `{
   "defaults": {"deadline": "90s"},
   "exceptions": [
     {"match": {"organisation": "north", "class": "bulk"}, "set": {"share": 2}, "reason": "agreed in March"}
@@ -25,11 +25,11 @@
   "services": [{"name": "booking", "calls": [{"method": "GET", "path": "/racks", "idempotent": true}], "lookup_path": "/keys/{key}"}]
 }`
 
-// Each mistake an operator can make must be named with its line or path and
-// with what would be right; one that is let through would be in force on every
-// node within seconds.
-func TestCheckNamesWhatIsWrong(t *testing.T) {
-	_, err := config.Parse([]byte(whole))
+// Each operator mistake must be reported with its line or path and with a valid
+// alternative. A mistake that is accepted would be in force on every node within
+// seconds.
+func TestCheckReportsLocation(t *testing.T) {
+	_, err := config.Parse([]byte(validConfig))
 	is.New(t).NoErr(err)
 	cases := []struct{ name, old, new, path, hint string }{
 		{name: "unknown field", old: `"deadline"`, new: `"dead_line"`, path: "line 2", hint: "dead_line"},
@@ -63,8 +63,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			check := is.New(t)
-			check.True(strings.Contains(whole, c.old))
-			_, err := config.Parse([]byte(strings.Replace(whole, c.old, c.new, 1)))
+			check.True(strings.Contains(validConfig, c.old))
+			_, err := config.Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)))
 			check.True(err != nil)
 			check.True(strings.Contains(err.Error(), c.path+":"))
 			check.True(strings.Contains(err.Error(), c.hint))
@@ -72,8 +72,9 @@
 	}
 }
 
-// GET /racks is marked idempotent. A request that books at /racks-orders, or
-// that climbs out of /racks, must not be taken for it and repeated.
+// GET /racks is marked idempotent. A request that makes a booking at /racks-orders,
+// or that leaves /racks through dot segments, must not be treated as idempotent and
+// repeated.
 func TestIdempotentEndsAtPathBoundaries(t *testing.T) {
 	service := config.Service{
 		Calls: []config.Call{{
@@ -95,8 +96,8 @@
 	is.New(t).True(!service.Idempotent("POST", "/racks"))
 }
 
-// A change must be shown by its meaning, and one that would refuse all traffic
-// or leave what is served without an upstream must be warned of.
+// A diff must show which values change, and a change that would refuse all traffic
+// or leave an offered model or service without an upstream must cause a warning.
 func TestDiffAndWarnings(t *testing.T) {
 	check := is.New(t)
 	parse := func(raw string) *config.Config {
@@ -104,7 +105,7 @@
 		check.NoErr(err)
 		return parsed
 	}
-	before := parse(whole)
+	before := parse(validConfig)
 	fleet := config.Fleet{
 		Upstreams:      map[string]int{"drafts": 3, "booking": 1},
 		FailureDomains: []string{"a", "b"},
@@ -116,13 +117,13 @@
 		{name: "last key removed", old: `"` + hashA + `"`, new: ``, diff: "- organisations[north].key_hashes", warning: "every request"},
 		{name: "served model withdrawn", old: `{"name": "drafts"}`, new: ``, diff: "- models[drafts]", warning: "3 upstreams"},
 		{name: "renamed out of service", old: `"drafts"`, new: `"other"`, diff: "+ models[other]", warning: "3 upstreams"},
-		{name: "hopeless deadline", old: `"90s"`, new: `"100ms"`, diff: "~ defaults.deadline", warning: "first token target"},
+		{name: "deadline below first token target", old: `"90s"`, new: `"100ms"`, diff: "~ defaults.deadline", warning: "first token target"},
 		{name: "unknown domain", old: `"class": "bulk"`, new: `"failure_domain": "c"`, diff: "exceptions[0].match.failure_domain", warning: `known are "a", "b"`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			check := is.New(t)
-			after := parse(strings.Replace(whole, c.old, c.new, 1))
+			after := parse(strings.Replace(validConfig, c.old, c.new, 1))
 			var lines []string
 			for _, change := range config.Diff(before, after) {
 				lines = append(lines, change.String())
@@ -136,7 +137,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validConfig))
 	f.Add([]byte(`{"exceptions":[{}]}`))
 	f.Add([]byte(`{"defaults":{"max_body":"9223372036854775807KiB"}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -145,7 +146,7 @@
 			return
 		}
 		if len(config.Diff(parsed, parsed)) != 0 {
-			t.Fatal("differs from itself")
+			t.Fatal("diff of a configuration with itself is not empty")
 		}
 	})
 }
--- a/config/diff.go
+++ b/config/diff.go
@@ -9,9 +9,9 @@
 
 // Change is one difference between two configurations.
 type Change struct {
-	// Path names the field, with list entries by name where they have one.
+	// Path is the path of the field; list entries that have a name appear under it.
 	Path string `json:"path"`
-	// Before and After are JSON, empty where the field does not exist.
+	// Before and After are the JSON values, empty if the field does not exist.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -28,11 +28,11 @@
 	}
 }
 
-// Diff returns what changed between two configurations, in the order of paths.
+// Diff returns the differences between two configurations, sorted by path.
 func Diff(before, after *Config) []Change {
 	first, second := map[string]string{}, map[string]string{}
-	flatten(first, "", generic(before))
-	flatten(second, "", generic(after))
+	flatten(first, "", toJSONValue(before))
+	flatten(second, "", toJSONValue(after))
 	paths := map[string]bool{}
 	for path := range first {
 		paths[path] = true
@@ -53,8 +53,9 @@
 	return changes
 }
 
-// generic returns a configuration as plain JSON values; nil is empty.
-func generic(c *Config) any {
+// toJSONValue returns a configuration as generic JSON values; a nil configuration
+// becomes an empty object.
+func toJSONValue(c *Config) any {
 	if c == nil {
 		return map[string]any{}
 	}
@@ -67,7 +68,7 @@
 	return value
 }
 
-// flatten maps each leaf's path to its JSON.
+// flatten adds the JSON of each leaf under its path.
 func flatten(leaves map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -76,7 +77,7 @@
 		}
 	case []any:
 		for i, inner := range v {
-			flatten(leaves, fmt.Sprintf("%s[%s]", path, label(inner, i)), inner)
+			flatten(leaves, fmt.Sprintf("%s[%s]", path, entryLabel(inner, i)), inner)
 		}
 	case nil:
 	default:
@@ -92,9 +93,10 @@
 	return path + "." + field
 }
 
-// label names a list entry by its name, so that an entry put in front of the
-// others is one change and not one for each that moved.
-func label(value any, i int) string {
+// entryLabel returns the name of a list entry, or its index if it has none. With
+// names, an entry inserted before others is a single change instead of one for each
+// entry that moved.
+func entryLabel(value any, i int) string {
 	if fields, ok := value.(map[string]any); ok {
 		if name, ok := fields["name"].(string); ok {
 			return name
--- a/config/names.go
+++ b/config/names.go
@@ -8,8 +8,8 @@
 
 func contains(names []string, name string) bool { return slices.Contains(names, name) }
 
-// list writes names for a message.
-func list(names []string) string {
+// quotedList formats names for a message.
+func quotedList(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
@@ -29,7 +29,7 @@
 	for _, organisation := range c.Organisations {
 		names = append(names, organisation.Name)
 	}
-	return list(names)
+	return quotedList(names)
 }
 
 func (c *Config) modelNames() string {
@@ -37,7 +37,7 @@
 	for _, model := range c.Models {
 		names = append(names, model.Name)
 	}
-	return list(names)
+	return quotedList(names)
 }
 
 func (c *Config) serviceNames() string {
@@ -45,5 +45,5 @@
 	for _, service := range c.Services {
 		names = append(names, service.Name)
 	}
-	return list(names)
+	return quotedList(names)
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -6,8 +6,8 @@
 	"zinniamast/strictjson"
 )
 
-// Parse reads a configuration strictly and checks it; the error names the line
-// or the paths that are wrong and what would be right.
+// Parse decodes a configuration strictly and checks it. The error names the line or
+// the paths of invalid values and describes valid ones.
 func Parse(raw []byte) (*Config, error) {
 	parsed := &Config{}
 	if err := strictjson.Decode(raw, parsed); err != nil {
@@ -19,7 +19,8 @@
 	return parsed, nil
 }
 
-// Organisation returns the organisation whose key hashes to the given hex SHA-256, or "".
+// Organisation returns the name of the organisation with the given hex SHA-256 key
+// hash, or "".
 func (c *Config) Organisation(keyHash string) string {
 	for _, organisation := range c.Organisations {
 		for _, hash := range organisation.KeyHashes {
--- a/config/resolve.go
+++ b/config/resolve.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Effective is a policy with every field decided.
+// Effective is a policy in which every field has a value.
 type Effective struct {
 	FirstTokenTarget    time.Duration
 	BetweenTokensTarget time.Duration
@@ -19,8 +19,8 @@
 	ReclaimableFraction float64
 }
 
-// builtin is what holds where not even the defaults say anything.
-var builtin = Effective{
+// builtinDefaults applies to fields that the configured defaults leave out.
+var builtinDefaults = Effective{
 	FirstTokenTarget:    400 * time.Millisecond,
 	BetweenTokensTarget: 48 * time.Millisecond,
 	Deadline:            2 * time.Minute,
@@ -33,48 +33,48 @@
 	ReclaimableFraction: 0.67,
 }
 
-// Resolve returns the policy in force for what the match names.
+// Resolve returns the effective policy for the names given in where.
 func (c *Config) Resolve(where Match) Effective {
-	effective := builtin
+	effective := builtinDefaults
 	effective.apply(&c.Defaults)
 	for i := range c.Exceptions {
 		exception := &c.Exceptions[i]
-		if exception.Match.covers(where) {
+		if exception.Match.matches(where) {
 			effective.apply(&exception.Set)
 		}
 	}
 	return effective
 }
 
-// covers says whether every named field of the match agrees.
-func (m Match) covers(where Match) bool {
-	return covers(m.Organisation, where.Organisation) &&
-		covers(m.Model, where.Model) &&
-		covers(m.Service, where.Service) &&
-		covers(m.FailureDomain, where.FailureDomain) &&
-		covers(m.Class, where.Class)
+// matches reports whether every non-empty field of the match equals that of where.
+func (m Match) matches(where Match) bool {
+	return matchesName(m.Organisation, where.Organisation) &&
+		matchesName(m.Model, where.Model) &&
+		matchesName(m.Service, where.Service) &&
+		matchesName(m.FailureDomain, where.FailureDomain) &&
+		matchesName(m.Class, where.Class)
 }
 
-func covers(pattern, name string) bool { return pattern == "" || pattern == name }
+func matchesName(pattern, name string) bool { return pattern == "" || pattern == name }
 
-// set copies a value that the policy names.
-func set[T any](target *T, value *T) {
+// setIfPresent copies value to target unless it is nil.
+func setIfPresent[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
 func (e *Effective) apply(p *Policy) {
-	set(&e.FirstTokenTarget, (*time.Duration)(p.FirstTokenTarget))
-	set(&e.BetweenTokensTarget, (*time.Duration)(p.BetweenTokensTarget))
-	set(&e.Deadline, (*time.Duration)(p.Deadline))
-	set(&e.MaxTokens, p.MaxTokens)
-	set(&e.MaxBody, (*int64)(p.MaxBody))
-	set(&e.MaxAttempts, p.MaxAttempts)
-	set(&e.RetryBudget, p.RetryBudget)
-	set(&e.Share, p.Share)
-	set(&e.QuarantineAfter, p.QuarantineAfter)
-	set(&e.ReclaimableFraction, p.ReclaimableFraction)
+	setIfPresent(&e.FirstTokenTarget, (*time.Duration)(p.FirstTokenTarget))
+	setIfPresent(&e.BetweenTokensTarget, (*time.Duration)(p.BetweenTokensTarget))
+	setIfPresent(&e.Deadline, (*time.Duration)(p.Deadline))
+	setIfPresent(&e.MaxTokens, p.MaxTokens)
+	setIfPresent(&e.MaxBody, (*int64)(p.MaxBody))
+	setIfPresent(&e.MaxAttempts, p.MaxAttempts)
+	setIfPresent(&e.RetryBudget, p.RetryBudget)
+	setIfPresent(&e.Share, p.Share)
+	setIfPresent(&e.QuarantineAfter, p.QuarantineAfter)
+	setIfPresent(&e.ReclaimableFraction, p.ReclaimableFraction)
 }
 
 // Model returns the named model deployment, or nil.
@@ -97,32 +97,34 @@
 	return nil
 }
 
-// Idempotent says whether a call may be repeated. What nothing marks may not.
+// Idempotent reports whether a call may be repeated. A call that matches no entry
+// may not.
 func (s *Service) Idempotent(method, path string) bool {
 	for _, call := range s.Calls {
-		if covers(call.Method, method) && under(call.Path, path) {
+		if matchesName(call.Method, method) && isUnderPrefix(call.Path, path) {
 			return call.Idempotent
 		}
 	}
 	return false
 }
 
-// climbs says whether a path holds dot segments, escaped ones included.
-func climbs(path string) bool {
+// hasDotSegments reports whether a path contains ".." segments, including escaped
+// ones.
+func hasDotSegments(path string) bool {
 	plain := strings.NewReplacer("%2e", ".", "%2f", "/", "%5c", "/", "\\", "/").Replace(strings.ToLower(path))
 	return strings.Contains(plain+"/", "/../")
 }
 
-// under says whether a path is the prefix itself or below it. The comparison
-// ends at a boundary of segments: /racks must not mark /racks-orders, which
-// might book, as idempotent. A path with dot segments is under nothing but the
-// root, as the service may resolve it to somewhere else.
-func under(prefix, path string) bool {
+// isUnderPrefix reports whether a path equals the prefix or is below it. The prefix
+// must end at a segment boundary: an entry for /racks must not mark /racks-orders,
+// which might make a booking, as idempotent. A path with dot segments is only under
+// the root, because the service may resolve it to a path outside the prefix.
+func isUnderPrefix(prefix, path string) bool {
 	path, _, _ = strings.Cut(path, "?")
 	if prefix == "/" || prefix == "" {
 		return true
 	}
-	if climbs(path) {
+	if hasDotSegments(path) {
 		return false
 	}
 	rest, found := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
--- a/config/unit.go
+++ b/config/unit.go
@@ -22,11 +22,11 @@
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return wrong(raw, "%s is not a duration; write a string with a unit, such as \"400ms\"", raw)
+		return newValueError(raw, "%s is not a duration; write a string with a unit, such as \"400ms\"", raw)
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil || value < 0 {
-		return wrong(raw, "%q is not a duration; write a number with ms, s, m or h, such as \"400ms\"", text)
+		return newValueError(raw, "%q is not a duration; write a number with ms, s, m or h, such as \"400ms\"", text)
 	}
 	*d = Duration(value)
 	return nil
@@ -35,7 +35,7 @@
 // Size is a number of bytes written as a string with its unit, such as "4MiB".
 type Size int64
 
-// sizeUnits are tried in order, so that "MiB" is met before "B".
+// sizeUnits are tried in order, so that "MiB" is matched before "B".
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
@@ -55,7 +55,7 @@
 func (s *Size) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return wrong(raw, "%s is not a size; write a string with a unit, such as \"4MiB\"", raw)
+		return newValueError(raw, "%s is not a size; write a string with a unit, such as \"4MiB\"", raw)
 	}
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(text, unit.suffix)
@@ -69,10 +69,10 @@
 		*s = Size(count * unit.bytes)
 		return nil
 	}
-	return wrong(raw, "%q is not a size; write a whole number with B, KiB, MiB or GiB, such as \"4MiB\"", text)
+	return newValueError(raw, "%q is not a size; write a whole number with B, KiB, MiB or GiB, such as \"4MiB\"", text)
 }
 
-func wrong(raw []byte, format string, args ...any) error {
+func newValueError(raw []byte, format string, args ...any) error {
 	return &strictjson.ValueError{
 		Raw:     raw,
 		Message: fmt.Sprintf(format, args...),
--- a/config/warning.go
+++ b/config/warning.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Fleet is what a change is weighed against.
+// Fleet describes the running fleet, against which Warnings checks a change.
 type Fleet struct {
 	// Upstreams counts the replicas of each model deployment or plain service.
 	Upstreams map[string]int
-	// FailureDomains are the known ones.
+	// FailureDomains lists the known failure domains.
 	FailureDomains []string
 }
 
-// Warnings returns what a valid change would break that is seldom meant: it
-// would refuse all traffic, or leave what is served now without an upstream.
+// Warnings returns the likely unintended effects of a valid change: all traffic
+// would be refused, models or services that are in use would be withdrawn or left
+// without an upstream, or an exception names an unknown failure domain.
 func Warnings(before, after *Config, fleet Fleet) []string {
 	var warnings []string
-	warnings = append(warnings, after.refusesAll()...)
-	warnings = append(warnings, after.withoutUpstreams(fleet)...)
-	warnings = append(warnings, withdrawn(before, after, fleet)...)
-	return append(warnings, after.unknownDomains(fleet)...)
+	warnings = append(warnings, after.allRefusedWarnings()...)
+	warnings = append(warnings, after.noUpstreamWarnings(fleet)...)
+	warnings = append(warnings, withdrawnWarnings(before, after, fleet)...)
+	return append(warnings, after.unknownDomainWarnings(fleet)...)
 }
 
-func (c *Config) refusesAll() []string {
+func (c *Config) allRefusedWarnings() []string {
 	var warnings []string
 	if !slices.ContainsFunc(c.Organisations, func(o Organisation) bool { return len(o.KeyHashes) > 0 }) {
 		warnings = append(warnings, "organisations: none has a key, so every request would be refused")
@@ -37,17 +38,18 @@
 		warnings = append(warnings, fmt.Sprintf("defaults.deadline: %v is below the first token target of %v, so every model request would be refused or late",
 			effective.Deadline, effective.FirstTokenTarget))
 	}
-	const smallest = 1 << 10
-	if effective.MaxBody < smallest || effective.Deadline < 10*time.Millisecond {
+	const smallestBodyBytes = 1 << 10
+	if effective.MaxBody < smallestBodyBytes || effective.Deadline < 10*time.Millisecond {
 		warnings = append(warnings, "defaults.max_body, defaults.deadline: are so small that ordinary requests would be refused")
 	}
 	return warnings
 }
 
-// withoutUpstreams warns if nothing that is offered has a replica, while there are replicas.
-func (c *Config) withoutUpstreams(fleet Fleet) []string {
+// noUpstreamWarnings warns if the fleet has replicas, but no offered model or
+// service has one.
+func (c *Config) noUpstreamWarnings(fleet Fleet) []string {
 	offered, served := 0, 0
-	for _, name := range c.offered() {
+	for _, name := range c.offeredNames() {
 		offered++
 		served += fleet.Upstreams[name]
 	}
@@ -57,33 +59,34 @@
 	return []string{"models, services: nothing that is offered has an upstream, so every request would be refused"}
 }
 
-// withdrawn warns of each offer that ends although replicas run.
-func withdrawn(before, after *Config, fleet Fleet) []string {
+// withdrawnWarnings warns about each model or service that is no longer offered
+// while replicas of it run.
+func withdrawnWarnings(before, after *Config, fleet Fleet) []string {
 	if before == nil {
 		return nil
 	}
-	kept := after.offered()
+	remaining := after.offeredNames()
 	var warnings []string
-	for _, name := range before.offered() {
-		if count := fleet.Upstreams[name]; count > 0 && !slices.Contains(kept, name) {
+	for _, name := range before.offeredNames() {
+		if count := fleet.Upstreams[name]; count > 0 && !slices.Contains(remaining, name) {
 			warnings = append(warnings, fmt.Sprintf("%s: is withdrawn while %d upstreams serve it; its requests would be refused", name, count))
 		}
 	}
 	return warnings
 }
 
-func (c *Config) unknownDomains(fleet Fleet) []string {
+func (c *Config) unknownDomainWarnings(fleet Fleet) []string {
 	var warnings []string
 	for i, exception := range c.Exceptions {
 		domain := exception.Match.FailureDomain
 		if domain != "" && len(fleet.FailureDomains) > 0 && !slices.Contains(fleet.FailureDomains, domain) {
-			warnings = append(warnings, fmt.Sprintf("exceptions[%d].match.failure_domain: no node is in %q; known are %s", i, domain, list(fleet.FailureDomains)))
+			warnings = append(warnings, fmt.Sprintf("exceptions[%d].match.failure_domain: no node is in %q; known are %s", i, domain, quotedList(fleet.FailureDomains)))
 		}
 	}
 	return warnings
 }
 
-func (c *Config) offered() []string {
+func (c *Config) offeredNames() []string {
 	var names []string
 	for _, model := range c.Models {
 		names = append(names, model.Name)
