--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -15,18 +15,18 @@
 }
 
 const (
-	shortestAnswer = 24
-	answerSpread   = 1000
+	minAnswerTokens   = 24
+	answerTokensRange = 1000
 )
 
-// seed is what the whole answer to a messages array follows from.
+// seed returns the hash of a messages array, which determines its whole answer.
 func seed(messages []byte) uint64 { return xxh3.Hash(messages) }
 
-// Hash names a messages array in the counts of what ran.
+// Hash returns the key of a messages array in Runs.Messages.
 func Hash(messages []byte) uint64 { return seed(messages) }
 
-// naturalLength is where the answer stops unless a bound cuts it.
-func naturalLength(seed uint64) int { return shortestAnswer + int(seed%answerSpread) }
+// naturalLength returns the length of the answer, in tokens, without a limit.
+func naturalLength(seed uint64) int { return minAnswerTokens + int(seed%answerTokensRange) }
 
 // token returns the i-th token of an answer.
 func token(seed uint64, i int) Token {
@@ -38,15 +38,15 @@
 	}
 }
 
-// Answer returns the whole answer to the JSON messages array, bounded by
-// maxTokens if that is above zero. Tests and the load generator compare what
-// callers got with it.
+// Answer returns the whole answer to the JSON messages array, limited to
+// maxTokens if that is above zero. Tests and the load generator compare the
+// answers that callers receive with it.
 func Answer(messages []byte, maxTokens int) []Token {
-	from := seed(messages)
-	length := answerLength(from, maxTokens)
+	answerSeed := seed(messages)
+	length := answerLength(answerSeed, maxTokens)
 	tokens := make([]Token, length)
 	for i := range tokens {
-		tokens[i] = token(from, i)
+		tokens[i] = token(answerSeed, i)
 	}
 	return tokens
 }
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -6,7 +6,8 @@
 	"zinniamast"
 )
 
-// prefixCache is a bounded cache from a prefix hash to how many tokens it covers.
+// prefixCache is an LRU cache that maps a prefix hash to the number of tokens
+// that the prefix covers.
 type prefixCache struct {
 	limit int
 	order *list.List
@@ -26,8 +27,9 @@
 	}
 }
 
-// covers returns how many tokens stand under a key and renews it.
-func (c *prefixCache) covers(key uint64) int {
+// coveredTokens returns the number of tokens cached for a key and marks the
+// entry as recently used.
+func (c *prefixCache) coveredTokens(key uint64) int {
 	element, ok := c.byKey[key]
 	if !ok {
 		return 0
@@ -36,7 +38,7 @@
 	return element.Value.(*cacheEntry).tokens
 }
 
-// put stores a prefix and returns the key it pushed out, or zero.
+// put stores a prefix and returns the key that it evicted, or zero.
 func (c *prefixCache) put(key uint64, tokens int) (evicted uint64) {
 	if element, ok := c.byKey[key]; ok {
 		entry := element.Value.(*cacheEntry)
@@ -58,18 +60,19 @@
 	return evicted
 }
 
-// remember caches prefixes and records the events; the caller holds the lock.
-func (e *Engine) remember(key uint64, tokens int) {
+// cachePrefix caches a prefix and records the cache events; the caller holds
+// the lock.
+func (e *Engine) cachePrefix(key uint64, tokens int) {
 	if evicted := e.cache.put(key, tokens); evicted != 0 {
-		e.event(evicted, 0, true)
+		e.appendCacheEvent(evicted, 0, true)
 	}
-	e.event(key, tokens, false)
+	e.appendCacheEvent(key, tokens, false)
 }
 
 const maxEvents = 1024
 
-// event appends a cache event; the caller holds the lock.
-func (e *Engine) event(prefix uint64, tokens int, evicted bool) {
+// appendCacheEvent appends a cache event; the caller holds the lock.
+func (e *Engine) appendCacheEvent(prefix uint64, tokens int, evicted bool) {
 	sequence := uint64(1)
 	if n := len(e.events); n > 0 {
 		sequence = e.events[n-1].Sequence + 1
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -16,7 +16,7 @@
 	"zinniamast/request"
 )
 
-// chatCall is the part of a chat-completions body that the stand-in reads.
+// chatCall holds the fields of a chat-completions body that the stand-in reads.
 type chatCall struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
@@ -29,8 +29,8 @@
 	} `json:"kv_transfer_params"`
 }
 
-// crashMark in a prompt kills the replica that runs it.
-const crashMark = "[crash]"
+// crashMarker in a prompt crashes the replica that runs it.
+const crashMarker = "[crash]"
 
 const maxChatBody = 64 << 20
 
@@ -66,7 +66,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer e.release()
-	if bytes.Contains(call.Messages, []byte(crashMark)) {
+	if bytes.Contains(call.Messages, []byte(crashMarker)) {
 		e.crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -75,7 +75,8 @@
 	}
 }
 
-// admit refuses what the replica will not take.
+// admit refuses a request that the replica cannot accept and reports whether
+// the request may run.
 func (e *Engine) admit(w http.ResponseWriter, call *chatCall) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,9 +92,9 @@
 		refuse(w, http.StatusNotFound, "model_not_loaded")
 		return false
 	}
-	from := seed(call.Messages)
+	answerSeed := seed(call.Messages)
 	for i, id := range call.Resume {
-		if token(from, i).ID != id {
+		if token(answerSeed, i).ID != id {
 			e.counts.BadResumes++
 			refuse(w, http.StatusBadRequest, "bad_resume")
 			return false
@@ -102,31 +103,31 @@
 	return true
 }
 
-// crash drops everything, as a process that dies does.
+// crash drops all connections and caches, as a crashed process does.
 func (e *Engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Crashes++
-	e.breakAll()
+	e.dropConnections()
 }
 
-// begin computes the prompt's cost and enters the attempt.
+// begin registers the attempt and computes the cost of its prompt.
 func (e *Engine) begin(call *chatCall, cancel func()) (running *sequence, prompt, cached int, wait time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	prompt = request.EstimateTokens(call.Messages)
-	from := seed(call.Messages)
+	answerSeed := seed(call.Messages)
 	known := prompt + len(call.Resume)
-	cached = e.cache.covers(from)
+	cached = e.cache.coveredTokens(answerSeed)
 	hashes := prefix.Hashes(nil, call.Messages)
 	for i, hash := range hashes {
-		if e.cache.covers(hash) > 0 {
+		if e.cache.coveredTokens(hash) > 0 {
 			cached = max(cached, prefix.Tokens(i))
 		}
 	}
-	// Engines share the blocks of sequences that still run.
+	// Engines share KV cache blocks with sequences that are still running.
 	for _, other := range e.running {
-		if other.seed == from {
+		if other.seed == answerSeed {
 			cached = max(cached, other.tokens)
 		}
 	}
@@ -135,16 +136,16 @@
 	}
 	cached = min(cached, known)
 	e.counts.Started++
-	e.runs[from]++
+	e.runs[answerSeed]++
 	e.counts.PromptComputed += known - cached
 	if len(call.Resume) > 0 {
 		e.counts.ResumeComputed += known - cached
 	}
 	for i, hash := range hashes {
-		e.remember(hash, prefix.Tokens(i))
+		e.cachePrefix(hash, prefix.Tokens(i))
 	}
 	running = &sequence{
-		seed:   from,
+		seed:   answerSeed,
 		tokens: known,
 		cancel: cancel,
 	}
@@ -153,22 +154,22 @@
 	return running, prompt, cached, wait
 }
 
-// end leaves the attempt's tokens in the cache, as engines do.
-func (e *Engine) end(call *chatCall, running *sequence, whole bool) {
+// end removes the attempt and keeps its tokens in the cache, as engines do.
+func (e *Engine) end(call *chatCall, running *sequence, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.running, call.RequestID)
-	e.remember(running.seed, running.tokens)
-	if whole {
+	e.cachePrefix(running.seed, running.tokens)
+	if complete {
 		e.counts.Finished++
 	}
 }
 
-// stream sends the answer; it reports false where the connection must drop.
+// stream sends the answer; it returns false if the connection must be dropped.
 func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, call *chatCall, faults Faults, cancel func()) bool {
 	running, prompt, cached, wait := e.begin(call, cancel)
-	whole := false
-	defer func() { e.end(call, running, whole) }()
+	complete := false
+	defer func() { e.end(call, running, complete) }()
 	if !sleep(ctx, wait) {
 		return false
 	}
@@ -181,7 +182,8 @@
 		if i > len(call.Resume) && !sleep(ctx, e.config.BetweenTokens) {
 			return false
 		}
-		// The cache has a token before its reader does, who may resume with it at once.
+		// The token is counted as cached before it is sent, because the caller may
+		// resume with it as soon as it arrives.
 		e.mu.Lock()
 		running.tokens++
 		e.mu.Unlock()
@@ -196,8 +198,8 @@
 	if length < naturalLength(running.seed) {
 		finish = "length"
 	}
-	whole = out.end(finish, prompt, length, cached) == nil
-	return whole
+	complete = out.end(finish, prompt, length, cached) == nil
+	return complete
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine is a stand-in for a model engine: it speaks the
 // chat-completions protocol with the extensions that zinniamast uses, answers
-// deterministically, and has faults that can be switched on.
+// deterministically and injects faults on demand.
 package engine
 
 import (
@@ -12,26 +12,27 @@
 	"zinniamast"
 )
 
-// Config says how fast the stand-in is and what it holds.
+// Config sets the speed, the capacity and the models of the stand-in.
 type Config struct {
 	// Models are the models loaded at the start.
 	Models []string
-	// FirstToken is the fixed part of the wait for the first token.
+	// FirstToken is the fixed part of the time to the first token.
 	FirstToken time.Duration
 	// PerPromptToken is the time that each uncached prompt token adds.
 	PerPromptToken time.Duration
-	// BetweenTokens is the gap between tokens; zero streams as fast as it can.
+	// BetweenTokens is the delay between tokens; zero means no delay.
 	BetweenTokens time.Duration
-	// Slots bounds the sequences that run together; zero means 64.
+	// Slots limits the sequences that run concurrently; zero means 64.
 	Slots int
-	// CacheEntries bounds the prefix cache; zero means 64.
+	// CacheEntries limits the entries of the prefix cache; zero means 64.
 	CacheEntries int
-	// KVBytesPerToken and KVBytesASecond set the cost of moving a cache.
+	// KVBytesPerToken and KVBytesASecond set the duration of a KV cache
+	// transfer.
 	KVBytesPerToken int64
 	KVBytesASecond  int64
-	// ReportLag is how old load reports are.
+	// ReportLag is the maximum age of a load report before it is renewed.
 	ReportLag time.Duration
-	// Client reaches other replicas for KV caches; nil means the default transport.
+	// Client is the transport for pulling KV caches from other replicas; nil means the default transport.
 	Client *http.Transport
 	// ChecksFence makes the engine refuse orders with an old fencing number.
 	ChecksFence bool
@@ -44,43 +45,44 @@
 	defaultKVRate       = 4 << 30
 )
 
-// Faults are switched on and off while the stand-in runs.
+// Faults are the faults that can be switched while the stand-in runs.
 type Faults struct {
 	// Down drops every connection.
 	Down bool `json:"down"`
-	// Leaving refuses new work and says why.
+	// Leaving refuses new requests with the code "leaving".
 	Leaving bool `json:"leaving"`
-	// CutAfter ends each answer without its end mark after so many tokens.
+	// CutAfter breaks off each answer after this many tokens; zero means never.
 	CutAfter int `json:"cut_after"`
-	// Crossed gives answers under another attempt's identity.
+	// Crossed sends answers with the ID of another attempt.
 	Crossed bool `json:"crossed"`
 	// Repeat sends each chunk twice.
 	Repeat bool `json:"repeat"`
-	// Hang takes requests and never answers.
+	// Hang accepts requests and never answers them.
 	Hang bool `json:"hang"`
-	// Full refuses new work for lack of room.
+	// Full refuses new requests for lack of capacity.
 	Full bool `json:"full"`
 	// EventGap drops every second cache event.
 	EventGap bool `json:"event_gap"`
 }
 
-// Counts say what truly happened at the stand-in.
+// Counts are the counters of what the stand-in executed.
 type Counts struct {
 	// Started counts attempts that began to run.
 	Started int `json:"started"`
-	// Finished counts attempts that ran to their end mark.
+	// Finished counts attempts whose answer was sent with its end marker.
 	Finished int `json:"finished"`
 	// PromptComputed counts prompt and resumed tokens that no cache covered.
 	PromptComputed int `json:"prompt_computed"`
-	// ResumeComputed counts the part of them that was known before: recomputed tokens.
+	// ResumeComputed counts the uncached prompt and resumed tokens of resumed
+	// attempts, which are computed again.
 	ResumeComputed int `json:"resume_computed"`
 	// Produced counts tokens sent.
 	Produced int `json:"produced"`
-	// BadResumes counts attempts whose resumed tokens were not this answer's.
+	// BadResumes counts attempts whose resumed tokens do not match the answer.
 	BadResumes int `json:"bad_resumes"`
-	// Crashes counts deaths by a poisonous request.
+	// Crashes counts crashes caused by a request with the crash marker.
 	Crashes int `json:"crashes"`
-	// StaleOrders counts orders refused for an old fencing number.
+	// StaleOrders counts orders refused because of an old fencing number.
 	StaleOrders int `json:"stale_orders"`
 }
 
@@ -92,19 +94,19 @@
 	faults  Faults
 	counts  Counts
 	running map[string]*sequence
-	// runs counts begun attempts by the hash of their messages.
-	runs     map[uint64]int
-	free     int
-	waiting  []*waiter
-	cache    *prefixCache
-	exported map[string]zinniamast.KVHandle
-	imported map[string]zinniamast.KVHandle
-	models   []string
-	fence    uint64
-	events   []zinniamast.CacheEvent
-	report   zinniamast.LoadReport
-	broken   chan struct{}
-	// link holds one token while a cache is being sent.
+	// runs counts started attempts by the hash of their messages.
+	runs      map[uint64]int
+	freeSlots int
+	waiting   []*waiter
+	cache     *prefixCache
+	exported  map[string]zinniamast.KVHandle
+	imported  map[string]zinniamast.KVHandle
+	models    []string
+	fence     uint64
+	events    []zinniamast.CacheEvent
+	report    zinniamast.LoadReport
+	dropped   chan struct{}
+	// link is a semaphore that is held while a KV cache is being sent.
 	link chan struct{}
 }
 
@@ -130,30 +132,30 @@
 		config.KVBytesASecond = defaultKVRate
 	}
 	return &Engine{
-		config:   config,
-		running:  map[string]*sequence{},
-		runs:     map[uint64]int{},
-		free:     config.Slots,
-		cache:    newPrefixCache(config.CacheEntries),
-		exported: map[string]zinniamast.KVHandle{},
-		imported: map[string]zinniamast.KVHandle{},
-		models:   append([]string(nil), config.Models...),
-		broken:   make(chan struct{}),
-		link:     make(chan struct{}, 1),
+		config:    config,
+		running:   map[string]*sequence{},
+		runs:      map[uint64]int{},
+		freeSlots: config.Slots,
+		cache:     newPrefixCache(config.CacheEntries),
+		exported:  map[string]zinniamast.KVHandle{},
+		imported:  map[string]zinniamast.KVHandle{},
+		models:    append([]string(nil), config.Models...),
+		dropped:   make(chan struct{}),
+		link:      make(chan struct{}, 1),
 	}
 }
 
-// SetFaults replaces the faults; Down drops what is open.
+// SetFaults replaces the faults; Down drops the open connections.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 	if faults.Down {
-		e.breakAll()
+		e.dropConnections()
 	}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the current counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,7 +168,7 @@
 	Messages map[uint64]int `json:"messages"`
 }
 
-// Runs returns what ran so far.
+// Runs returns the attempts started so far.
 func (e *Engine) Runs() Runs {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,25 +177,27 @@
 	}
 }
 
-// Running returns how many attempts hold a slot.
+// Running returns the number of attempts that are running.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.running)
 }
 
-// breakAll drops every open connection; the caller holds the lock.
-func (e *Engine) breakAll() {
-	close(e.broken)
-	e.broken = make(chan struct{})
+// dropConnections drops every open connection and clears the caches; the caller
+// holds the lock.
+func (e *Engine) dropConnections() {
+	close(e.dropped)
+	e.dropped = make(chan struct{})
 	e.cache = newPrefixCache(e.config.CacheEntries)
 	e.exported = map[string]zinniamast.KVHandle{}
 	e.imported = map[string]zinniamast.KVHandle{}
 }
 
-// state returns the faults in force and the channel that closes when all connections drop.
+// state returns the active faults and the channel that is closed when all
+// connections are dropped.
 func (e *Engine) state() (Faults, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults, e.broken
+	return e.faults, e.dropped
 }
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// load returns a report that is renewed only every ReportLag.
+// load returns the load report, which is renewed once it is ReportLag old.
 func (e *Engine) load() zinniamast.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,16 +105,16 @@
 		}
 	}
 	e.mu.Unlock()
-	if len(events) < packedEvents || !strings.Contains(q.Header.Get("Accept-Encoding"), "gzip") {
+	if len(events) < minGzipEvents || !strings.Contains(q.Header.Get("Accept-Encoding"), "gzip") {
 		writeJSON(w, events)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
-	packed := gzip.NewWriter(w)
-	// The client sees a short body if this fails, and it checks.
-	_ = json.NewEncoder(packed).Encode(events)
-	_ = packed.Close()
+	compressed := gzip.NewWriter(w)
+	// If this fails, the client receives a truncated body, which it detects.
+	_ = json.NewEncoder(compressed).Encode(events)
+	_ = compressed.Close()
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, q *http.Request) {
@@ -130,24 +130,24 @@
 		return
 	}
 	e.fence = max(e.fence, order.Fence)
-	e.models = without(e.models, order.Model)
+	e.models = withoutModel(e.models, order.Model)
 	if order.Action == "load" {
 		e.models = append(e.models, order.Model)
 	}
 }
 
-func without(models []string, model string) []string {
-	kept := []string{}
+func withoutModel(models []string, model string) []string {
+	remaining := []string{}
 	for _, m := range models {
 		if m != model {
-			kept = append(kept, m)
+			remaining = append(remaining, m)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// packedEvents is from how many events on compressing them pays.
-const packedEvents = 8
+// minGzipEvents is the number of events from which compression is worthwhile.
+const minGzipEvents = 8
 
 const maxControlBody = 1 << 20
 
@@ -161,11 +161,11 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The client sees a short body if this fails, and it checks.
+	// If this fails, the client receives a truncated body, which it detects.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// refuse answers in the protocol's error form.
+// refuse writes an error in the format of the protocol.
 func refuse(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -11,7 +11,8 @@
 	"zinniamast"
 )
 
-// serveExport pins the cache of a running attempt.
+// serveExport answers with a handle to the KV cache of a running attempt and
+// records it as exported.
 func (e *Engine) serveExport(w http.ResponseWriter, q *http.Request) {
 	var order struct {
 		RequestID string `json:"request_id"`
@@ -37,7 +38,7 @@
 	writeJSON(w, handle)
 }
 
-// serveImport pulls a cache from its source.
+// serveImport pulls a KV cache from its source.
 func (e *Engine) serveImport(w http.ResponseWriter, q *http.Request) {
 	var handle zinniamast.KVHandle
 	if !readJSON(w, q, &handle) {
@@ -52,13 +53,14 @@
 	e.imported[handle.ID] = handle
 }
 
-// pull fails if the exporter is gone.
+// pull transfers a KV cache from its source; it fails if the source is
+// unreachable.
 func (e *Engine) pull(ctx context.Context, handle zinniamast.KVHandle) error {
 	body, err := json.Marshal(handle)
 	if err != nil {
 		return err
 	}
-	ask, err := http.NewRequestWithContext(ctx, http.MethodPost, handle.Source+"/kv/pull", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, handle.Source+"/kv/pull", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -66,19 +68,19 @@
 	if e.config.Client != nil {
 		client.Transport = e.config.Client
 	}
-	answer, err := client.Do(ask)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return errors.New(answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return errors.New(response.Status)
 	}
 	return nil
 }
 
-// servePull sends a cache over this replica's one link, which takes as long
-// as the bytes would; pulls wait for each other.
+// servePull simulates sending a KV cache over the single link of this replica:
+// it takes as long as the bytes would, and concurrent pulls run one at a time.
 func (e *Engine) servePull(w http.ResponseWriter, q *http.Request) {
 	var handle zinniamast.KVHandle
 	if !readJSON(w, q, &handle) {
--- a/standin/engine/queue.go
+++ b/standin/engine/queue.go
@@ -11,11 +11,11 @@
 	ready    chan struct{}
 }
 
-// acquire takes a slot, lower priority numbers first.
+// acquire waits for a slot; lower priority numbers are served first.
 func (e *Engine) acquire(ctx context.Context, priority int) error {
 	e.mu.Lock()
-	if e.free > 0 {
-		e.free--
+	if e.freeSlots > 0 {
+		e.freeSlots--
 		e.mu.Unlock()
 		return nil
 	}
@@ -40,7 +40,8 @@
 	}
 }
 
-// abandon takes a waiter out, or passes on the slot it was just given.
+// abandon removes a waiter from the queue, or grants its slot to the next waiter
+// if it has received one already.
 func (e *Engine) abandon(w *waiter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -48,20 +49,21 @@
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 		return
 	}
-	e.passOn()
+	e.grantSlot()
 }
 
-// release gives a slot back.
+// release returns a slot.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.passOn()
+	e.grantSlot()
 }
 
-// passOn hands a slot to the next waiter; the caller holds the lock.
-func (e *Engine) passOn() {
+// grantSlot gives a slot to the next waiter, or frees it if none waits; the
+// caller holds the lock.
+func (e *Engine) grantSlot() {
 	if len(e.waiting) == 0 {
-		e.free++
+		e.freeSlots++
 		return
 	}
 	next := e.waiting[0]
