--- a/standin/platform/cloud.go
+++ b/standin/platform/cloud.go
@@ -12,7 +12,7 @@
 	"zinniamast"
 )
 
-// Cloud is the stand-in's cloud with its lagging instance list.
+// Cloud is the stand-in for the cloud and for its lagging instance list.
 type Cloud struct {
 	gate     *gate
 	listGate *gate
@@ -22,15 +22,15 @@
 	mu        sync.Mutex
 	offers    []zinniamast.Offer
 	instances map[string]zinniamast.Instance
-	// tokens maps idempotency tokens to the instances they bought.
+	// tokens maps idempotency tokens to the instances started with them.
 	tokens map[string]zinniamast.Instance
-	// history holds what the list showed, oldest first.
+	// history holds the recent listings, oldest first.
 	history []listing
 	stale   *listing
 	next    int
 }
 
-// listing is the list as of one moment.
+// listing is the instance list at one time.
 type listing struct {
 	at        time.Time
 	instances []zinniamast.Instance
@@ -49,21 +49,23 @@
 	for _, instance := range c.Instances {
 		cloud.instances[instance.ID] = instance
 	}
-	// What is there from the beginning is listed at once, whatever the lag.
+	// The initial instances are listed immediately, regardless of the lag.
 	cloud.history = []listing{{
 		instances: cloud.sorted(),
 	}}
-	list.frozen = cloud.freeze
+	list.onStaleChange = cloud.setStale
 	return cloud
 }
 
-func (c *Cloud) freeze(on bool) {
+// setStale freezes the listing that is visible now, or lets the list follow
+// changes again.
+func (c *Cloud) setStale(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stale = nil
 	if on {
-		seen := c.seen()
-		c.stale = &seen
+		visible := c.visibleListing()
+		c.stale = &visible
 	}
 }
 
@@ -74,8 +76,8 @@
 	})
 }
 
-// note records a change for the lagging list; the caller holds the lock.
-func (c *Cloud) note() {
+// recordListing records a change for the lagging list; the caller holds the lock.
+func (c *Cloud) recordListing() {
 	c.history = append(c.history, listing{
 		at:        time.Now(),
 		instances: c.sorted(),
@@ -85,8 +87,8 @@
 	}
 }
 
-// seen returns what the list shows now; the caller holds the lock.
-func (c *Cloud) seen() listing {
+// visibleListing returns the listing that is visible after the lag; the caller holds the lock.
+func (c *Cloud) visibleListing() listing {
 	shown := c.history[0]
 	for _, l := range c.history {
 		if time.Since(l.at) >= c.lag {
@@ -96,7 +98,7 @@
 	return shown
 }
 
-// expire takes reclaimed instances away; the caller holds the lock.
+// expire removes reclaimed instances whose leave time has passed; the caller holds the lock.
 func (c *Cloud) expire() {
 	changed := false
 	for id, instance := range c.instances {
@@ -106,13 +108,13 @@
 		}
 	}
 	if changed {
-		c.note()
+		c.recordListing()
 	}
 }
 
 // Offers implements zinniamast.Cloud.
 func (c *Cloud) Offers(ctx context.Context) ([]zinniamast.Offer, error) {
-	if err := c.gate.read(ctx, nil); err != nil {
+	if err := c.gate.admitRead(ctx, nil); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
@@ -120,7 +122,7 @@
 	return slices.Clone(c.offers), nil
 }
 
-// SetOffers replaces what the cloud sells.
+// SetOffers replaces the offers of the cloud.
 func (c *Cloud) SetOffers(offers []zinniamast.Offer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +131,7 @@
 
 // Start implements zinniamast.Cloud.
 func (c *Cloud) Start(ctx context.Context, token string, offer zinniamast.Offer, role string) (zinniamast.Instance, error) {
-	if err := c.gate.write(ctx, nil, 1); err != nil {
+	if err := c.gate.admitWrite(ctx, nil, 1); err != nil {
 		return zinniamast.Instance{}, err
 	}
 	instance, fresh, err := c.start(token, offer, role)
@@ -140,7 +142,7 @@
 	if fresh {
 		items = 1
 	}
-	return instance, c.gate.leave(items)
+	return instance, c.gate.completeWrite(items)
 }
 
 func (c *Cloud) start(token string, offer zinniamast.Offer, role string) (zinniamast.Instance, bool, error) {
@@ -149,7 +151,7 @@
 	if instance, ok := c.tokens[token]; ok {
 		return instance, false, nil
 	}
-	refused := c.gate.current().RefuseStarts
+	refused := c.gate.currentFault().RefuseStarts
 	if slices.Contains(refused, "*") || slices.Contains(refused, offer.FailureDomain) {
 		return zinniamast.Instance{}, false, zinniamast.ErrRefused
 	}
@@ -169,27 +171,27 @@
 	}
 	c.instances[instance.ID] = instance
 	c.tokens[token] = instance
-	c.note()
+	c.recordListing()
 	return instance, true, nil
 }
 
 // Stop implements zinniamast.Cloud.
 func (c *Cloud) Stop(ctx context.Context, id string) error {
-	if err := c.gate.write(ctx, nil, 1); err != nil {
+	if err := c.gate.admitWrite(ctx, nil, 1); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	if _, ok := c.instances[id]; ok {
 		delete(c.instances, id)
-		c.note()
+		c.recordListing()
 	}
 	c.mu.Unlock()
-	return c.gate.leave(0)
+	return c.gate.completeWrite(0)
 }
 
 // Notices implements zinniamast.Cloud.
 func (c *Cloud) Notices(ctx context.Context) ([]zinniamast.Notice, error) {
-	if err := c.gate.read(ctx, nil); err != nil {
+	if err := c.gate.admitRead(ctx, nil); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
@@ -209,7 +211,7 @@
 
 // List implements zinniamast.InstanceList.
 func (c *Cloud) List(ctx context.Context) ([]zinniamast.Instance, error) {
-	if err := c.listGate.read(ctx, nil); err != nil {
+	if err := c.listGate.admitRead(ctx, nil); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
@@ -218,18 +220,18 @@
 	if c.stale != nil {
 		return slices.Clone(c.stale.instances), nil
 	}
-	return slices.Clone(c.seen().instances), nil
+	return slices.Clone(c.visibleListing().instances), nil
 }
 
-// Add puts an instance into the cloud that nobody bought.
+// Add adds an instance that was not started through Start.
 func (c *Cloud) Add(instance zinniamast.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.instances[instance.ID] = instance
-	c.note()
+	c.recordListing()
 }
 
-// Live returns the instances as they truly are.
+// Live returns the existing instances, without the lag of the list.
 func (c *Cloud) Live() []zinniamast.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,12 +239,13 @@
 	return c.sorted()
 }
 
-// Reclaim announces that one instance goes after the given time.
+// Reclaim announces that one instance is reclaimed after the given time.
 func (c *Cloud) Reclaim(id string, after time.Duration) {
 	c.reclaim(after, func(instance zinniamast.Instance) bool { return instance.ID == id })
 }
 
-// ReclaimDomain announces that all reclaimable instances of a failure domain go.
+// ReclaimDomain announces that all reclaimable instances of a failure domain are
+// reclaimed after the given time.
 func (c *Cloud) ReclaimDomain(failureDomain string, after time.Duration) {
 	c.reclaim(after, func(instance zinniamast.Instance) bool {
 		return instance.FailureDomain == failureDomain && instance.Market == zinniamast.Reclaimable
@@ -260,5 +263,5 @@
 		instance.LeavesAt = time.Now().Add(after)
 		c.instances[id] = instance
 	}
-	c.note()
+	c.recordListing()
 }
--- a/standin/platform/fault.go
+++ b/standin/platform/fault.go
@@ -12,7 +12,7 @@
 	"zinniamast/config"
 )
 
-// The services that faults are set for.
+// The names of the services for which faults can be set.
 const (
 	ServiceTable   = "table"
 	ServiceObjects = "objects"
@@ -21,27 +21,29 @@
 	ServiceWeights = "weights"
 )
 
-// Errors that a caller sees as a broken connection.
+// Errors that an HTTP caller sees as a broken connection.
 var (
-	// ErrDown means that the service is unreachable and nothing was done.
+	// ErrDown means that the service is unreachable and the call had no effect.
 	ErrDown = errors.New("stand-in: down")
-	// ErrLost means that the write took effect and its answer was lost.
+	// ErrLost means that the write took effect but its answer was lost.
 	ErrLost = errors.New("stand-in: answer lost")
 )
 
 // Fault is the set of faults of one service.
 type Fault struct {
-	// Down breaks every call before it has an effect.
+	// Down fails every call before it has an effect.
 	Down bool `json:"down,omitempty"`
 	// Slow delays every call.
 	Slow config.Duration `json:"slow,omitempty"`
-	// LoseAnswers breaks the connection of the next so many writes after they took effect.
+	// LoseAnswers is the number of next writes whose connection is broken after
+	// they take effect.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// Throttle refuses every call for its rate.
+	// Throttle refuses every call as throttled.
 	Throttle bool `json:"throttle,omitempty"`
-	// Stale answers every read as of when the fault was set.
+	// Stale answers every read with the state at the time the fault was set.
 	Stale bool `json:"stale,omitempty"`
-	// RefuseStarts lists failure domains where no instance is started; "*" means everywhere.
+	// RefuseStarts lists the failure domains in which no instance can be started;
+	// "*" means all.
 	RefuseStarts []string `json:"refuse_starts,omitempty"`
 }
 
@@ -54,24 +56,25 @@
 	g.mu.Lock()
 	changed := g.fault.Stale != fault.Stale
 	g.fault = fault
-	frozen := g.frozen
+	onStaleChange := g.onStaleChange
 	g.mu.Unlock()
-	if changed && frozen != nil {
-		frozen(fault.Stale)
+	if changed && onStaleChange != nil {
+		onStaleChange(fault.Stale)
 	}
 	return nil
 }
 
-// current returns the faults as set.
-func (g *gate) current() Fault {
+// currentFault returns the active faults of the service.
+func (g *gate) currentFault() Fault {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fault
 }
 
-// enter applies what happens before a call has an effect.
-func (g *gate) enter(ctx context.Context, limit *rate.Limiter, cost int) error {
-	fault := g.current()
+// admit applies the delays, faults and rate limit that precede the effect of a
+// call.
+func (g *gate) admit(ctx context.Context, limit *rate.Limiter, cost int) error {
+	fault := g.currentFault()
 	if wait := g.delay + time.Duration(fault.Slow); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -81,7 +84,7 @@
 			return ctx.Err()
 		}
 	}
-	if g.current().Down {
+	if g.currentFault().Down {
 		return ErrDown
 	}
 	if fault.Throttle || (limit != nil && !limit.AllowN(time.Now(), min(cost, limit.Burst()))) {
@@ -93,24 +96,25 @@
 	return nil
 }
 
-// read lets one read in and counts it.
-func (g *gate) read(ctx context.Context, limit *rate.Limiter) error {
+// admitRead counts one read and admits it.
+func (g *gate) admitRead(ctx context.Context, limit *rate.Limiter) error {
 	g.mu.Lock()
 	g.tally.reads++
 	g.mu.Unlock()
-	return g.enter(ctx, limit, 1)
+	return g.admit(ctx, limit, 1)
 }
 
-// write lets one write in and counts it.
-func (g *gate) write(ctx context.Context, limit *rate.Limiter, cost int) error {
+// admitWrite counts one write and admits it.
+func (g *gate) admitWrite(ctx context.Context, limit *rate.Limiter, cost int) error {
 	g.mu.Lock()
 	g.tally.writes++
 	g.mu.Unlock()
-	return g.enter(ctx, limit, cost)
+	return g.admit(ctx, limit, cost)
 }
 
-// leave counts what a write changed and may lose its answer.
-func (g *gate) leave(items int) error {
+// completeWrite counts the items that a write changed and returns ErrLost if the
+// answer is to be lost.
+func (g *gate) completeWrite(items int) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally.items += uint64(items)
--- a/standin/platform/objects.go
+++ b/standin/platform/objects.go
@@ -10,7 +10,7 @@
 	"zinniamast"
 )
 
-// Objects is the stand-in's object store.
+// Objects is the stand-in for the object store.
 type Objects struct {
 	gate    *gate
 	mu      sync.Mutex
@@ -19,18 +19,18 @@
 
 // Put implements zinniamast.ObjectStore.
 func (o *Objects) Put(ctx context.Context, name string, content []byte) error {
-	if err := o.gate.write(ctx, nil, 1); err != nil {
+	if err := o.gate.admitWrite(ctx, nil, 1); err != nil {
 		return err
 	}
 	o.mu.Lock()
 	o.objects[name] = slices.Clone(content)
 	o.mu.Unlock()
-	return o.gate.leave(1)
+	return o.gate.completeWrite(1)
 }
 
 // Get implements zinniamast.ObjectStore.
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
-	if err := o.gate.read(ctx, nil); err != nil {
+	if err := o.gate.admitRead(ctx, nil); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
@@ -44,16 +44,16 @@
 
 // Delete implements zinniamast.ObjectStore.
 func (o *Objects) Delete(ctx context.Context, name string) error {
-	if err := o.gate.write(ctx, nil, 1); err != nil {
+	if err := o.gate.admitWrite(ctx, nil, 1); err != nil {
 		return err
 	}
 	o.mu.Lock()
 	delete(o.objects, name)
 	o.mu.Unlock()
-	return o.gate.leave(1)
+	return o.gate.completeWrite(1)
 }
 
-// Weights is the stand-in's weight store.
+// Weights is the stand-in for the weight store.
 type Weights struct {
 	gate    *gate
 	permits *rate.Limiter
@@ -63,14 +63,14 @@
 func newWeights(c Config, g *gate) *Weights {
 	return &Weights{
 		gate:    g,
-		permits: limiter(c.PermitsASecond),
+		permits: newLimiter(c.PermitsASecond),
 		sizes:   c.Weights,
 	}
 }
 
 // Size implements zinniamast.WeightStore.
 func (w *Weights) Size(ctx context.Context, model string) (int64, error) {
-	if err := w.gate.read(ctx, nil); err != nil {
+	if err := w.gate.admitRead(ctx, nil); err != nil {
 		return 0, err
 	}
 	size, ok := w.sizes[model]
@@ -82,5 +82,5 @@
 
 // Permit implements zinniamast.WeightStore.
 func (w *Weights) Permit(ctx context.Context, _ string) error {
-	return w.gate.read(ctx, w.permits)
+	return w.gate.admitRead(ctx, w.permits)
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform stands in for the whole platform in demos, tests and
-// benchmarks: table, object store, cloud, instance list and weight store, in
-// one process, with faults that can be switched on.
+// Package platform is a stand-in for the whole platform in demos, tests and
+// benchmarks. It provides the table, object store, cloud, instance list and
+// weight store in one process and injects faults on demand.
 package platform
 
 import (
@@ -13,26 +13,27 @@
 	"zinniamast"
 )
 
-// Config says how the stand-in behaves while no fault is on.
+// Config sets how the stand-in behaves while no fault is active.
 type Config struct {
-	// WritesASecond and ReadsASecond bound the table; zero means no bound.
+	// WritesASecond and ReadsASecond limit the rates of the table; zero means
+	// no limit.
 	WritesASecond int
 	ReadsASecond  int
 	// CountItems charges the write rate per item instead of per call.
 	CountItems bool
-	// TableDelay is what every table call takes.
+	// TableDelay is the duration of every table call.
 	TableDelay time.Duration
-	// ListLag is how old the instance list is.
+	// ListLag is the delay with which the instance list shows changes.
 	ListLag time.Duration
-	// PermitsASecond bounds the weight store; zero means no bound.
+	// PermitsASecond limits the permits of the weight store; zero means no limit.
 	PermitsASecond float64
 	// Weights maps models to the size of their weights in bytes.
 	Weights map[string]int64
-	// Offers are what the cloud sells.
+	// Offers are the offers of the cloud.
 	Offers []zinniamast.Offer
-	// Instances are there from the beginning.
+	// Instances are the instances that exist at the start.
 	Instances []zinniamast.Instance
-	// OnStart may complete an instance that was bought, such as with its address.
+	// OnStart may complete the fields of a started instance, such as its address.
 	OnStart func(instance *zinniamast.Instance)
 }
 
@@ -93,15 +94,15 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// limiter returns a limiter for a rate per second, or nil for none.
-func limiter(aSecond float64) *rate.Limiter {
+// newLimiter returns a limiter for a rate per second, or nil for no limit.
+func newLimiter(aSecond float64) *rate.Limiter {
 	if aSecond <= 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(aSecond), max(1, int(aSecond/10)))
 }
 
-// Counts are calls and writes since the start.
+// Counts are the numbers of calls and writes since the start.
 type Counts struct {
 	TableReads   uint64 `json:"table_reads"`
 	TableWrites  uint64 `json:"table_writes"`
@@ -116,45 +117,45 @@
 	Lost         uint64 `json:"lost"`
 }
 
-// Counts returns the calls so far.
+// Counts returns the current counters of all services.
 func (p *Platform) Counts() Counts {
-	table, objects := p.gates[ServiceTable].counted(), p.gates[ServiceObjects].counted()
+	table, objects := p.gates[ServiceTable].counters(), p.gates[ServiceObjects].counters()
 	counts := Counts{
 		TableReads:   table.reads,
 		TableWrites:  table.writes,
 		TableItems:   table.items,
 		ObjectReads:  objects.reads,
 		ObjectWrites: objects.writes,
-		CloudCalls:   p.gates[ServiceCloud].counted().reads + p.gates[ServiceCloud].counted().writes,
-		ListCalls:    p.gates[ServiceList].counted().reads,
-		WeightCalls:  p.gates[ServiceWeights].counted().reads,
-		Starts:       p.gates[ServiceCloud].counted().items,
+		CloudCalls:   p.gates[ServiceCloud].counters().reads + p.gates[ServiceCloud].counters().writes,
+		ListCalls:    p.gates[ServiceList].counters().reads,
+		WeightCalls:  p.gates[ServiceWeights].counters().reads,
+		Starts:       p.gates[ServiceCloud].counters().items,
 	}
 	for _, g := range p.gates {
-		c := g.counted()
+		c := g.counters()
 		counts.Throttled += c.throttled
 		counts.Lost += c.lost
 	}
 	return counts
 }
 
-// tally counts at one service.
+// tally holds the counters of one service.
 type tally struct {
 	reads, writes, items, throttled, lost uint64
 }
 
-// gate stands before one service: it applies the faults and counts.
+// gate is the fault injector of one service; it also counts the calls.
 type gate struct {
 	mu    sync.Mutex
 	fault Fault
 	tally tally
-	// delay is what every call takes without a fault.
+	// delay is the duration of every call without a fault.
 	delay time.Duration
-	// frozen is called when stale reads are switched on or off.
-	frozen func(on bool)
+	// onStaleChange is called when stale reads are switched on or off.
+	onStaleChange func(on bool)
 }
 
-func (g *gate) counted() tally {
+func (g *gate) counters() tally {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tally
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -17,9 +17,9 @@
 	"zinniamast/standin/platform"
 )
 
-// A caller writes and its answer is lost after the write took effect, so the
-// caller sees an error, yet the item stands. Then a stale table answers with
-// what stood when the fault was set, as a store does that comes back old.
+// A write whose answer is lost returns an error although it has taken effect. A
+// stale table answers reads with the state at the time the fault was set, as a
+// store does that recovers with old data.
 func TestTableFaults(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -54,9 +54,10 @@
 	is.True(errors.Is(put(2, "three"), platform.ErrDown))
 }
 
-// A failure domain is reclaimed: the notice stands at once, the lagging list
-// still shows the instance live, and it is gone when its time has come.
-func TestReclaimIsSeenLateInTheList(t *testing.T) {
+// When a failure domain is reclaimed, the notice is visible at once, the lagging
+// list does not show the instance as leaving yet, and the instance is removed at
+// its leave time.
+func TestInstanceListLagsBehindReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := context.Background()
@@ -87,8 +88,8 @@
 	})
 }
 
-// Another process sets a fault through the control endpoint and the next
-// call of that service breaks; the counts show what was called.
+// A fault set through the control endpoint breaks the next call of that service,
+// and the call is counted.
 func TestControlEndpoint(t *testing.T) {
 	is := is.New(t)
 	p := platform.New(platform.Config{})
--- a/standin/platform/serve.go
+++ b/standin/platform/serve.go
@@ -13,11 +13,11 @@
 	"zinniamast/config"
 )
 
-// maxBody bounds one request to the stand-in, in bytes.
+// maxBody is the maximum body of a request to the stand-in, in bytes.
 const maxBody = 64 << 20
 
-// answer writes a JSON answer or what stands for an error.
-func answer(w http.ResponseWriter, body any, err error) {
+// writeAnswer writes a JSON answer, or the status that represents an error.
+func writeAnswer(w http.ResponseWriter, body any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -29,12 +29,14 @@
 	case errors.Is(err, zinniamast.ErrRefused):
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
-		// Down, lost or given up: the caller sees its connection break.
+		// The service is down, the answer is lost or the context is done; the
+		// caller sees a broken connection.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// decode reads a JSON body; it reports false after it has answered.
+// decode reads a JSON body; if that fails, it answers with an error and returns
+// false.
 func decode(w http.ResponseWriter, r *http.Request, body any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -51,17 +53,17 @@
 		if err == nil {
 			err = p.Objects.Put(r.Context(), name, content)
 		}
-		answer(w, struct{}{}, err)
+		writeAnswer(w, struct{}{}, err)
 	case http.MethodGet:
 		content, err := p.Objects.Get(r.Context(), name)
 		if err != nil {
-			answer(w, nil, err)
+			writeAnswer(w, nil, err)
 			return
 		}
 		_, _ = w.Write(content)
 	case http.MethodDelete:
 		if err := p.Objects.Delete(r.Context(), name); err != nil {
-			answer(w, nil, err)
+			writeAnswer(w, nil, err)
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
@@ -72,25 +74,25 @@
 
 func (p *Platform) serveOffers(w http.ResponseWriter, r *http.Request) {
 	offers, err := p.Cloud.Offers(r.Context())
-	answer(w, offers, err)
+	writeAnswer(w, offers, err)
 }
 
 func (p *Platform) serveNotices(w http.ResponseWriter, r *http.Request) {
 	notices, err := p.Cloud.Notices(r.Context())
-	answer(w, notices, err)
+	writeAnswer(w, notices, err)
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	instances, err := p.Cloud.List(r.Context())
 	if err != nil || r.Header.Get("Accept-Encoding") != "gzip" {
-		answer(w, instances, err)
+		writeAnswer(w, instances, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
-	packed := gzip.NewWriter(w)
-	_ = json.NewEncoder(packed).Encode(instances)
-	_ = packed.Close()
+	compressed := gzip.NewWriter(w)
+	_ = json.NewEncoder(compressed).Encode(instances)
+	_ = compressed.Close()
 }
 
 // StartRequest is the body of POST /cloud/instances.
@@ -106,11 +108,11 @@
 		return
 	}
 	instance, err := p.Cloud.Start(r.Context(), body.Token, body.Offer, body.Role)
-	answer(w, instance, err)
+	writeAnswer(w, instance, err)
 }
 
 func (p *Platform) serveStop(w http.ResponseWriter, r *http.Request) {
-	answer(w, struct{}{}, p.Cloud.Stop(r.Context(), r.PathValue("id")))
+	writeAnswer(w, struct{}{}, p.Cloud.Stop(r.Context(), r.PathValue("id")))
 }
 
 // SizeAnswer is the body of an answer to GET /weights/{model}.
@@ -120,13 +122,13 @@
 
 func (p *Platform) serveSize(w http.ResponseWriter, r *http.Request) {
 	size, err := p.Weights.Size(r.Context(), r.PathValue("model"))
-	answer(w, SizeAnswer{
+	writeAnswer(w, SizeAnswer{
 		Bytes: size,
 	}, err)
 }
 
 func (p *Platform) servePermit(w http.ResponseWriter, r *http.Request) {
-	answer(w, struct{}{}, p.Weights.Permit(r.Context(), r.PathValue("model")))
+	writeAnswer(w, struct{}{}, p.Weights.Permit(r.Context(), r.PathValue("model")))
 }
 
 func (p *Platform) serveFault(w http.ResponseWriter, r *http.Request) {
@@ -138,10 +140,11 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	answer(w, fault, nil)
+	writeAnswer(w, fault, nil)
 }
 
-// ReclaimRequest is the body of POST /control/reclaim; one of the first two is set.
+// ReclaimRequest is the body of POST /control/reclaim; either
+// Instance or FailureDomain is set.
 type ReclaimRequest struct {
 	Instance      string          `json:"instance,omitempty"`
 	FailureDomain string          `json:"failure_domain,omitempty"`
@@ -159,7 +162,7 @@
 	if body.FailureDomain != "" {
 		p.Cloud.ReclaimDomain(body.FailureDomain, time.Duration(body.After))
 	}
-	answer(w, struct{}{}, nil)
+	writeAnswer(w, struct{}{}, nil)
 }
 
 func (p *Platform) serveAdd(w http.ResponseWriter, r *http.Request) {
@@ -168,9 +171,9 @@
 		return
 	}
 	p.Cloud.Add(instance)
-	answer(w, instance, nil)
+	writeAnswer(w, instance, nil)
 }
 
 func (p *Platform) serveCounts(w http.ResponseWriter, _ *http.Request) {
-	answer(w, p.Counts(), nil)
+	writeAnswer(w, p.Counts(), nil)
 }
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -13,7 +13,7 @@
 	"zinniamast"
 )
 
-// Table is the stand-in's transactional table.
+// Table is the stand-in for the transactional table.
 type Table struct {
 	gate   *gate
 	reads  *rate.Limiter
@@ -23,24 +23,25 @@
 
 	mu    sync.Mutex
 	items map[zinniamast.Key]zinniamast.Item
-	// stale, if set, is what reads see.
+	// stale, if set, is the snapshot that reads use.
 	stale map[zinniamast.Key]zinniamast.Item
 }
 
 func newTable(c Config, g *gate) *Table {
 	t := &Table{
 		gate:    g,
-		reads:   limiter(float64(c.ReadsASecond)),
-		writes:  limiter(float64(c.WritesASecond)),
+		reads:   newLimiter(float64(c.ReadsASecond)),
+		writes:  newLimiter(float64(c.WritesASecond)),
 		perItem: c.CountItems,
 		items:   map[zinniamast.Key]zinniamast.Item{},
 	}
-	g.frozen = t.freeze
+	g.onStaleChange = t.setStale
 	return t
 }
 
-// freeze makes reads answer as of now, or lets them see the present again.
-func (t *Table) freeze(on bool) {
+// setStale makes reads use a snapshot of the present items, or the current items
+// again.
+func (t *Table) setStale(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stale = nil
@@ -49,7 +50,7 @@
 	}
 }
 
-// view returns what reads see; the caller holds the lock.
+// view returns the items that reads use; the caller holds the lock.
 func (t *Table) view() map[zinniamast.Key]zinniamast.Item {
 	if t.stale != nil {
 		return t.stale
@@ -57,14 +58,14 @@
 	return t.items
 }
 
-// expired says whether the platform has dropped the item.
+// expired reports whether the item has passed its expiry time.
 func expired(item zinniamast.Item) bool {
 	return !item.Expires.IsZero() && time.Now().After(item.Expires)
 }
 
 // Get implements zinniamast.Table.
 func (t *Table) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
-	if err := t.gate.read(ctx, t.reads); err != nil {
+	if err := t.gate.admitRead(ctx, t.reads); err != nil {
 		return zinniamast.Item{}, err
 	}
 	t.mu.Lock()
@@ -78,7 +79,7 @@
 
 // Query implements zinniamast.Table.
 func (t *Table) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
-	if err := t.gate.read(ctx, t.reads); err != nil {
+	if err := t.gate.admitRead(ctx, t.reads); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -102,13 +103,13 @@
 	if t.perItem {
 		cost = len(writes)
 	}
-	if err := t.gate.write(ctx, t.writes, cost); err != nil {
+	if err := t.gate.admitWrite(ctx, t.writes, cost); err != nil {
 		return err
 	}
 	if err := t.apply(writes); err != nil {
 		return err
 	}
-	return t.gate.leave(len(writes))
+	return t.gate.completeWrite(len(writes))
 }
 
 func (t *Table) apply(writes []zinniamast.Write) error {
--- a/standin/platform/tableprotocol.go
+++ b/standin/platform/tableprotocol.go
@@ -21,8 +21,9 @@
 // record is an item in the table protocol.
 type record map[string]attribute
 
-// change is a Put or Delete with its condition; our client sends
-// "attribute_not_exists(pk)" or "rev = :expect" and no other.
+// change is a Put or Delete with its condition, which is either
+// "attribute_not_exists(pk)" or "rev = :expect": the client of zinniamast sends
+// no other.
 type change struct {
 	Item                      record
 	Key                       record
@@ -30,7 +31,8 @@
 	ExpressionAttributeValues record
 }
 
-// tableRequest covers the fields of the operations that our client sends.
+// tableRequest holds the fields of the operations that the client of zinniamast
+// sends.
 type tableRequest struct {
 	change
 	ExclusiveStartKey record
@@ -41,7 +43,7 @@
 	}
 }
 
-// cancellationReason tells why one write of a transaction stopped it.
+// cancellationReason is the result of one write of a cancelled transaction.
 type cancellationReason struct {
 	Code string
 }
@@ -133,10 +135,10 @@
 	case "GetItem":
 		item, err := p.Table.Get(r.Context(), body.Key.key())
 		if errors.Is(err, zinniamast.ErrNotFound) {
-			answerTable(w, 1, struct{}{}, nil)
+			writeTableAnswer(w, 1, struct{}{}, nil)
 			return
 		}
-		answerTable(w, 1, struct{ Item record }{recordOf(item)}, err)
+		writeTableAnswer(w, 1, struct{ Item record }{recordOf(item)}, err)
 	case "Query":
 		values := body.ExpressionAttributeValues
 		items, err := p.Table.Query(r.Context(), values.text(":pk"), values.text(":sk"), body.Limit)
@@ -144,10 +146,10 @@
 		for _, item := range items {
 			records = append(records, recordOf(item))
 		}
-		answerTable(w, 1, struct{ Items []record }{records}, err)
+		writeTableAnswer(w, 1, struct{ Items []record }{records}, err)
 	case "PutItem", "DeleteItem":
 		err := p.Table.Write(r.Context(), []zinniamast.Write{body.write(operation == "DeleteItem")})
-		answerTable(w, 1, struct{}{}, err)
+		writeTableAnswer(w, 1, struct{}{}, err)
 	case "TransactWriteItems":
 		var writes []zinniamast.Write
 		for _, item := range body.TransactItems {
@@ -157,20 +159,20 @@
 				writes = append(writes, item.Delete.write(true))
 			}
 		}
-		answerTable(w, len(writes), struct{}{}, p.Table.Write(r.Context(), writes))
+		writeTableAnswer(w, len(writes), struct{}{}, p.Table.Write(r.Context(), writes))
 	default:
 		http.Error(w, "unknown operation "+operation, http.StatusBadRequest)
 	}
 }
 
-func answerTable(w http.ResponseWriter, writes int, body any, err error) {
+func writeTableAnswer(w http.ResponseWriter, writes int, body any, err error) {
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	var conflict *zinniamast.ConflictError
 	switch {
 	case err == nil:
 		_ = json.NewEncoder(w).Encode(body)
 	case errors.As(err, &conflict) && writes == 1:
-		failTable(w, tableError{
+		writeTableError(w, tableError{
 			Type: "ConditionalCheckFailedException",
 		})
 	case errors.As(err, &conflict):
@@ -181,12 +183,12 @@
 		for _, i := range conflict.Failed {
 			reasons[i].Code = "ConditionalCheckFailed"
 		}
-		failTable(w, tableError{
+		writeTableError(w, tableError{
 			Type:                "TransactionCanceledException",
 			CancellationReasons: reasons,
 		})
 	case errors.Is(err, zinniamast.ErrThrottled):
-		failTable(w, tableError{
+		writeTableError(w, tableError{
 			Type: "ProvisionedThroughputExceededException",
 		})
 	default:
@@ -194,7 +196,7 @@
 	}
 }
 
-func failTable(w http.ResponseWriter, failure tableError) {
+func writeTableError(w http.ResponseWriter, failure tableError) {
 	failure.Type = "com.amazonaws.dynamodb.v20120810#" + failure.Type
 	w.WriteHeader(http.StatusBadRequest)
 	_ = json.NewEncoder(w).Encode(failure)
