--- a/standin/service/fault.go
+++ b/standin/service/fault.go
@@ -6,51 +6,52 @@
 	"time"
 )
 
-// Kind names a fault.
+// Kind is the kind of a fault.
 type Kind string
 
-// The faults that a stand-in can show.
+// The faults that a stand-in can inject.
 const (
-	// Refuse answers that the request was not taken; it does not run.
+	// Refuse answers that the request was not accepted; it does not run.
 	Refuse Kind = "refuse"
-	// Leave refuses like a replica that goes away.
+	// Leave refuses the request as a leaving replica does.
 	Leave Kind = "leave"
-	// Hang runs nothing and answers nothing until the caller goes away.
+	// Hang neither runs nor answers the request until the caller disconnects.
 	Hang Kind = "hang"
 	// ResetBefore breaks the connection before the request runs.
 	ResetBefore Kind = "reset_before"
 	// ResetAfter runs the request and breaks the connection before any answer.
 	ResetAfter Kind = "reset_after"
-	// CutShort runs the request and breaks the connection within the answer.
+	// CutShort runs the request and breaks the connection in the middle of the answer.
 	CutShort Kind = "cut_short"
-	// Cross runs the request and answers under another attempt's identity.
+	// Cross runs the request and answers with the ID of another attempt.
 	Cross Kind = "cross"
-	// Slow waits before it runs the request, and runs it though the caller has gone.
+	// Slow waits before it runs the request, and runs it even if the caller has
+	// disconnected.
 	Slow Kind = "slow"
 	// Fail runs the request and answers 500.
 	Fail Kind = "fail"
-	// Crash ends the replica.
+	// Crash crashes the replica.
 	Crash Kind = "crash"
 )
 
-// Fault is one switched-on fault.
+// Fault is one active fault.
 type Fault struct {
-	// Kind says what goes wrong.
+	// Kind is the kind of the fault.
 	Kind Kind `json:"kind"`
-	// Times is how often it strikes; zero means always.
+	// Times is the number of requests that it affects; zero means all.
 	Times int `json:"times"`
-	// Path strikes only where the path begins so; empty strikes everywhere.
+	// Path is a prefix of the paths that it affects; empty means all.
 	Path string `json:"path"`
-	// Body strikes only where the body contains it; empty strikes everywhere.
+	// Body is a text that the affected bodies contain; empty means all.
 	Body string `json:"body"`
-	// Wait is how long Slow waits, in milliseconds.
+	// Wait is the delay of Slow, in milliseconds.
 	Wait int `json:"wait_ms"`
 }
 
 // wait returns Wait as a duration.
 func (f *Fault) wait() time.Duration { return time.Duration(f.Wait) * time.Millisecond }
 
-// faults are those switched on.
+// faults holds the active faults.
 type faults struct {
 	mu     sync.Mutex
 	active []Fault
@@ -63,8 +64,9 @@
 	f.active = append([]Fault(nil), active...)
 }
 
-// strike returns the first fault that matches and uses up one of its times.
-func (f *faults) strike(path, body string) Fault {
+// consume returns the first fault that matches a request and uses up one of its
+// times.
+func (f *faults) consume(path, body string) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.active {
--- a/standin/service/ledger.go
+++ b/standin/service/ledger.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Ledger counts what truly ran. The replicas of one service share a ledger,
-// as they would share a database.
+// Ledger counts the requests that ran. The replicas of one service share a
+// ledger, as they would share a database.
 type Ledger struct {
 	mu      sync.Mutex
 	counts  Counts
@@ -14,7 +14,7 @@
 	fence   uint64
 }
 
-// Counts is what truly ran.
+// Counts holds the numbers of requests that ran.
 type Counts struct {
 	// Keys counts runs per idempotency key.
 	Keys map[string]int `json:"keys"`
@@ -22,9 +22,9 @@
 	Attempts map[string]int `json:"attempts"`
 	// Bodies counts runs per body.
 	Bodies map[string]int `json:"bodies"`
-	// Runs counts all runs of calls that change something.
+	// Runs counts all runs of calls that change state.
 	Runs int `json:"runs"`
-	// Lookups counts lookups answered.
+	// Lookups counts the lookups that ran.
 	Lookups int `json:"lookups"`
 }
 
@@ -35,7 +35,7 @@
 	return l
 }
 
-// Reset forgets everything.
+// Reset clears the counts, the answers and the fencing number.
 func (l *Ledger) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +70,8 @@
 	return doubled
 }
 
-// run records one run and returns its answer. With checkKeys a known key gets
-// its first answer again and does not run.
+// run records one run and returns its answer. With checkKeys, a key that has run
+// before does not run again and returns its first answer.
 func (l *Ledger) run(key, attempt, body string, answer []byte, checkKeys bool) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,22 +88,23 @@
 	return answer
 }
 
-// looked counts a lookup.
-func (l *Ledger) looked() {
+// countLookup counts a lookup.
+func (l *Ledger) countLookup() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Lookups++
 }
 
-// byKey returns the answer that a key got, if it ran.
-func (l *Ledger) byKey(key string) ([]byte, bool) {
+// answerByKey returns the answer of an idempotency key, if the key ran.
+func (l *Ledger) answerByKey(key string) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer, ok := l.answers[key]
 	return answer, ok
 }
 
-// admitFence reports whether a fencing number is not behind the highest seen.
+// admitFence reports whether a fencing number is not lower than the highest
+// admitted one, and records it.
 func (l *Ledger) admitFence(fence uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a booking, order and lookup service,
-// with faults that can be switched on and counts of what truly ran.
+// Package service is a small stand-in for a booking, order and lookup service.
+// It injects faults on demand and counts the requests that ran.
 package service
 
 import (
@@ -13,22 +13,23 @@
 	"zinniamast/plain"
 )
 
-// ControlPrefix begins the paths by which tests steer a stand-in: GET
+// ControlPrefix is the prefix of the paths that control a stand-in: GET
 // /standin/counts, POST /standin/faults with a JSON array of Fault, POST
 // /standin/reset.
 const ControlPrefix = "/standin/"
 
-// Config says how a stand-in behaves.
+// Config sets the behaviour of a stand-in.
 type Config struct {
 	// Ledger is shared by the replicas of one service; nil means a new one.
 	Ledger *Ledger
 	// ChecksKeys runs each idempotency key at most once.
 	ChecksKeys bool
-	// ChecksFence refuses a fencing number behind the highest seen.
+	// ChecksFence refuses a fencing number lower than the highest admitted one.
 	ChecksFence bool
-	// Work is how long each run takes.
+	// Work is the duration of each run.
 	Work time.Duration
-	// Crash ends the replica; nil means that it answers nothing from then on.
+	// Crash, if set, is called when the replica crashes. A crashed replica
+	// answers no request until Restart is called.
 	Crash func()
 }
 
@@ -63,14 +64,14 @@
 // Ledger returns the replica's ledger.
 func (s *Service) Ledger() *Ledger { return s.config.Ledger }
 
-// SetFaults replaces the faults that are switched on.
+// SetFaults replaces the active faults.
 func (s *Service) SetFaults(active ...Fault) { s.faults.set(active) }
 
-// Crashed says whether a fault has ended the replica.
+// Crashed reports whether a fault has crashed the replica.
 func (s *Service) Crashed() bool { return s.crashed.Load() }
 
-// Revive starts a crashed replica again.
-func (s *Service) Revive() { s.crashed.Store(false) }
+// Restart restarts a crashed replica.
+func (s *Service) Restart() { s.crashed.Store(false) }
 
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -81,11 +82,11 @@
 }
 
 func (s *Service) serveLookup(w http.ResponseWriter, r *http.Request) {
-	fault := s.faults.strike(r.URL.Path, "")
-	if !s.before(w, r, fault) {
+	fault := s.faults.consume(r.URL.Path, "")
+	if !s.applyFaultBeforeRun(w, r, fault) {
 		return
 	}
-	s.config.Ledger.looked()
+	s.config.Ledger.countLookup()
 	s.answer(w, r, fault, marshal(map[string]string{
 		"name":      r.PathValue("name"),
 		"available": "yes",
@@ -98,8 +99,8 @@
 	if err != nil {
 		return
 	}
-	fault := s.faults.strike(r.URL.Path, string(body))
-	if !s.before(w, r, fault) {
+	fault := s.faults.consume(r.URL.Path, string(body))
+	if !s.applyFaultBeforeRun(w, r, fault) {
 		return
 	}
 	if s.config.ChecksFence && !s.admit(r) {
@@ -115,7 +116,7 @@
 	s.answer(w, r, fault, answer)
 }
 
-// admit checks the request's fencing number, if it has one.
+// admit reports whether the request has no fencing number or an admissible one.
 func (s *Service) admit(r *http.Request) bool {
 	text := r.Header.Get(plain.HeaderFence)
 	if text == "" {
@@ -125,9 +126,9 @@
 	return err == nil && s.config.Ledger.admitFence(fence)
 }
 
-// before shows the faults that strike before a request runs and reports
-// whether it may run.
-func (s *Service) before(w http.ResponseWriter, r *http.Request, fault Fault) bool {
+// applyFaultBeforeRun applies a fault that takes effect before a request runs and
+// reports whether the request may run.
+func (s *Service) applyFaultBeforeRun(w http.ResponseWriter, r *http.Request, fault Fault) bool {
 	switch fault.Kind {
 	case Refuse:
 		s.refuse(w, r, "busy")
@@ -149,7 +150,7 @@
 	return true
 }
 
-// crash ends the replica in the middle of a request.
+// crash crashes the replica in the middle of a request.
 func (s *Service) crash() {
 	s.crashed.Store(true)
 	if s.config.Crash != nil {
@@ -158,14 +159,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuse promises that the request does not run.
+// refuse answers that the request does not run.
 func (s *Service) refuse(w http.ResponseWriter, r *http.Request, why string) {
 	w.Header().Set(plain.HeaderAttempt, r.Header.Get(plain.HeaderAttempt))
 	w.Header().Set(plain.HeaderNotTaken, why)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// answer sends an answer, or shows the faults that strike after a run.
+// answer sends the answer, after it applies a fault that takes effect after a run.
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, fault Fault, body []byte) {
 	attempt := r.Header.Get(plain.HeaderAttempt)
 	status := http.StatusOK
@@ -189,9 +190,9 @@
 	w.Write(body)
 }
 
-// serveKey answers whether a key ran.
+// serveKey returns the answer of an idempotency key, if the key ran.
 func (s *Service) serveKey(w http.ResponseWriter, r *http.Request) {
-	answer, ok := s.config.Ledger.byKey(r.PathValue("key"))
+	answer, ok := s.config.Ledger.answerByKey(r.PathValue("key"))
 	if !ok {
 		http.Error(w, "not run", http.StatusNotFound)
 		return
