--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform's metadata store: rows under
-// one counter, transactions with conditions, a feed with a history that can be
-// dropped, and the faults that the real one shows.
+// Package store is a stand-in for the platform's metadata store. It provides rows
+// that share one version counter, conditional transactions, a change feed whose
+// history can be dropped, and the faults of the real store.
 package store
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Row is one row as the store answers it.
+// Row is one row as the store returns it.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -25,28 +25,29 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Fault is what goes wrong with calls; the zero value is nothing.
+// Fault is the set of faults that affect calls; the zero value has none.
 type Fault struct {
-	// Status answers every call with this status, and nothing is done.
+	// Status is the status of every answer; no call has an effect.
 	Status int
-	// Hang answers no call until its caller leaves, feeds that wait included.
+	// Hang leaves every call, including waiting feeds, without an answer until
+	// its caller disconnects.
 	Hang bool
-	// LoseWrites does writes and closes the connection without an answer.
+	// LoseWrites applies writes and closes the connection without an answer.
 	LoseWrites bool
-	// DeafFeeds lets feeds that are opened now hear nothing while they wait.
+	// DeafFeeds makes feeds that are opened now receive no changes while they wait.
 	DeafFeeds bool
 }
 
 // Store is the stand-in.
 type Store struct {
-	server *httptest.Server
-	began  time.Time
+	server    *httptest.Server
+	startedAt time.Time
 
 	mu      sync.Mutex
 	fault   Fault
 	rows    map[string]Row
 	history []Row
-	// dropped is the newest counter value that the history no longer holds.
+	// dropped is the newest version that the history no longer contains.
 	dropped uint64
 	ver     uint64
 	changed chan struct{}
@@ -56,15 +57,15 @@
 // New starts a store on a free port.
 func New() *Store {
 	s := &Store{
-		began:   time.Now(),
-		rows:    map[string]Row{},
-		changed: make(chan struct{}),
+		startedAt: time.Now(),
+		rows:      map[string]Row{},
+		changed:   make(chan struct{}),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /rows-tx", s.commit)
 	mux.HandleFunc("GET /rows-get", s.get)
 	mux.HandleFunc("GET /rows-feed", s.feed)
-	s.server = httptest.NewServer(s.faulty(mux))
+	s.server = httptest.NewServer(s.injectFaults(mux))
 	return s
 }
 
@@ -77,21 +78,21 @@
 // Address returns host:port.
 func (s *Store) Address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// SetFault changes what goes wrong from now on.
+// SetFault replaces the faults.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes a row as the operator or a replica does.
+// Put writes a row, as the operator or a replica does.
 func (s *Store) Put(table, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,8 @@
 	return s.list(table, part)
 }
 
-// DropHistory forgets all changes; feeds behind the present are told so.
+// DropHistory drops the history of changes; feeds that start at an older version
+// are answered with 410 Gone.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,15 +139,15 @@
 	s.dropped = s.ver
 }
 
-// faulty answers with the present fault before a handler does.
-func (s *Store) faulty(next http.Handler) http.Handler {
+// injectFaults applies the active faults before a handler runs.
+func (s *Store) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls++
 		fault := s.fault
 		s.mu.Unlock()
 		if fault.Hang {
-			// net/http notices that a caller leaves once the body is read.
+			// net/http detects that a caller disconnects only after the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -215,17 +217,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var stand []Row
-	met := true
+	var current []Row
+	conditionsMet := true
 	for _, c := range tx.ExpectedRev {
 		row := s.rows[rowKey(c.Table, c.Part, c.Key)]
-		met = met && row.Ver == c.Ver
+		conditionsMet = conditionsMet && row.Ver == c.Ver
 		if row.Ver != 0 {
-			stand = append(stand, row)
+			current = append(current, row)
 		}
 	}
-	if !met {
-		s.answer(w, http.StatusPreconditionFailed, stand, false)
+	if !conditionsMet {
+		s.answer(w, http.StatusPreconditionFailed, current, false)
 		return
 	}
 	for _, p := range tx.Put {
@@ -247,7 +249,7 @@
 	s.answer(w, http.StatusOK, nil, false)
 }
 
-// pageRows is how many rows one answer holds at most.
+// pageRows is the maximum number of rows in one answer.
 const pageRows = 500
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
@@ -255,8 +257,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := pageRows
-	if asked, err := strconv.Atoi(query.Get("limit")); err == nil {
-		limit = min(limit, asked)
+	if requested, err := strconv.Atoi(query.Get("limit")); err == nil {
+		limit = min(limit, requested)
 	}
 	var rows []Row
 	for _, row := range s.list(query.Get("table"), query.Get("part")) {
@@ -274,15 +276,15 @@
 	waitMs, _ := strconv.Atoi(query.Get("waitMs"))
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	s.mu.Lock()
-	deaf := s.fault.DeafFeeds
+	silent := s.fault.DeafFeeds
 	for {
 		if since < s.dropped {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		rows := s.after(query.Get("table"), since)
-		if len(rows) > 0 && !deaf {
+		rows := s.changesAfter(query.Get("table"), since)
+		if len(rows) > 0 && !silent {
 			s.answer(w, http.StatusOK, rows, false)
 			s.mu.Unlock()
 			return
@@ -298,8 +300,8 @@
 				<-r.Context().Done()
 				panic(http.ErrAbortHandler)
 			}
-			if deaf {
-				s.answerAt(w, since)
+			if silent {
+				s.answerSilentFeed(w, since)
 			} else {
 				s.answer(w, http.StatusOK, nil, false)
 			}
@@ -312,8 +314,8 @@
 	}
 }
 
-// after returns a table's changes; the caller holds the lock.
-func (s *Store) after(table string, since uint64) []Row {
+// changesAfter returns the changes of a table after a version; the caller holds the lock.
+func (s *Store) changesAfter(table string, since uint64) []Row {
 	var rows []Row
 	for _, r := range s.history {
 		if r.Ver > since && r.Table == table {
@@ -330,7 +332,7 @@
 	NowMs     int64  `json:"nowMs"`
 }
 
-// answer writes rows; the caller holds the lock.
+// answer writes an answer with rows; the caller holds the lock.
 func (s *Store) answer(w http.ResponseWriter, status int, rows []Row, truncated bool) {
 	s.write(w, status, answer{
 		Rows:      rows,
@@ -340,24 +342,26 @@
 	})
 }
 
-// answerAt answers a deaf feed with the position that it came with.
-func (s *Store) answerAt(w http.ResponseWriter, since uint64) {
+// answerSilentFeed answers a feed without changes and with the version from which
+// it started; the caller holds the lock.
+func (s *Store) answerSilentFeed(w http.ResponseWriter, since uint64) {
 	s.write(w, http.StatusOK, answer{
 		Ver:   since,
 		NowMs: s.now(),
 	})
 }
 
-// clockStart is what the steady clock showed when the store began.
+// clockStart is the reading of the store's monotonic clock at its start, in
+// milliseconds.
 const clockStart = 50_000
 
-func (s *Store) now() int64 { return clockStart + time.Since(s.began).Milliseconds() }
+func (s *Store) now() int64 { return clockStart + time.Since(s.startedAt).Milliseconds() }
 
 func (s *Store) write(w http.ResponseWriter, status int, a answer) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(a); err != nil {
-		// The caller has left.
+		// The caller has disconnected.
 		return
 	}
 }
