--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica is a stand-in for a replica of the platform: it answers whole
-// requests and streams of events as a test scripts them, and keeps what it ran.
+// Package replica is a stand-in for a replica of the platform. It answers requests
+// with whole answers or event streams, as a test scripts them, and records the
+// requests that it receives.
 package replica
 
 import (
@@ -20,61 +21,67 @@
 	Target string
 	Header http.Header
 	Body   string
-	// Received is when the request was read, and Behaviour how it is answered.
+	// Received is the time at which the request was read, and Behaviour determines
+	// how it is answered.
 	Received  time.Time
 	Behaviour Behaviour
-	// Refused says that the replica turned it away and did not run it.
+	// Refused reports that the replica refused the request and did not run it.
 	Refused bool
-	// Left is set once the caller's side closed the connection before the answer's end.
+	// Left is closed once the caller's side closes the connection before the end
+	// of the answer.
 	Left chan struct{}
 }
 
-// Behaviour says how a request is answered; the zero value answers whole.
+// Behaviour determines how a request is answered; the zero value sends a whole
+// answer.
 type Behaviour struct {
-	// Status is the answer's; 200 if zero.
+	// Status is the status of the answer; zero means 200.
 	Status int
 	// NotRun answers that the request was not executed.
 	NotRun bool
-	// Elsewhere answers that another instance has the address.
+	// Elsewhere answers that the address belongs to another instance.
 	Elsewhere bool
-	// Reset closes the connection once the request is read, without an answer.
+	// Reset closes the connection without an answer after the request is read.
 	Reset bool
-	// Hang answers nothing until the caller leaves.
+	// Hang sends no answer until the caller disconnects.
 	Hang bool
-	// Unsigned leaves out the replica's mark, and Crossed names another request.
+	// Unsigned omits the replica's server stamp, and Crossed answers with the ID of
+	// another request.
 	Unsigned bool
 	Crossed  bool
-	// Delay is how long the replica is silent before it answers.
+	// Delay is the time before the replica answers.
 	Delay time.Duration
-	// Events is how many events a stream has; zero answers whole.
+	// Events is the number of events of a stream; zero sends a whole answer.
 	Events int
-	// BreakAfter closes the connection after so many events, in the middle of
-	// the next; zero never.
+	// BreakAfter closes the connection after this many events, in the middle of
+	// the next one; zero means never.
 	BreakAfter int
 	// Gap is the time between events.
 	Gap time.Duration
-	// PauseAfter is after how many events the stream pauses once, for as long as
-	// Pause says; zero never.
+	// PauseAfter is the number of events after which the stream pauses once, for
+	// the duration Pause; zero means never.
 	PauseAfter int
 	Pause      time.Duration
-	// CutBody announces more bytes than it sends.
+	// CutBody announces a longer body than the replica sends.
 	CutBody bool
 }
 
-// Faulty says whether a replica that behaves so answers other than for itself.
+// Faulty reports whether an answer lacks the replica's stamp, carries the ID of
+// another request or has a server error status.
 func (b Behaviour) Faulty() bool {
 	return b.Unsigned || b.Crossed || b.Status >= http.StatusInternalServerError
 }
 
-// Breaks says whether a replica that behaves so ends answers before they are whole.
+// Breaks reports whether answers end before they are complete.
 func (b Behaviour) Breaks() bool { return b.Reset || b.CutBody || b.BreakAfter > 0 }
 
 // Replica is the stand-in.
 type Replica struct {
-	// ID is the instance that it answers for.
+	// ID is the ID of the instance that it simulates.
 	ID string
-	// StreamPrefix is below which requests are answered by StreamEvents events,
-	// whatever the behaviour; empty for none. It is set before the first request.
+	// StreamPrefix is the path prefix of requests that are answered with a stream
+	// of StreamEvents events, regardless of Events and Gap of the behaviour; empty
+	// means none. It is set before the first request.
 	StreamPrefix string
 	server       *httptest.Server
 
@@ -102,23 +109,23 @@
 // Address returns host:port.
 func (r *Replica) Address() string { return strings.TrimPrefix(r.server.URL, "http://") }
 
-// Behave changes how requests are answered from now on.
+// Behave sets how requests are answered from now on.
 func (r *Replica) Behave(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
 }
 
-// Report sets what the replica says of its load; empty means that it knows no
-// such question.
+// Report sets the load report of the replica; if it is empty, the replica answers
+// 404.
 func (r *Replica) Report(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report = body
 }
 
-// tellReport answers a question for the load.
-func (r *Replica) tellReport(w http.ResponseWriter, request *http.Request) {
+// serveReport answers a request for the load report.
+func (r *Replica) serveReport(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	report := r.report
 	r.mu.Unlock()
@@ -133,7 +140,7 @@
 	}
 }
 
-// Runs returns what reached the replica.
+// Runs returns the requests that the replica received.
 func (r *Replica) Runs() []*Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +150,7 @@
 // ServeHTTP implements http.Handler.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodGet && request.URL.Path == "/report" {
-		r.tellReport(w, request)
+		r.serveReport(w, request)
 		return
 	}
 	body, err := io.ReadAll(request.Body)
@@ -208,34 +215,34 @@
 	}
 	switch {
 	case r.StreamPrefix != "" && strings.HasPrefix(request.URL.Path, r.StreamPrefix):
-		r.stream(w, request, r.prefixed(b))
+		r.stream(w, request, r.streamBehaviour(b))
 	case b.Events > 0:
 		r.stream(w, request, b)
 	default:
-		r.whole(w, run, b)
+		r.writeWhole(w, run, b)
 	}
 }
 
-// The streams below StreamPrefix.
+// The properties of streams below StreamPrefix.
 const (
-	// StreamEvents is how many events they have.
-	StreamEvents = 8
-	streamGap    = 20 * time.Millisecond
-	brokenAfter  = 3
+	// StreamEvents is the number of their events.
+	StreamEvents     = 8
+	streamGap        = 20 * time.Millisecond
+	breakAfterEvents = 3
 )
 
-// prefixed is how a stream below StreamPrefix is answered: where an answer is to
-// be cut it breaks off.
-func (r *Replica) prefixed(b Behaviour) Behaviour {
+// streamBehaviour returns the behaviour of a stream below StreamPrefix: CutBody
+// breaks off the stream after breakAfterEvents events.
+func (r *Replica) streamBehaviour(b Behaviour) Behaviour {
 	b.Events = StreamEvents
 	b.Gap = streamGap
 	if b.CutBody {
-		b.BreakAfter = brokenAfter
+		b.BreakAfter = breakAfterEvents
 	}
 	return b
 }
 
-func (r *Replica) whole(w http.ResponseWriter, run *Run, b Behaviour) {
+func (r *Replica) writeWhole(w http.ResponseWriter, run *Run, b Behaviour) {
 	status := http.StatusOK
 	if b.Status != 0 {
 		status = b.Status
@@ -275,8 +282,8 @@
 	}
 }
 
-// Piece is the data of a stream's event; with the request's name where callers
-// check whose event it is.
+// Piece returns the data of an event of a stream. If named is set, it includes the
+// request ID, so that callers can check which request the event belongs to.
 func Piece(named bool, request string, number int) string {
 	piece := "piece-" + strconv.Itoa(number)
 	if named {
