--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet connects clients and stand-ins within one process, without
-// sockets, so that tests run under virtual time.
+// Package memnet connects clients and stand-ins within one process without
+// sockets, so that tests can run under virtual time.
 package memnet
 
 import (
@@ -42,7 +42,8 @@
 	return l
 }
 
-// Dial connects to a listener; a missing one refuses as a socket would.
+// Dial connects to a listener; without a listener it fails with "connection
+// refused", as a socket does.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
