--- a/standin/duties/duties.go
+++ b/standin/duties/duties.go
@@ -1,5 +1,5 @@
-// Package duties is a stand-in for the platform's calls that one node at a time
-// owes: it keeps what it accepted.
+// Package duties is a stand-in for the calls to the platform that one node at a
+// time has to make; it records the calls that it accepts.
 package duties
 
 import (
@@ -20,20 +20,20 @@
 type Duties struct {
 	mu    sync.Mutex
 	calls []Call
-	// fails is what the next calls answer; nil accepts.
-	fails error
+	// err is the result of the next calls; nil accepts them.
+	err error
 }
 
 var _ zinniamast.Duties = (*Duties)(nil)
 
-// Fail lets calls fail from now on; nil accepts again.
+// Fail makes calls fail with err from now on; nil accepts them again.
 func (d *Duties) Fail(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fails = err
+	d.err = err
 }
 
-// Calls returns what was accepted.
+// Calls returns the accepted calls.
 func (d *Duties) Calls() []Call {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,8 +43,8 @@
 func (d *Duties) accept(c Call) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fails != nil {
-		return d.fails
+	if d.err != nil {
+		return d.err
 	}
 	d.calls = append(d.calls, c)
 	return nil
