--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a stand-in for a caller of the platform: it builds requests
-// as callers send them.
+// Package caller is a stand-in for a caller of the platform; it builds requests as
+// callers send them.
 package caller
 
 import (
@@ -12,26 +12,27 @@
 
 // Request is one request of a caller.
 type Request struct {
-	// ID names it.
+	// ID is the request ID.
 	ID string
 	// Address is host:port of the entry instance, and Host and Path select the route.
 	Address string
 	Host    string
 	Path    string
-	// Key is the organisation's.
+	// Key is the API key of the organisation.
 	Key string
-	// Budget is how long the caller waits.
+	// Budget is the time that the caller waits.
 	Budget time.Duration
 	Body   string
 }
 
-// once hides that a body could be read again: net/http would repeat a request
-// on a broken connection by itself, which would count as the system's repetition.
-type once struct{ io.Reader }
+// singleReadBody hides that a body can be read again. Otherwise net/http retries a
+// request on a broken connection by itself, which would count as a retry by the
+// system.
+type singleReadBody struct{ io.Reader }
 
-// HTTP returns the request as it is sent.
+// HTTP returns the HTTP request to send.
 func (r Request) HTTP() (*http.Request, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+r.Address+r.Path, once{strings.NewReader(r.Body)})
+	request, err := http.NewRequest(http.MethodPost, "http://"+r.Address+r.Path, singleReadBody{strings.NewReader(r.Body)})
 	if err != nil {
 		return nil, err
 	}
