--- a/attempt/runner.go
+++ b/attempt/runner.go
@@ -108,7 +108,7 @@
 // progress is the state that the attempts of one request share.
 type progress struct {
 	request *request.Request
-	policy  config.Effective
+	policy  config.EffectivePolicy
 	prefix  []uint64
 	avoid   []string
 	order   *moveOrder
--- a/capacity/configured.go
+++ b/capacity/configured.go
@@ -35,7 +35,7 @@
 			Role:        "engine",
 			Units:       max(rates[model.Name]*c.Capacity.HeadroomFactor(), model.MinTokensASecond),
 			Reclaimable: policy.ReclaimableFraction,
-			Models:      model.Held(),
+			Models:      model.RequiredModels(),
 		})
 	}
 	return demands
--- a/command/entry.go
+++ b/command/entry.go
@@ -60,13 +60,13 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	instance, err := entry.New(entry.Config{
-		Settings: loaded,
-		Path:     *path,
-		Hangups:  hangups,
-		Policy:   *policy,
-		Metrics:  *metricsPort,
-		Clock:    clk,
-		Logger:   logger,
+		Settings:     loaded,
+		SettingsPath: *path,
+		Hangups:      hangups,
+		Policy:       *policy,
+		MetricsPort:  *metricsPort,
+		Clock:        clk,
+		Logger:       logger,
 	})
 	if err != nil {
 		fmt.Fprintln(errOut, err)
--- a/config/capacity.go
+++ b/config/capacity.go
@@ -6,13 +6,13 @@
 // bought or returned.
 type Capacity struct {
 	// Classes are the machine classes that may be bought for models.
-	Classes []MachineClass `json:"classes"`
+	Classes []InstanceClass `json:"classes"`
 	// Headroom is the ratio of capacity to demand; 1.1 if left out.
 	Headroom *float64 `json:"headroom,omitempty"`
 }
 
-// MachineClass is an instance class that the cloud offers.
-type MachineClass struct {
+// InstanceClass is an instance class that the cloud offers.
+type InstanceClass struct {
 	Name string `json:"name"`
 	// TokensASecond is the rate at which one instance generates tokens while it
 	// meets the latency target.
@@ -30,9 +30,9 @@
 	return *c.Headroom
 }
 
-// Held returns the models, adapters and versions that each replica of the model
+// RequiredModels returns the models, adapters and versions that each replica of the model
 // must hold.
-func (m *Model) Held() []string {
+func (m *Model) RequiredModels() []string {
 	if len(m.Holds) == 0 {
 		return []string{m.Name}
 	}
--- a/config/resolve.go
+++ b/config/resolve.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Effective is a policy in which every field has a value.
-type Effective struct {
+// EffectivePolicy is a policy in which every field has a value.
+type EffectivePolicy struct {
 	FirstTokenTarget    time.Duration
 	BetweenTokensTarget time.Duration
 	Deadline            time.Duration
@@ -20,7 +20,7 @@
 }
 
 // builtinDefaults applies to fields that the configured defaults leave out.
-var builtinDefaults = Effective{
+var builtinDefaults = EffectivePolicy{
 	FirstTokenTarget:    400 * time.Millisecond,
 	BetweenTokensTarget: 48 * time.Millisecond,
 	Deadline:            2 * time.Minute,
@@ -34,7 +34,7 @@
 }
 
 // Resolve returns the effective policy for the names given in where.
-func (c *Config) Resolve(where Match) Effective {
+func (c *Config) Resolve(where Match) EffectivePolicy {
 	effective := builtinDefaults
 	effective.apply(&c.Defaults)
 	for i := range c.Exceptions {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (e *Effective) apply(p *Policy) {
+func (e *EffectivePolicy) apply(p *Policy) {
 	setIfPresent(&e.FirstTokenTarget, (*time.Duration)(p.FirstTokenTarget))
 	setIfPresent(&e.BetweenTokensTarget, (*time.Duration)(p.BetweenTokensTarget))
 	setIfPresent(&e.Deadline, (*time.Duration)(p.Deadline))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,12 +38,12 @@
 // Config holds the settings and dependencies of an entry instance.
 type Config struct {
 	Settings *platform.Settings
-	// Path is the settings file, which is reloaded on each signal of Hangups.
-	Path    string
-	Hangups <-chan os.Signal
-	// Metrics is an additional port for metrics; if it is zero, only the readiness
+	// SettingsPath is the settings file, which is reloaded on each signal of Hangups.
+	SettingsPath string
+	Hangups      <-chan os.Signal
+	// MetricsPort is an additional port for metrics; if it is zero, only the readiness
 	// listener serves them.
-	Metrics int
+	MetricsPort int
 	// Clock is the corrected clock that the log shares; if it is nil, New creates one.
 	Clock *clock.Clock
 	// Policy names how replicas are chosen; PolicyPredicted if empty.
@@ -139,8 +139,8 @@
 		registry:  prometheus.NewRegistry(),
 	}
 	addresses := []string{config.Settings.Frontend, config.Settings.Ready}
-	if config.Metrics > 0 {
-		addresses = append(addresses, net.JoinHostPort(config.Settings.Address, strconv.Itoa(config.Metrics)))
+	if config.MetricsPort > 0 {
+		addresses = append(addresses, net.JoinHostPort(config.Settings.Address, strconv.Itoa(config.MetricsPort)))
 	}
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp", address)
@@ -243,7 +243,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if _, err := platform.LoadSettings(e.config.Path); err != nil {
+		if _, err := platform.LoadSettings(e.config.SettingsPath); err != nil {
 			e.config.Logger.Warn("failed to reload settings; keeping the current ones", "cause", err)
 			continue
 		}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -170,7 +170,7 @@
 // sendHanging sends a request that the replica never answers, and returns the channel
 // that receives the status.
 func (f *fleet) sendHanging(name, path string) (answered <-chan int) {
-	f.replica.Behave(replica.Behaviour{
+	f.replica.SetBehaviour(replica.Behaviour{
 		Hang: true,
 	})
 	status := make(chan int, 1)
@@ -242,7 +242,7 @@
 	start := time.Now()
 	f.stops["edge-1"]()
 	f.is.True(time.Since(start) < f.stopTimeout)
-	f.replica.Behave(replica.Behaviour{})
+	f.replica.SetBehaviour(replica.Behaviour{})
 	<-answered
 }
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -240,7 +240,7 @@
 // setBehaviour sets the behaviour of every replica.
 func (f *fixture) setBehaviour(behaviour replica.Behaviour) {
 	for _, r := range f.replicas {
-		r.Behave(behaviour)
+		r.SetBehaviour(behaviour)
 	}
 }
 
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -86,7 +86,7 @@
 		"reset":    {Reset: true},
 		"cut":      {CutBody: true},
 		"crossed":  {Crossed: true},
-		"unsigned": {Unsigned: true},
+		"unsigned": {OmitStamp: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 3)
@@ -102,7 +102,7 @@
 // If all replicas report that, the caller gets 503 and a Retry-After header.
 func TestRetriesRequestNotRun(t *testing.T) {
 	f := newFixture(t, 2)
-	f.replicas[0].Behave(replica.Behaviour{
+	f.replicas[0].SetBehaviour(replica.Behaviour{
 		NotRun: true,
 	})
 	for range 4 {
@@ -132,7 +132,7 @@
 	f.is.Equal(f.do(request).status, http.StatusGatewayTimeout)
 	took := time.Since(started)
 	f.is.True(took >= 400*time.Millisecond && took < 900*time.Millisecond)
-	waitClosed(t, f.replicas[0].Runs()[0].Left)
+	waitClosed(t, f.replicas[0].Runs()[0].Disconnected)
 }
 
 // Guards against a replica that continues to work for a disconnected caller. Its
@@ -145,7 +145,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(100*time.Millisecond, cancel)
 	f.is.True(f.do(f.request(http.MethodPost, pathResumable, "x").WithContext(ctx)).broken)
-	waitClosed(t, f.replicas[0].Runs()[0].Left)
+	waitClosed(t, f.replicas[0].Runs()[0].Disconnected)
 	f.is.Equal(f.runCount(), 1)
 }
 
@@ -164,7 +164,7 @@
 // answers unchanged.
 func TestSafeRequestIsRetried(t *testing.T) {
 	f := newFixture(t, 2)
-	f.replicas[0].Behave(replica.Behaviour{
+	f.replicas[0].SetBehaviour(replica.Behaviour{
 		Status: http.StatusInternalServerError,
 	})
 	for range 4 {
@@ -240,8 +240,8 @@
 // another replica, and the former replica is marked as leaving.
 func TestAddressTakenOver(t *testing.T) {
 	f := newFixture(t, 2)
-	f.replicas[0].Behave(replica.Behaviour{
-		Elsewhere: true,
+	f.replicas[0].SetBehaviour(replica.Behaviour{
+		Misdirected: true,
 	})
 	// The router chooses randomly between equal replicas; 64 requests reach both.
 	for range 64 {
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -151,11 +151,11 @@
 	}()
 	f.is.True(f.do(f.request(http.MethodPost, pathResumable, "x")).broken)
 	f.is.True(f.runCount() <= 8)
-	f.replicas[0].Behave(replica.Behaviour{
+	f.replicas[0].SetBehaviour(replica.Behaviour{
 		Status: http.StatusInternalServerError,
 	})
-	f.replicas[1].Behave(replica.Behaviour{})
-	f.replicas[2].Behave(replica.Behaviour{})
+	f.replicas[1].SetBehaviour(replica.Behaviour{})
+	f.replicas[2].SetBehaviour(replica.Behaviour{})
 	for range 4 {
 		f.is.Equal(f.do(f.request(http.MethodGet, pathSafe, "")).status, http.StatusOK)
 	}
--- a/issuedkeys/issuer.go
+++ b/issuedkeys/issuer.go
@@ -22,14 +22,14 @@
 
 // Errors of this package.
 var (
-	// ErrForged means that the key was not issued to this organisation for this service.
-	ErrForged = errors.New("issuedkeys: key was not issued to this organisation for this service")
+	// ErrNotIssued means that the key was not issued to this organisation for this service.
+	ErrNotIssued = errors.New("issuedkeys: key was not issued to this organisation for this service")
 	// ErrExpired means that the key has expired and cannot be used for the first time.
 	ErrExpired = errors.New("issuedkeys: key has expired")
 	// ErrConflict means that the key was used with another call.
 	ErrConflict = errors.New("issuedkeys: key was used with another call")
-	// ErrElsewhere means that another process issued the key.
-	ErrElsewhere = errors.New("issuedkeys: key was issued by another process")
+	// ErrOtherIssuer means that another process issued the key.
+	ErrOtherIssuer = errors.New("issuedkeys: key was issued by another process")
 )
 
 // Config configures an Issuer.
@@ -113,7 +113,7 @@
 // the call, a new one is started.
 func (i *Issuer) Take(key Key, callHash string) (*Use, bool, error) {
 	if key.Epoch != i.epoch {
-		return nil, false, ErrElsewhere
+		return nil, false, ErrOtherIssuer
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -178,9 +178,9 @@
 	}
 }
 
-// Known returns whether the call of a key ran, as far as this process knows, for
+// RunState returns whether the call of a key ran, as far as this process knows, for
 // refusals that precede the use of the key.
-func (i *Issuer) Known(text string) zinniamast.Ran {
+func (i *Issuer) RunState(text string) zinniamast.Ran {
 	key, err := parse(text)
 	if err != nil || key.Epoch != i.epoch {
 		return zinniamast.Unknown
--- a/issuedkeys/issuer_test.go
+++ b/issuedkeys/issuer_test.go
@@ -46,11 +46,11 @@
 	}{
 		{issuer: old, organisation: "north", service: "booking", key: keys[0]},
 		{issuer: rotated, organisation: "north", service: "booking", key: keys[0]},
-		{issuer: dropped, organisation: "north", service: "booking", key: keys[0], want: issuedkeys.ErrForged},
-		{issuer: old, organisation: "south", service: "booking", key: keys[0], want: issuedkeys.ErrForged},
-		{issuer: old, organisation: "north", service: "orders", key: keys[0], want: issuedkeys.ErrForged},
-		{issuer: old, organisation: "north", service: "booking", key: strings.Replace(keys[0], ".1.", ".01.", 1), want: issuedkeys.ErrForged},
-		{issuer: old, organisation: "north", service: "booking", key: "zk1.x", want: issuedkeys.ErrForged},
+		{issuer: dropped, organisation: "north", service: "booking", key: keys[0], want: issuedkeys.ErrNotIssued},
+		{issuer: old, organisation: "south", service: "booking", key: keys[0], want: issuedkeys.ErrNotIssued},
+		{issuer: old, organisation: "north", service: "orders", key: keys[0], want: issuedkeys.ErrNotIssued},
+		{issuer: old, organisation: "north", service: "booking", key: strings.Replace(keys[0], ".1.", ".01.", 1), want: issuedkeys.ErrNotIssued},
+		{issuer: old, organisation: "north", service: "booking", key: "zk1.x", want: issuedkeys.ErrNotIssued},
 	}
 	for _, c := range cases {
 		_, err := c.issuer.Verify(c.organisation, c.service, c.key)
@@ -82,8 +82,8 @@
 	is.True(errors.Is(err, issuedkeys.ErrConflict))
 	restarted := newIssuer(secret)
 	_, _, err = restarted.Take(key, "call")
-	is.True(errors.Is(err, issuedkeys.ErrElsewhere))
-	is.Equal(restarted.Known(keys[0]), zinniamast.Unknown)
+	is.True(errors.Is(err, issuedkeys.ErrOtherIssuer))
+	is.Equal(restarted.RunState(keys[0]), zinniamast.Unknown)
 }
 
 // A key counts as not run before its use and after a use that did not run. A key
@@ -95,24 +95,24 @@
 		keys, expires := issuer.Issue("north", "booking", 2)
 		key, err := issuer.Verify("north", "booking", keys[0])
 		is.NoErr(err)
-		is.Equal(issuer.Known(keys[0]), zinniamast.NotRun)
+		is.Equal(issuer.RunState(keys[0]), zinniamast.NotRun)
 		use, _, _ := issuer.Take(key, "call")
-		is.Equal(issuer.Known(keys[0]), zinniamast.Unknown)
+		is.Equal(issuer.RunState(keys[0]), zinniamast.Unknown)
 		use.End(nil, zinniamast.Refuse(zinniamast.ReasonNoUpstream, "none"))
-		is.Equal(issuer.Known(keys[0]), zinniamast.NotRun)
+		is.Equal(issuer.RunState(keys[0]), zinniamast.NotRun)
 		use, taken, _ := issuer.Take(key, "call")
 		is.True(taken) // a call that did not run may start again
 		use.End(&zinniamast.ServiceAnswer{Status: 200}, nil)
-		is.Equal(issuer.Known(keys[0]), zinniamast.DidRun)
+		is.Equal(issuer.RunState(keys[0]), zinniamast.DidRun)
 		time.Sleep(time.Until(expires) + time.Second)
 		unused, _ := issuer.Verify("north", "booking", keys[1])
 		_, _, err = issuer.Take(unused, "call")
 		is.True(errors.Is(err, issuedkeys.ErrExpired))
-		is.Equal(issuer.Known(keys[1]), zinniamast.NotRun)
+		is.Equal(issuer.RunState(keys[1]), zinniamast.NotRun)
 		time.Sleep(2 * time.Hour)
 		issuer.Take(unused, "call") // sweeps
 		_, _, err = issuer.Take(key, "call")
 		is.True(errors.Is(err, issuedkeys.ErrExpired))
-		is.Equal(issuer.Known(keys[0]), zinniamast.Unknown)
+		is.Equal(issuer.RunState(keys[0]), zinniamast.Unknown)
 	})
 }
--- a/issuedkeys/key.go
+++ b/issuedkeys/key.go
@@ -30,9 +30,9 @@
 	Expires time.Time
 }
 
-// Is reports whether an idempotency key has the form of an issued key, without
+// IsIssued reports whether an idempotency key has the form of an issued key, without
 // verifying it.
-func Is(text string) bool { return strings.HasPrefix(text, prefix) }
+func IsIssued(text string) bool { return strings.HasPrefix(text, prefix) }
 
 // body returns the signed part of the key's text.
 func (k *Key) body() string {
@@ -56,20 +56,20 @@
 // parse parses a key without verifying its signature.
 func parse(text string) (Key, error) {
 	fields := strings.Split(text, ".")
-	if len(fields) != partCount || !Is(text) {
-		return Key{}, ErrForged
+	if len(fields) != partCount || !IsIssued(text) {
+		return Key{}, ErrNotIssued
 	}
 	node, err := base64.RawURLEncoding.DecodeString(fields[1])
 	if err != nil {
-		return Key{}, ErrForged
+		return Key{}, ErrNotIssued
 	}
 	serial, err := strconv.ParseUint(fields[3], 10, 64)
 	if err != nil {
-		return Key{}, ErrForged
+		return Key{}, ErrNotIssued
 	}
 	expires, err := strconv.ParseInt(fields[4], 10, 64)
 	if err != nil {
-		return Key{}, ErrForged
+		return Key{}, ErrNotIssued
 	}
 	return Key{
 		Node:    string(node),
@@ -92,5 +92,5 @@
 			return key, nil
 		}
 	}
-	return Key{}, ErrForged
+	return Key{}, ErrNotIssued
 }
--- a/load/fake_test.go
+++ b/load/fake_test.go
@@ -135,7 +135,7 @@
 		Stream    bool            `json:"stream"`
 	}
 	_ = json.NewDecoder(r.Body).Decode(&body)
-	f.messages[engine.Hash(body.Messages)]++
+	f.messages[engine.MessagesHash(body.Messages)]++
 	text := f.mangle(fakeAnswer(body.Messages, body.MaxTokens))
 	if !body.Stream {
 		w.Header().Set("Content-Type", "application/json")
--- a/load/plan.go
+++ b/load/plan.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	t.hash = engine.Hash(raw)
+	t.hash = engine.MessagesHash(raw)
 	t.Expected = p.config.Answer(raw, t.maxTokens)
 	return nil
 }
--- a/processtest/nodes_test.go
+++ b/processtest/nodes_test.go
@@ -142,5 +142,5 @@
 	fleet.Nodes[0].Resume()
 	honest(t, driven.Report())
 	is := is.New(t)
-	is.Equal(fleet.Ledger.Doubled(), nil)
+	is.Equal(fleet.Ledger.KeysRunTwice(), nil)
 }
--- a/registry/follower_test.go
+++ b/registry/follower_test.go
@@ -264,7 +264,7 @@
 	f.store.PutJSON("servers", "i-1", readyEntry(1))
 	f.eventually(time.Second, "replica", f.isAccepting("i-1"))
 	f.store.SetFault(store.Fault{
-		DeafFeeds: true,
+		SilentFeeds: true,
 	})
 	f.store.PutJSON("servers", "i-2", readyEntry(1)) // ends the feed that still receives changes
 	time.Sleep(50 * time.Millisecond)
--- a/services/call.go
+++ b/services/call.go
@@ -27,7 +27,7 @@
 	id             string
 	organisation   string
 	service        *config.Service
-	policy         config.Effective
+	policy         config.EffectivePolicy
 	class          request.Class
 	key            string
 	isFirstSending bool
--- a/services/issued.go
+++ b/services/issued.go
@@ -66,13 +66,13 @@
 	claim := c.claimsCall()
 	use, isOwner, err := h.config.Issuer.Take(key, claim.Hash())
 	switch {
-	case errors.Is(err, issuedkeys.ErrElsewhere):
+	case errors.Is(err, issuedkeys.ErrOtherIssuer):
 		return h.forwardToIssuer(ctx, c, key)
 	case errors.Is(err, issuedkeys.ErrConflict):
 		return nil, claims.Conflict(c.key)
 	case err != nil:
 		return nil, zinniamast.Refuse(zinniamast.ReasonKeyRequired,
-			"the key has expired; ask for a new one").WithRan(h.config.Issuer.Known(c.key))
+			"the key has expired; ask for a new one").WithRan(h.config.Issuer.RunState(c.key))
 	case isOwner:
 		return h.dispatchUse(c, use)
 	}
--- a/services/services.go
+++ b/services/services.go
@@ -119,7 +119,7 @@
 		return h.runRepeatable(ctx, c)
 	case c.key == "":
 		return h.runUnkeyed(c)
-	case issuedkeys.Is(c.key):
+	case issuedkeys.IsIssued(c.key):
 		return h.runIssued(ctx, c)
 	default:
 		return h.runClaimed(ctx, c)
@@ -147,8 +147,8 @@
 	switch {
 	case c.isFirstSending:
 		return zinniamast.NotRun
-	case issuedkeys.Is(c.key) && h.config.Issuer != nil:
-		return h.config.Issuer.Known(c.key)
+	case issuedkeys.IsIssued(c.key) && h.config.Issuer != nil:
+		return h.config.Issuer.RunState(c.key)
 	case c.service.ChecksKeys:
 		return zinniamast.Unknown
 	default:
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -69,7 +69,7 @@
 		Status: http.StatusServiceUnavailable,
 	})),
 	strike("store loses answers", theStore, storeFault(store.Fault{
-		LoseWrites: true,
+		LoseWriteAnswers: true,
 	})),
 	strike("one instance's store silent", anyStoreLink, silence),
 	strike("replica slow", anyReplicaLink, func(_ *deployment, link *processtest.Link, random *rand.Rand) func() {
@@ -89,8 +89,8 @@
 		return func() {}
 	}),
 	strike("replica misbehaves", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(misbehaviours[random.IntN(len(misbehaviours))])
-		return func() { r.Behave(replica.Behaviour{}) }
+		r.SetBehaviour(misbehaviours[random.IntN(len(misbehaviours))])
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 }
 
@@ -99,17 +99,17 @@
 // faults, so that several replicas at a time are silent beside the other faults.
 var silences = []fault{
 	strike("replica pauses in streams", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(replica.Behaviour{
+		r.SetBehaviour(replica.Behaviour{
 			PauseAfter: 1 + random.IntN(replica.StreamEvents-1),
 			Pause:      within(random, 1200*time.Millisecond, 1800*time.Millisecond),
 		})
-		return func() { r.Behave(replica.Behaviour{}) }
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 	strike("replica begins late", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(replica.Behaviour{
+		r.SetBehaviour(replica.Behaviour{
 			Delay: within(random, 400*time.Millisecond, time.Second),
 		})
-		return func() { r.Behave(replica.Behaviour{}) }
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 	strike("reload", anyNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Hangup()
@@ -126,7 +126,7 @@
 var misbehaviours = []replica.Behaviour{
 	{NotRun: true},
 	{Reset: true},
-	{Unsigned: true},
+	{OmitStamp: true},
 	{Crossed: true},
 	{CutBody: true},
 	{Status: http.StatusInternalServerError},
--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -22,8 +22,8 @@
 // seed returns the hash of a messages array, which determines its whole answer.
 func seed(messages []byte) uint64 { return xxh3.Hash(messages) }
 
-// Hash returns the key of a messages array in Runs.Messages.
-func Hash(messages []byte) uint64 { return seed(messages) }
+// MessagesHash returns the key of a messages array in Runs.Messages.
+func MessagesHash(messages []byte) uint64 { return seed(messages) }
 
 // naturalLength returns the length of the answer, in tokens, without a limit.
 func naturalLength(seed uint64) int { return minAnswerTokens + int(seed%answerTokensRange) }
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -27,9 +27,9 @@
 	Behaviour Behaviour
 	// Refused reports that the replica refused the request and did not run it.
 	Refused bool
-	// Left is closed once the caller's side closes the connection before the end
+	// Disconnected is closed once the caller's side closes the connection before the end
 	// of the answer.
-	Left chan struct{}
+	Disconnected chan struct{}
 }
 
 // Behaviour determines how a request is answered; the zero value sends a whole
@@ -39,16 +39,16 @@
 	Status int
 	// NotRun answers that the request was not executed.
 	NotRun bool
-	// Elsewhere answers that the address belongs to another instance.
-	Elsewhere bool
+	// Misdirected answers that the address belongs to another instance.
+	Misdirected bool
 	// Reset closes the connection without an answer after the request is read.
 	Reset bool
 	// Hang sends no answer until the caller disconnects.
 	Hang bool
-	// Unsigned omits the replica's server stamp, and Crossed answers with the ID of
+	// OmitStamp omits the replica's server stamp, and Crossed answers with the ID of
 	// another request.
-	Unsigned bool
-	Crossed  bool
+	OmitStamp bool
+	Crossed   bool
 	// Delay is the time before the replica answers.
 	Delay time.Duration
 	// Events is the number of events of a stream; zero sends a whole answer.
@@ -69,7 +69,7 @@
 // Faulty reports whether an answer lacks the replica's stamp, carries the ID of
 // another request or has a server error status.
 func (b Behaviour) Faulty() bool {
-	return b.Unsigned || b.Crossed || b.Status >= http.StatusInternalServerError
+	return b.OmitStamp || b.Crossed || b.Status >= http.StatusInternalServerError
 }
 
 // Breaks reports whether answers end before they are complete.
@@ -109,16 +109,16 @@
 // Address returns host:port.
 func (r *Replica) Address() string { return strings.TrimPrefix(r.server.URL, "http://") }
 
-// Behave sets how requests are answered from now on.
-func (r *Replica) Behave(b Behaviour) {
+// SetBehaviour sets how requests are answered from now on.
+func (r *Replica) SetBehaviour(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviour = b
 }
 
-// Report sets the load report of the replica; if it is empty, the replica answers
+// SetReport sets the load report of the replica; if it is empty, the replica answers
 // 404.
-func (r *Replica) Report(body string) {
+func (r *Replica) SetReport(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report = body
@@ -158,18 +158,18 @@
 		return
 	}
 	run := &Run{
-		ID:     request.Header.Get("Zinniamast-Request-Id"),
-		Method: request.Method,
-		Target: request.RequestURI,
-		Header: request.Header.Clone(),
-		Body:   string(body),
-		Left:   make(chan struct{}),
+		ID:           request.Header.Get("Zinniamast-Request-Id"),
+		Method:       request.Method,
+		Target:       request.RequestURI,
+		Header:       request.Header.Clone(),
+		Body:         string(body),
+		Disconnected: make(chan struct{}),
 	}
 	r.mu.Lock()
 	b := r.behaviour
 	run.Received = time.Now()
 	run.Behaviour = b
-	run.Refused = b.NotRun || b.Elsewhere || run.Header.Get("Zinniamast-Expect-Instance") != r.ID
+	run.Refused = b.NotRun || b.Misdirected || run.Header.Get("Zinniamast-Expect-Instance") != r.ID
 	r.runs = append(r.runs, run)
 	r.mu.Unlock()
 	stop := make(chan struct{})
@@ -177,7 +177,7 @@
 	go func() {
 		select {
 		case <-request.Context().Done():
-			close(run.Left)
+			close(run.Disconnected)
 		case <-stop:
 		}
 	}()
@@ -190,13 +190,13 @@
 		panic(http.ErrAbortHandler)
 	case b.Hang:
 		<-request.Context().Done()
-		<-run.Left
+		<-run.Disconnected
 		panic(http.ErrAbortHandler)
 	case b.NotRun:
 		w.Header().Set("Zinniamast-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case b.Elsewhere || request.Header.Get("Zinniamast-Expect-Instance") != r.ID:
+	case b.Misdirected || request.Header.Get("Zinniamast-Expect-Instance") != r.ID:
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -210,7 +210,7 @@
 		id = "another"
 	}
 	w.Header().Set("Zinniamast-Request-Id", id)
-	if !b.Unsigned {
+	if !b.OmitStamp {
 		w.Header().Set("Zinniamast-Server-Stamp", "stamp-"+r.ID)
 	}
 	switch {
@@ -268,7 +268,7 @@
 			flusher.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, Piece(r.StreamPrefix != "", request.Header.Get("Zinniamast-Request-Id"), i))
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, EventData(r.StreamPrefix != "", request.Header.Get("Zinniamast-Request-Id"), i))
 		flusher.Flush()
 		gap := b.Gap
 		if i == b.PauseAfter {
@@ -282,9 +282,9 @@
 	}
 }
 
-// Piece returns the data of an event of a stream. If named is set, it includes the
+// EventData returns the data of an event of a stream. If named is set, it includes the
 // request ID, so that callers can check which request the event belongs to.
-func Piece(named bool, request string, number int) string {
+func EventData(named bool, request string, number int) string {
 	piece := "piece-" + strconv.Itoa(number)
 	if named {
 		return piece + " of " + request
--- a/standin/service/ledger.go
+++ b/standin/service/ledger.go
@@ -59,8 +59,8 @@
 	return counts
 }
 
-// Doubled lists the keys that ran more than once.
-func (l *Ledger) Doubled() []string {
+// KeysRunTwice lists the keys that ran more than once.
+func (l *Ledger) KeysRunTwice() []string {
 	var doubled []string
 	for key, runs := range l.Counts().Keys {
 		if runs > 1 {
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -32,10 +32,10 @@
 	// Hang leaves every call, including waiting feeds, without an answer until
 	// its caller disconnects.
 	Hang bool
-	// LoseWrites applies writes and closes the connection without an answer.
-	LoseWrites bool
-	// DeafFeeds makes feeds that are opened now receive no changes while they wait.
-	DeafFeeds bool
+	// LoseWriteAnswers applies writes and closes the connection without an answer.
+	LoseWriteAnswers bool
+	// SilentFeeds makes feeds that are opened now receive no changes while they wait.
+	SilentFeeds bool
 }
 
 // Store is the stand-in.
@@ -156,7 +156,7 @@
 			w.WriteHeader(fault.Status)
 			return
 		}
-		if fault.LoseWrites && r.Method == http.MethodPost {
+		if fault.LoseWriteAnswers && r.Method == http.MethodPost {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -276,7 +276,7 @@
 	waitMs, _ := strconv.Atoi(query.Get("waitMs"))
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	s.mu.Lock()
-	silent := s.fault.DeafFeeds
+	silent := s.fault.SilentFeeds
 	for {
 		if since < s.dropped {
 			s.mu.Unlock()
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -315,7 +315,7 @@
 	f := newFleet(t)
 	c, stop := f.counter("node-1")
 	f.store.SetFault(store.Fault{
-		LoseWrites: true,
+		LoseWriteAnswers: true,
 	})
 	c.CountStarted("acme")
 	time.Sleep(2500 * time.Millisecond)
