--- a/checker/checker.go
+++ b/checker/checker.go
@@ -11,16 +11,16 @@
 
 // Checker records requests and outcomes. It is safe for concurrent use.
 type Checker struct {
-	mu      sync.Mutex
-	entries map[string]*entry
-	order   []string
-	strays  []string
+	mu            sync.Mutex
+	entries       map[string]*entry
+	order         []string
+	strayOutcomes []string
 }
 
-// entry is one request with the outcomes its caller got.
+// entry is one request with the outcomes that its caller received.
 type entry struct {
-	request Request
-	results []Result
+	request  Request
+	outcomes []Outcome
 }
 
 // New returns an empty checker.
@@ -28,8 +28,9 @@
 	return &Checker{entries: map[string]*entry{}}
 }
 
-// Sent records a request before its first byte goes out.
-func (c *Checker) Sent(r Request) error {
+// RecordSent records a request before its first byte is sent. It returns an
+// error if the ID is recorded already.
+func (c *Checker) RecordSent(r Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.entries[r.ID]; ok {
@@ -42,48 +43,48 @@
 	return nil
 }
 
-// Got records the final outcome of a request. An outcome for a request that
-// was never sent is a violation of its own.
-func (c *Checker) Got(id string, result Result) {
+// RecordOutcome records the final outcome of a request. An outcome for a request
+// that was never sent is reported as a violation.
+func (c *Checker) RecordOutcome(id string, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.entries[id]
+	recorded, ok := c.entries[id]
 	if !ok {
-		c.strays = append(c.strays, id)
+		c.strayOutcomes = append(c.strayOutcomes, id)
 		return
 	}
-	known.results = append(known.results, result)
+	recorded.outcomes = append(recorded.outcomes, outcome)
 }
 
-// Open returns the requests that have no outcome yet, in the order they were sent.
-func (c *Checker) Open() []Request {
+// Pending returns the requests without an outcome, in the order they were sent.
+func (c *Checker) Pending() []Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var open []Request
 	for _, id := range c.order {
-		if known := c.entries[id]; len(known.results) == 0 {
-			open = append(open, known.request)
+		if recorded := c.entries[id]; len(recorded.outcomes) == 0 {
+			open = append(open, recorded.request)
 		}
 	}
 	return open
 }
 
-// Reconcile compares the outcomes with what ran. Margin is what a caller may
-// wait past its deadline for an honest failure before the request counts as lost.
+// Reconcile compares the outcomes with the runs. Margin is how long after its
+// deadline a caller may receive a failure before the request counts as lost.
 func (c *Checker) Reconcile(runs Runs, margin time.Duration) Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := newVerdict()
 	owners := c.owners()
 	for _, id := range c.order {
-		v.judge(c.entries[id], runs[id], owners, margin)
+		v.checkRequest(c.entries[id], runs[id], owners, margin)
 	}
-	for _, id := range c.strays {
+	for _, id := range c.strayOutcomes {
 		v.NotWhole++
-		v.violate("%s: an outcome came for a request that was never sent", id)
+		v.addViolation("%s: an outcome came for a request that was never sent", id)
 	}
-	c.judgeStrayRuns(&v, runs)
-	v.settle()
+	c.checkStrayRuns(&v, runs)
+	v.countAccepted()
 	return v
 }
 
@@ -97,30 +98,30 @@
 	return owners
 }
 
-// judgeStrayRuns finds runs of requests that no caller asked for.
-func (c *Checker) judgeStrayRuns(v *Verdict, runs Runs) {
-	var strays []string
+// checkStrayRuns reports runs of requests that no caller sent.
+func (c *Checker) checkStrayRuns(v *Verdict, runs Runs) {
+	var strayIDs []string
 	for id, count := range runs {
 		if _, ok := c.entries[id]; !ok && count > 0 {
-			strays = append(strays, id)
+			strayIDs = append(strayIDs, id)
 		}
 	}
-	slices.Sort(strays)
-	for _, id := range strays {
+	slices.Sort(strayIDs)
+	for _, id := range strayIDs {
 		v.StrayRuns++
-		v.violate("%s: ran %d times although no caller sent it", id, runs[id])
+		v.addViolation("%s: ran %d times although no caller sent it", id, runs[id])
 	}
 }
 
-// Claimed returns the runs that the outcomes claim, for use where nothing
-// counts what truly ran: then only answers and outcomes are checked.
-func (c *Checker) Claimed() Runs {
+// ReportedRuns returns the runs that follow from the outcomes. It is used where
+// nothing counts the actual runs, so that only answers and outcomes are checked.
+func (c *Checker) ReportedRuns() Runs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	runs := Runs{}
-	for id, known := range c.entries {
-		for _, result := range known.results {
-			if result.Whole || result.Ran == zinniamast.DidRun {
+	for id, recorded := range c.entries {
+		for _, outcome := range recorded.outcomes {
+			if outcome.Whole || outcome.Ran == zinniamast.DidRun {
 				runs[id] = 1
 			}
 		}
--- a/checker/checker_test.go
+++ b/checker/checker_test.go
@@ -26,23 +26,23 @@
 	}
 }
 
-func whole(answer string) checker.Result {
-	return checker.Result{
+func whole(answer string) checker.Outcome {
+	return checker.Outcome{
 		Whole:  true,
 		Answer: answer,
 		At:     start,
 	}
 }
 
-func refused(ran zinniamast.Ran, at time.Time) checker.Result {
-	return checker.Result{
+func failed(ran zinniamast.Ran, at time.Time) checker.Outcome {
+	return checker.Outcome{
 		Ran:    ran,
 		Reason: "no_capacity",
 		At:     at,
 	}
 }
 
-// counter picks the one count that a violation must raise.
+// counter returns the one count that a violation must increase.
 type counter func(v *checker.Verdict) int
 
 func lost(v *checker.Verdict) int        { return v.Lost }
@@ -52,43 +52,42 @@
 func falseNotRun(v *checker.Verdict) int { return v.FalseNotRun }
 func falseRan(v *checker.Verdict) int    { return v.FalseRan }
 
-// violation is one fault and how the checker must name it.
-type violation struct {
-	name   string
-	kind   checker.Kind
-	ran    int
-	count  counter
-	saying string
-	got    []checker.Result
+// violationCase is one fault and the message and count that it must cause.
+type violationCase struct {
+	name     string
+	kind     checker.Kind
+	runs     int
+	count    counter
+	message  string
+	outcomes []checker.Outcome
 }
 
-// TestViolations feeds the checker each fault that it is meant to find.
-// A caller sees: another's answer, a torn one, none, two, or a wrong word
-// about the run. A check that none of these trips could not fail, so each
-// row also names the one count that must rise.
+// TestViolations guards against faults that the checker misses: a caller
+// receives the answer of another request, a damaged answer, no outcome, two
+// outcomes or a wrong run state. Each case must increase exactly one count.
 func TestViolations(t *testing.T) {
-	uncertain := refused(zinniamast.NotRun, start)
+	uncertain := failed(zinniamast.NotRun, start)
 	uncertain.Uncertain = true
-	cases := []violation{}
-	add := func(name string, kind checker.Kind, ran int, count counter, saying string, got ...checker.Result) {
-		cases = append(cases, violation{
-			name:   name,
-			kind:   kind,
-			ran:    ran,
-			count:  count,
-			saying: saying,
-			got:    got,
+	cases := []violationCase{}
+	add := func(name string, kind checker.Kind, ran int, count counter, saying string, got ...checker.Outcome) {
+		cases = append(cases, violationCase{
+			name:     name,
+			kind:     kind,
+			runs:     ran,
+			count:    count,
+			message:  saying,
+			outcomes: got,
 		})
 	}
 	add("lost", checker.KindSummary, 1, lost, "no outcome")
-	add("late failure", checker.KindSummary, 0, lost, "after its deadline", refused(zinniamast.Unknown, start.Add(time.Minute+2*margin)))
-	add("failure without a word on the run", checker.KindSummary, 0, lost, "does not say", refused("", start))
+	add("late failure", checker.KindSummary, 0, lost, "after its deadline", failed(zinniamast.Unknown, start.Add(time.Minute+2*margin)))
+	add("failure without a run state", checker.KindSummary, 0, lost, "does not say", failed("", start))
 	add("doubled run", checker.KindBooking, 2, doubled, "ran 2 times", whole("one two three four"))
-	add("doubled run, unknown", checker.KindBooking, 2, doubled, "ran 2 times", refused(zinniamast.Unknown, start))
-	add("not run that ran", checker.KindBooking, 1, falseNotRun, "\"not run\" and ran", refused(zinniamast.NotRun, start))
+	add("doubled run, unknown", checker.KindBooking, 2, doubled, "ran 2 times", failed(zinniamast.Unknown, start))
+	add("not run that ran", checker.KindBooking, 1, falseNotRun, "\"not run\" and ran", failed(zinniamast.NotRun, start))
 	add("not run that ran, uncertain booking", checker.KindBooking, 1, falseNotRun, "\"not run\" and ran", uncertain)
-	add("not run that ran, question", checker.KindQuestion, 1, falseNotRun, "\"not run\" and ran", refused(zinniamast.NotRun, start))
-	add("ran that did not", checker.KindBooking, 0, falseRan, "told that it ran", refused(zinniamast.DidRun, start))
+	add("not run that ran, question", checker.KindQuestion, 1, falseNotRun, "\"not run\" and ran", failed(zinniamast.NotRun, start))
+	add("ran that did not", checker.KindBooking, 0, falseRan, "told that it ran", failed(zinniamast.DidRun, start))
 	add("answer without a run", checker.KindBooking, 0, falseRan, "nothing ran", whole("one two three four"))
 	add("cut short", checker.KindSummary, 1, notWhole, "cut short", whole("one two"))
 	add("runs over", checker.KindSummary, 1, notWhole, "after its end", whole("one two three four five"))
@@ -96,62 +95,64 @@
 	add("started over", checker.KindSummary, 1, notWhole, "doubled", whole("one two one two three four"))
 	add("missing token", checker.KindSummary, 1, notWhole, "missing", whole("one two four"))
 	add("mixture", checker.KindSummary, 1, notWhole, "mixture", whole("one two gamma delta"))
-	add("another's answer", checker.KindSummary, 1, wrongCaller, "answer of other", whole("alpha beta gamma delta"))
+	add("answer of another request", checker.KindSummary, 1, wrongCaller, "answer of other", whole("alpha beta gamma delta"))
 	add("two outcomes", checker.KindSummary, 1, notWhole, "2 outcomes", whole("one two three four"), whole("one two three four"))
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			c := checker.New()
-			is.NoErr(c.Sent(request("mine", test.kind, "one two three four")))
-			is.NoErr(c.Sent(request("other", checker.KindSummary, "alpha beta gamma delta")))
-			c.Got("other", whole("alpha beta gamma delta"))
-			for _, result := range test.got {
-				c.Got("mine", result)
+			is.NoErr(c.RecordSent(request("mine", test.kind, "one two three four")))
+			is.NoErr(c.RecordSent(request("other", checker.KindSummary, "alpha beta gamma delta")))
+			c.RecordOutcome("other", whole("alpha beta gamma delta"))
+			for _, outcome := range test.outcomes {
+				c.RecordOutcome("mine", outcome)
 			}
-			v := c.Reconcile(checker.Runs{"mine": test.ran, "other": 1}, margin)
+			v := c.Reconcile(checker.Runs{"mine": test.runs, "other": 1}, margin)
 			is.True(!v.OK())
 			is.Equal(test.count(&v), 1)
-			is.Equal(v.Broken(), 1)
-			is.True(strings.Contains(v.Violations[0], test.saying))
+			is.Equal(v.ViolationCount(), 1)
+			is.True(strings.Contains(v.Violations[0], test.message))
 		})
 	}
 }
 
-// TestStrays feeds what no caller asked for: a run and an outcome of unknown requests.
-func TestStrays(t *testing.T) {
+// TestStrayRunsAndOutcomes checks that a run and an outcome of requests that no
+// caller sent are violations, and that a request cannot be recorded twice.
+func TestStrayRunsAndOutcomes(t *testing.T) {
 	is := is.New(t)
 	c := checker.New()
-	c.Got("ghost", whole("boo"))
+	c.RecordOutcome("ghost", whole("boo"))
 	v := c.Reconcile(checker.Runs{"phantom": 1}, margin)
 	is.Equal(v.StrayRuns, 1)
 	is.Equal(v.NotWhole, 1)
 	is.True(!v.OK())
-	is.NoErr(c.Sent(request("a", checker.KindLookup, "x")))
-	is.True(c.Sent(request("a", checker.KindLookup, "x")) != nil)
-	is.Equal(len(c.Open()), 1)
+	is.NoErr(c.RecordSent(request("a", checker.KindLookup, "x")))
+	is.True(c.RecordSent(request("a", checker.KindLookup, "x")) != nil)
+	is.Equal(len(c.Pending()), 1)
 }
 
-// TestHonest sees that honest outcomes break nothing and are counted apart.
-func TestHonest(t *testing.T) {
+// TestCorrectOutcomes checks that valid outcomes cause no violations and are
+// counted by kind.
+func TestCorrectOutcomes(t *testing.T) {
 	is := is.New(t)
 	c := checker.New()
 	runs := checker.Runs{}
-	send := func(id string, kind checker.Kind, result checker.Result, ran int) {
-		is.NoErr(c.Sent(request(id, kind, "answer "+id)))
-		c.Got(id, result)
+	send := func(id string, kind checker.Kind, outcome checker.Outcome, ran int) {
+		is.NoErr(c.RecordSent(request(id, kind, "answer "+id)))
+		c.RecordOutcome(id, outcome)
 		runs[id] = ran
 	}
 	late := whole("answer late")
 	late.At = start.Add(time.Minute + time.Millisecond)
-	uncertain := refused(zinniamast.NotRun, start)
+	uncertain := failed(zinniamast.NotRun, start)
 	uncertain.Uncertain = true
 	send("whole", checker.KindBooking, whole("answer whole"), 1)
 	send("late", checker.KindSummary, late, 1)
 	send("repeated", checker.KindSummary, whole("answer repeated"), 3)
-	send("not_run", checker.KindBooking, refused(zinniamast.NotRun, start), 0)
+	send("not_run", checker.KindBooking, failed(zinniamast.NotRun, start), 0)
 	send("uncertain", checker.KindQuestion, uncertain, 1)
-	send("ran", checker.KindBooking, refused(zinniamast.DidRun, start), 1)
-	send("unknown", checker.KindBooking, refused(zinniamast.Unknown, start), 1)
+	send("ran", checker.KindBooking, failed(zinniamast.DidRun, start), 1)
+	send("unknown", checker.KindBooking, failed(zinniamast.Unknown, start), 1)
 	v := c.Reconcile(runs, margin)
 	is.Equal(v.Violations, nil)
 	is.True(v.OK())
--- a/checker/compare.go
+++ b/checker/compare.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Compare says in plain words how an answer differs from the expected one; it
-// returns "" for a whole answer.
+// Compare describes how an answer differs from the expected one. It returns ""
+// if they are equal.
 func Compare(expected, got string) string {
 	if expected == got {
 		return ""
@@ -27,8 +27,8 @@
 	}
 }
 
-// doubled says whether what follows the common prefix repeats an earlier part
-// of the expected answer and then goes on to its end.
+// doubled reports whether the text after the common prefix repeats an earlier
+// part of the expected answer and then continues to its end.
 func doubled(expected, got string, at int) bool {
 	return len(got) > len(expected) && strings.HasSuffix(expected, got[len(got)-(len(expected)-at):]) &&
 		strings.Contains(expected, got[at:len(got)-(len(expected)-at)])
--- a/checker/doc.go
+++ b/checker/doc.go
@@ -1,6 +1,7 @@
-// Package checker reconciles what callers were told with what truly ran.
+// Package checker reconciles the outcomes that callers received with the runs
+// that took place.
 //
-// Tests and the load command record each request before they send it and what
-// its caller got in the end; the stand-ins say what ran. Reconcile compares
-// the two and names each promise that was broken.
+// Tests and the load command record each request before they send it and its
+// final outcome; the stand-ins count the runs. Reconcile compares the two and
+// reports each violated guarantee.
 package checker
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// downFor is how long a target that refused a connection is passed over.
-const downFor = 500 * time.Millisecond
+// downPeriod is how long a target is skipped after a try on it failed without a response.
+const downPeriod = 500 * time.Millisecond
 
-// maxRefusal bounds how much of an error's body is read, in bytes.
-const maxRefusal = 64 << 10
+// maxRefusalBytes bounds how much of an error's body is read.
+const maxRefusalBytes = 64 << 10
 
-// balancer sends each try to the next target, as the platform's balancer does:
-// a retry may land on any node.
+// balancer sends each try to the next target, like the load balancer of the
+// platform, so that a retry may reach any node.
 type balancer struct {
-	targets []*url.URL
-	down    []atomic.Int64
-	next    atomic.Uint64
-	below   http.RoundTripper
+	targets   []*url.URL
+	down      []atomic.Int64
+	next      atomic.Uint64
+	transport http.RoundTripper
 }
 
-func newBalancer(bases []string, inFlight int, patience time.Duration) (*balancer, error) {
+func newBalancer(bases []string, inFlight int, idleTimeout time.Duration) (*balancer, error) {
 	b := &balancer{
 		down: make([]atomic.Int64, len(bases)),
-		below: &patient{
-			below: &http.Transport{
+		transport: &idleTimeoutTransport{
+			transport: &http.Transport{
 				MaxIdleConnsPerHost: inFlight,
 				IdleConnTimeout:     30 * time.Second,
 			},
-			patience: patience,
+			timeout: idleTimeout,
 		},
 	}
 	for _, base := range bases {
@@ -47,7 +47,8 @@
 	return b, nil
 }
 
-// pick returns the next target that is not known to be down, or the next one if all are.
+// pick returns the index of the next target that is not marked as down, or of
+// the next one if all are.
 func (b *balancer) pick() int {
 	count := uint64(len(b.targets))
 	first := b.next.Add(1)
@@ -61,7 +62,8 @@
 	return int(first % count)
 }
 
-// RoundTrip implements http.RoundTripper and notes in the context what the node said.
+// RoundTrip implements http.RoundTripper and records the node's reply in the
+// reply log of the request's context.
 func (b *balancer) RoundTrip(request *http.Request) (*http.Response, error) {
 	at := b.pick()
 	target := b.targets[at]
@@ -69,83 +71,83 @@
 	out.URL.Scheme = target.Scheme
 	out.URL.Host = target.Host
 	out.Host = target.Host
-	words := wordsOf(request.Context())
-	response, err := b.below.RoundTrip(out)
+	replies := replyLogOf(request.Context())
+	response, err := b.transport.RoundTrip(out)
 	if err != nil {
-		b.down[at].Store(time.Now().Add(downFor).UnixNano())
-		words.add(nil)
+		b.down[at].Store(time.Now().Add(downPeriod).UnixNano())
+		replies.add(nil)
 		return nil, err
 	}
 	if response.StatusCode < http.StatusBadRequest {
-		// Silence, unless the answer turns out whole or says otherwise.
-		words.add(nil)
+		// This counts as no reply unless the answer is complete or contains an error.
+		replies.add(nil)
 		return response, nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxRefusal))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
 	_ = response.Body.Close()
 	if err != nil {
-		words.add(nil)
+		replies.add(nil)
 		return nil, err
 	}
 	response.Body = io.NopCloser(bytes.NewReader(raw))
-	said, ok := parseRefusal(raw)
+	nodeRefusal, ok := parseRefusal(raw)
 	if ok {
-		said.readRetryAfter(response.Header)
-		words.add(said)
+		nodeRefusal.readRetryAfter(response.Header)
+		replies.add(nodeRefusal)
 	}
 	return response, nil
 }
 
-// word is what a node said to one try: a refusal, or nil for silence.
-type word struct {
-	said *refusal
-	at   time.Time
+// reply is the reply of a node to one try; refusal is nil if there was none.
+type reply struct {
+	refusal *refusal
+	at      time.Time
 }
 
-// words collects what the nodes said to one request's tries.
-type words struct {
-	mu  sync.Mutex
-	all []word
+// replyLog collects the replies to the tries of one request.
+type replyLog struct {
+	mu      sync.Mutex
+	replies []reply
 }
 
-func (w *words) add(said *refusal) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.all = append(w.all, word{
-		said: said,
-		at:   time.Now(),
+func (l *replyLog) add(nodeRefusal *refusal) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.replies = append(l.replies, reply{
+		refusal: nodeRefusal,
+		at:      time.Now(),
 	})
 }
 
-// correct replaces the last word by what the node said inside its answer.
-func (w *words) correct(said *refusal) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.all) > 0 {
-		w.all[len(w.all)-1] = word{
-			said: said,
-			at:   time.Now(),
+// replaceLast replaces the last reply by the refusal that its answer contained.
+func (l *replyLog) replaceLast(nodeRefusal *refusal) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.replies) > 0 {
+		l.replies[len(l.replies)-1] = reply{
+			refusal: nodeRefusal,
+			at:      time.Now(),
 		}
 	}
 }
 
-// taken returns the words so far.
-func (w *words) taken() []word {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.all
+// list returns the replies so far.
+func (l *replyLog) list() []reply {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.replies
 }
 
-type wordsKey struct{}
+type replyLogKey struct{}
 
-func withWords(ctx context.Context, w *words) context.Context {
-	return context.WithValue(ctx, wordsKey{}, w)
+func withReplyLog(ctx context.Context, l *replyLog) context.Context {
+	return context.WithValue(ctx, replyLogKey{}, l)
 }
 
-// wordsOf returns the context's collection, or one that nobody reads.
-func wordsOf(ctx context.Context) *words {
-	if w, ok := ctx.Value(wordsKey{}).(*words); ok {
-		return w
+// replyLogOf returns the reply log of a context, or a new one that is discarded.
+func replyLogOf(ctx context.Context) *replyLog {
+	if l, ok := ctx.Value(replyLogKey{}).(*replyLog); ok {
+		return l
 	}
-	return &words{}
+	return &replyLog{}
 }
--- a/load/config.go
+++ b/load/config.go
@@ -8,41 +8,41 @@
 	"zinniamast/standin/engine"
 )
 
-// Config says what to drive and how.
+// Config configures a run.
 type Config struct {
-	// Targets are base URLs of nodes; each try goes to the next one, as behind a balancer.
+	// Targets are base URLs of nodes; each try goes to the next one, as behind a load balancer.
 	Targets []string
-	// Standins are base URLs of stand-ins that count what ran; without any,
+	// Standins are base URLs of stand-ins that count runs; without any,
 	// runs are not checked.
 	Standins []string
-	// Keys are API keys, one per organisation; requests take turns among them.
+	// Keys are API keys, one per organisation; requests use them in turn.
 	Keys []string
-	// Rate is the number of requests started a second.
+	// Rate is the number of requests started per second.
 	Rate float64
 	// For is how long requests are started.
 	For time.Duration
-	// Seed fixes the traffic.
+	// Seed determines the traffic.
 	Seed uint64
-	// Mix weighs the kinds of traffic.
+	// Mix holds the weights of the kinds of traffic.
 	Mix Mix
-	// Model and Service name what is called.
+	// Model and Service are the names of the model and the service that are called.
 	Model   string
 	Service string
-	// Deadline is what callers give each request.
+	// Deadline is the time that callers allow for each request.
 	Deadline time.Duration
-	// Margin is what they wait beyond it before a request counts as lost.
+	// Margin is how long callers wait after the deadline before a request counts as lost.
 	Margin time.Duration
-	// Answer is what a whole run of a model gives; nil means that of the
+	// Answer returns the complete answer of a model; nil means that of the
 	// stand-in engine.
 	Answer func(messages []byte, maxTokens int) string
-	// Patience is how long a caller waits on a try on which nothing comes before
-	// it asks again elsewhere.
+	// Patience is how long a caller waits for the next bytes of a try before it
+	// cancels the try and retries on another node.
 	Patience time.Duration
-	// InFlight bounds the requests under way; further ones wait their turn.
+	// InFlight bounds the in-flight requests; further ones are delayed.
 	InFlight int
 }
 
-// Bounds that keep a slip of the finger from flooding a machine.
+// Bounds that keep a mistyped setting from overloading an instance.
 const (
 	maxRate     = 10_000
 	maxFor      = time.Hour
@@ -59,7 +59,7 @@
 	defaultService  = "booking"
 )
 
-// withDefaults fills in zero fields and checks the rest.
+// withDefaults sets the zero fields to their defaults and checks the result.
 func (c Config) withDefaults() (Config, error) {
 	if c.Deadline == 0 {
 		c.Deadline = defaultDeadline
@@ -88,7 +88,7 @@
 	return c, c.check()
 }
 
-// standinAnswer is the whole answer of the stand-in engine.
+// standinAnswer returns the complete answer of the stand-in engine.
 func standinAnswer(messages []byte, maxTokens int) string {
 	return engine.Text(engine.Answer(messages, maxTokens))
 }
--- a/load/fake_test.go
+++ b/load/fake_test.go
@@ -13,33 +13,34 @@
 	"zinniamast/standin/engine"
 )
 
-// fakeAnswer is the fake node's model: every prompt has its own answer.
+// fakeAnswer is the model of the fake node; each prompt has a different answer.
 func fakeAnswer(messages []byte, maxTokens int) string {
 	return strings.Repeat(fmt.Sprintf("w%x ", xxh3.Hash(messages)), min(maxTokens, 12))
 }
 
-// fakeNode answers as a node would, and breaks promises when told to.
+// fakeNode answers like a node, with the faults that its fields configure.
 type fakeNode struct {
-	mu   sync.Mutex
-	keys map[string]int
-	seen map[string]int
-	// messages counts model runs as the stand-in engine does.
-	messages map[uint64]int
-	// cut breaks the first stream under each key after some tokens.
-	cut bool
-	// hang answers nothing on the first try under each key.
-	hang bool
-	// stopCleanly ends a cut stream as if it were whole, but for the finish reason.
-	stopCleanly bool
-	// refuseFirst refuses the first try under each key with this JSON.
+	mu        sync.Mutex
+	runsByKey map[string]int
+	tries     map[string]int
+	// runsByMessages counts model runs like the stand-in engine.
+	runsByMessages map[uint64]int
+	// cutFirst breaks the first stream under each key after three tokens.
+	cutFirst bool
+	// hangFirst sends no answer to the first try under each key.
+	hangFirst bool
+	// cutCleanly ends a cut stream without an error, but also without a finish reason.
+	cutCleanly bool
+	// refuseFirst is the JSON with which the first try under each key is refused.
 	refuseFirst string
 	// closeFirst closes the connection of the first try under each key.
 	closeFirst bool
-	// outage refuses bookings for want of the table, as a node would.
-	outage bool
-	// vouched and unvouched count bookings by whether this was the key's first
-	// sending and whether its caller said so; wrongly counts the rest.
-	vouched, unvouched, wrongly int
+	// isStoreDown refuses every request as a node does while the table is unavailable.
+	isStoreDown bool
+	// markedSendings and unmarkedSendings count posts with a correct
+	// Zinniamast-First-Sending header, by whether it is set; wrongHeaders counts
+	// the requests on which it is incorrect.
+	markedSendings, unmarkedSendings, wrongHeaders int
 	// runRefused counts a run for each refused booking.
 	runRefused bool
 	// runTwice counts two runs for each booking.
@@ -50,10 +51,10 @@
 
 func newFakeNode() *fakeNode {
 	return &fakeNode{
-		keys:     map[string]int{},
-		seen:     map[string]int{},
-		messages: map[uint64]int{},
-		mangle:   func(text string) string { return text },
+		runsByKey:      map[string]int{},
+		tries:          map[string]int{},
+		runsByMessages: map[uint64]int{},
+		mangle:         func(text string) string { return text },
 	}
 }
 
@@ -61,38 +62,38 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.URL.Path == "/standin/counts" {
-		_ = json.NewEncoder(w).Encode(map[string]any{"keys": f.keys, "messages": f.messages})
+		_ = json.NewEncoder(w).Encode(map[string]any{"keys": f.runsByKey, "messages": f.runsByMessages})
 		return
 	}
 	key := r.Header.Get("Idempotency-Key")
-	f.seen[key]++
+	f.tries[key]++
 	first := r.Header.Get("Zinniamast-First-Sending") == "true"
 	switch {
-	case first != (r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, "/services/") && f.seen[key] == 1):
-		f.wrongly++
+	case first != (r.Method == http.MethodPost && strings.HasPrefix(r.URL.Path, "/services/") && f.tries[key] == 1):
+		f.wrongHeaders++
 	case first:
-		f.vouched++
+		f.markedSendings++
 	case r.Method == http.MethodPost:
-		f.unvouched++
+		f.unmarkedSendings++
 	}
-	if f.closeFirst && f.seen[key] == 1 {
+	if f.closeFirst && f.tries[key] == 1 {
 		panic(http.ErrAbortHandler)
 	}
-	if f.outage {
-		f.refuseForStore(w, first)
+	if f.isStoreDown {
+		f.refuseStoreDown(w, first)
 		return
 	}
-	if f.refuseFirst != "" && f.seen[key] == 1 {
+	if f.refuseFirst != "" && f.tries[key] == 1 {
 		if f.runRefused && r.Method == http.MethodPost {
-			f.keys[key]++
+			f.runsByKey[key]++
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, f.refuseFirst)
 		return
 	}
-	if f.hang && f.seen[key] == 1 {
+	if f.hangFirst && f.tries[key] == 1 {
 		f.mu.Unlock()
-		// Only a body that was read lets the server see its caller go away.
+		// The server detects a closed connection only after the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		f.mu.Lock()
@@ -109,8 +110,9 @@
 	}
 }
 
-// refuseForStore refuses a booking; "not run" is said where the caller vouches.
-func (f *fakeNode) refuseForStore(w http.ResponseWriter, first bool) {
+// refuseStoreDown refuses a request with "not run" if the caller marks it as the
+// first sending under its key, else with "unknown".
+func (f *fakeNode) refuseStoreDown(w http.ResponseWriter, first bool) {
 	ran := "unknown"
 	if first {
 		ran = "not_run"
@@ -121,9 +123,9 @@
 
 func (f *fakeNode) book(w http.ResponseWriter, r *http.Request, key string) {
 	body, _ := io.ReadAll(r.Body)
-	f.keys[key]++
+	f.runsByKey[key]++
 	if f.runTwice {
-		f.keys[key]++
+		f.runsByKey[key]++
 	}
 	_ = json.NewEncoder(w).Encode(map[string]string{"body": string(body)})
 }
@@ -135,7 +137,7 @@
 		Stream    bool            `json:"stream"`
 	}
 	_ = json.NewDecoder(r.Body).Decode(&body)
-	f.messages[engine.Hash(body.Messages)]++
+	f.runsByMessages[engine.Hash(body.Messages)]++
 	text := f.mangle(fakeAnswer(body.Messages, body.MaxTokens))
 	if !body.Stream {
 		w.Header().Set("Content-Type", "application/json")
@@ -144,8 +146,8 @@
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i, word := range strings.SplitAfter(text, " ") {
-		if f.cut && i == 3 && f.seen[key] == 1 {
-			if f.stopCleanly {
+		if f.cutFirst && i == 3 && f.tries[key] == 1 {
+			if f.cutCleanly {
 				return
 			}
 			_ = http.NewResponseController(w).Flush()
--- a/load/headers.go
+++ b/load/headers.go
@@ -8,13 +8,14 @@
 	"zinniamast/request"
 )
 
-// deadlineValue writes what is left until a deadline as the node reads it.
-func deadlineValue(deadline time.Time) string {
+// deadlineHeader formats the time remaining until a deadline for the deadline
+// header, at least one millisecond.
+func deadlineHeader(deadline time.Time) string {
 	return max(time.Until(deadline), time.Millisecond).Round(time.Millisecond).String()
 }
 
-// classOf is the priority class that callers of a kind ask for.
-func classOf(kind checker.Kind) string {
+// priorityClass returns the priority class that callers request for a kind of traffic.
+func priorityClass(kind checker.Kind) string {
 	switch kind {
 	case checker.KindTriage:
 		return string(request.ClassUrgent)
@@ -25,8 +26,9 @@
 	}
 }
 
-// recomputedOf reads the node's own addition to the usage counts.
-func recomputedOf(usage string) int {
+// recomputedTokens reads recomputed_tokens, which the node adds to the usage
+// counts; it returns 0 if there is none.
+func recomputedTokens(usage string) int {
 	var counts struct {
 		Recomputed int `json:"recomputed_tokens"`
 	}
--- a/load/latency.go
+++ b/load/latency.go
@@ -7,14 +7,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram bounds: microseconds from 1 to ten minutes, three digits.
+// Histogram bounds: from 1 µs to ten minutes, with three significant digits.
 const (
-	lowestMicros  = 1
-	highestMicros = 600_000_000
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = 600_000_000
+	significantDigits = 3
 )
 
-// latency is a histogram that many callers write.
+// latency is a latency histogram. It is safe for concurrent use.
 type latency struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -22,7 +22,7 @@
 
 func newLatency() *latency {
 	return &latency{
-		histogram: hdrhistogram.New(lowestMicros, highestMicros, digits),
+		histogram: hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 	}
 }
 
@@ -33,7 +33,7 @@
 	_ = l.histogram.RecordValue(micros)
 }
 
-// Quantiles are in milliseconds.
+// Quantiles holds latency quantiles in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -13,11 +13,11 @@
 	"zinniamast/load"
 )
 
-const retryLater = `{"error":{"message":"come back","type":"unavailable","reason":"no_capacity","ran":"not_run","retry_after_ms":10}}`
+const refusalWithRetry = `{"error":{"message":"come back","type":"unavailable","reason":"no_capacity","ran":"not_run","retry_after_ms":10}}`
 
-const refusedForGood = `{"error":{"message":"no","type":"unavailable","reason":"no_capacity","ran":"not_run"}}`
+const refusalWithoutRetry = `{"error":{"message":"no","type":"unavailable","reason":"no_capacity","ran":"not_run"}}`
 
-// run drives a fake node for a third of a second.
+// run sends traffic to a fake node for 300 ms.
 func run(t *testing.T, node *fakeNode, mix string) *load.Report {
 	t.Helper()
 	is := is.New(t)
@@ -44,7 +44,7 @@
 
 const everyKind = "summary=1,question=2,triage=2,lookup=2,booking=2"
 
-// TestWhole drives a node without faults: every answer is whole and counted.
+// TestWhole checks that every answer of a node without faults is whole and counted.
 func TestWhole(t *testing.T) {
 	is := is.New(t)
 	report := run(t, newFakeNode(), everyKind)
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestAsksAgain breaks or refuses each caller's first try. The caller comes
-// back under its key and has its whole answer in the end; no part of the
-// broken stream is left in it.
-func TestAsksAgain(t *testing.T) {
+// TestRetries breaks or refuses each caller's first try. The caller must retry
+// under the same key and receive a whole answer without any part of the broken
+// stream.
+func TestRetries(t *testing.T) {
 	cases := map[string]func(*fakeNode){
-		"stream breaks":                 func(f *fakeNode) { f.cut = true },
-		"stream ends without its mark":  func(f *fakeNode) { f.cut, f.stopCleanly = true, true },
-		"nothing comes":                 func(f *fakeNode) { f.hang = true },
-		"refused with a time to return": func(f *fakeNode) { f.refuseFirst = retryLater },
+		"stream breaks":                         func(f *fakeNode) { f.cutFirst = true },
+		"stream ends without its finish reason": func(f *fakeNode) { f.cutFirst, f.cutCleanly = true, true },
+		"no answer":                             func(f *fakeNode) { f.hangFirst = true },
+		"refused with a retry delay":            func(f *fakeNode) { f.refuseFirst = refusalWithRetry },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -94,16 +94,17 @@
 	}
 }
 
-// TestVouchesForFirstSendingsOnly books while the table is out, through a node
-// that says "not run" only to callers who vouch for their key: refusals read
-// not_run. Where connections close instead, callers and net/http itself send
-// keys again; no repeat vouches, or a booking that ran could be called not run.
-func TestVouchesForFirstSendingsOnly(t *testing.T) {
+// TestFirstSendingHeader books while the table is unavailable, through a node
+// that returns "not run" only for requests marked as first sending: every refusal
+// must be not_run. If connections close instead, callers and net/http itself send
+// keys again. No retry may carry the mark, or a booking that ran could be
+// reported as not run.
+func TestFirstSendingHeader(t *testing.T) {
 	is := is.New(t)
 	node := newFakeNode()
-	node.outage = true
+	node.isStoreDown = true
 	report := run(t, node, "booking=1")
-	t.Logf("table out: %d not_run, %d unknown of %d", report.NotRun, report.Unknown, report.Sent)
+	t.Logf("table unavailable: %d not_run, %d unknown of %d", report.NotRun, report.Unknown, report.Sent)
 	is.Equal(report.NotRun, report.Sent)
 	is.True(report.OK)
 
@@ -111,14 +112,14 @@
 	node.closeFirst = true
 	report = run(t, node, "booking=2,lookup=1,triage=1")
 	is.Equal(report.Whole, report.Sent)
-	is.True(node.vouched > 0)
-	is.True(node.unvouched > 0)
-	is.Equal(node.wrongly, 0)
+	is.True(node.markedSendings > 0)
+	is.True(node.unmarkedSendings > 0)
+	is.Equal(node.wrongHeaders, 0)
 }
 
-// TestFindsBrokenPromises drives nodes that lie; each lie must end in a report
-// that is not OK, with the lie under its own count.
-func TestFindsBrokenPromises(t *testing.T) {
+// TestReportsFaultyNode sends traffic to nodes that violate a guarantee; the
+// report must not be OK and must count the violation under its kind.
+func TestReportsFaultyNode(t *testing.T) {
 	cases := map[string]struct {
 		mix    string
 		change func(*fakeNode)
@@ -126,7 +127,7 @@
 	}{
 		"not run that ran": {
 			mix:    "booking=1",
-			change: func(f *fakeNode) { f.refuseFirst, f.runRefused = refusedForGood, true },
+			change: func(f *fakeNode) { f.refuseFirst, f.runRefused = refusalWithoutRetry, true },
 			count:  func(r *load.Report) int { return r.FalseNotRun },
 		},
 		"doubled": {
@@ -134,7 +135,7 @@
 			change: func(f *fakeNode) { f.runTwice = true },
 			count:  func(r *load.Report) int { return r.Doubled },
 		},
-		"torn answers": {
+		"answers cut in half": {
 			mix: "question=1,triage=1",
 			change: func(f *fakeNode) {
 				f.mangle = func(text string) string { return text[:len(text)/2] }
@@ -154,9 +155,9 @@
 	}
 }
 
-// TestSilence drives a node that is not there: callers hear nothing, and that
-// is counted as lost, never as an honest failure.
-func TestSilence(t *testing.T) {
+// TestUnreachableNode checks that requests to an unreachable node, which receive
+// no reply, count as lost and not as valid failures.
+func TestUnreachableNode(t *testing.T) {
 	is := is.New(t)
 	report, err := load.Run(context.Background(), load.Config{
 		Targets:  []string{"http://127.0.0.1:1"},
@@ -172,7 +173,7 @@
 	is.True(!report.OK)
 }
 
-// TestRefusesBadConfig names what is wrong before anything is sent.
+// TestRefusesBadConfig checks that invalid settings are errors.
 func TestRefusesBadConfig(t *testing.T) {
 	is := is.New(t)
 	_, err := load.Run(context.Background(), load.Config{})
--- a/load/mix.go
+++ b/load/mix.go
@@ -9,10 +9,10 @@
 	"zinniamast/checker"
 )
 
-// Mix weighs the kinds of traffic against each other.
+// Mix holds the relative weight of each kind of traffic.
 type Mix map[checker.Kind]int
 
-// DefaultMix is an ordinary day: more short requests than long ones.
+// DefaultMix returns a typical mix with more short requests than long ones.
 func DefaultMix() Mix {
 	return Mix{
 		checker.KindSummary:  1,
@@ -23,7 +23,7 @@
 	}
 }
 
-// ParseMix reads weights such as "summary=1,booking=2"; kinds left out get none.
+// ParseMix reads weights such as "summary=1,booking=2"; omitted kinds have weight 0.
 func ParseMix(text string) (Mix, error) {
 	mix := Mix{}
 	known := DefaultMix()
@@ -50,12 +50,12 @@
 	return total
 }
 
-// pick draws a kind by its weight.
+// pick draws a random kind by weight.
 func (m Mix) pick(random *rand.Rand) checker.Kind {
-	left := random.IntN(m.total())
+	remaining := random.IntN(m.total())
 	for _, kind := range checker.Kinds() {
-		left -= m[kind]
-		if left < 0 {
+		remaining -= m[kind]
+		if remaining < 0 {
 			return kind
 		}
 	}
--- a/load/model.go
+++ b/load/model.go
@@ -14,7 +14,7 @@
 	"zinniamast/checker"
 )
 
-// attemptResult is what one call of a client library came to.
+// attemptResult is the result of one call of a client library.
 type attemptResult struct {
 	whole      bool
 	answer     string
@@ -43,7 +43,7 @@
 	}
 }
 
-// call makes one call; the client's own retries happen inside it.
+// call makes one call, which includes the client's own retries.
 func (m *modelCaller) call(ctx context.Context, t *task) attemptResult {
 	params := openai.ChatCompletionNewParams{
 		Model:     m.model,
@@ -53,16 +53,16 @@
 	options := []option.RequestOption{
 		option.WithAPIKey(t.apiKey),
 		option.WithHeader(caller.HeaderKey, t.Key),
-		option.WithHeader(caller.HeaderDeadline, deadlineValue(t.Deadline)),
-		option.WithHeader(caller.HeaderClass, classOf(t.Kind)),
+		option.WithHeader(caller.HeaderDeadline, deadlineHeader(t.Deadline)),
+		option.WithHeader(caller.HeaderClass, priorityClass(t.Kind)),
 	}
 	if t.Kind == checker.KindTriage {
-		return m.plain(ctx, params, options)
+		return m.callUnary(ctx, params, options)
 	}
-	return m.streamed(ctx, params, options)
+	return m.callStreaming(ctx, params, options)
 }
 
-func (m *modelCaller) plain(ctx context.Context, params openai.ChatCompletionNewParams, options []option.RequestOption) attemptResult {
+func (m *modelCaller) callUnary(ctx context.Context, params openai.ChatCompletionNewParams, options []option.RequestOption) attemptResult {
 	completion, err := m.client.Chat.Completions.New(ctx, params, options...)
 	if err != nil {
 		return attemptResult{}
@@ -73,16 +73,17 @@
 	return attemptResult{
 		whole:      true,
 		answer:     completion.Choices[0].Message.Content,
-		recomputed: recomputedOf(completion.Usage.RawJSON()),
+		recomputed: recomputedTokens(completion.Usage.RawJSON()),
 	}
 }
 
-// streamed reads a stream to its finish reason; an end without one is not whole.
-func (m *modelCaller) streamed(ctx context.Context, params openai.ChatCompletionNewParams, options []option.RequestOption) attemptResult {
+// callStreaming reads a stream to its end. The answer is not whole if the stream
+// ends without a finish reason or with an error.
+func (m *modelCaller) callStreaming(ctx context.Context, params openai.ChatCompletionNewParams, options []option.RequestOption) attemptResult {
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{
 		IncludeUsage: openai.Bool(true),
 	}
-	clock := newStreamClock(m.first, m.between)
+	clock := newTokenTimer(m.first, m.between)
 	stream := m.client.Chat.Completions.NewStreaming(ctx, params, options...)
 	defer func() { _ = stream.Close() }()
 	result := attemptResult{}
@@ -90,13 +91,13 @@
 	for stream.Next() {
 		chunk := stream.Current()
 		if chunk.Usage.TotalTokens > 0 {
-			result.recomputed = recomputedOf(chunk.Usage.RawJSON())
+			result.recomputed = recomputedTokens(chunk.Usage.RawJSON())
 		}
 		if len(chunk.Choices) == 0 {
 			continue
 		}
 		if text := chunk.Choices[0].Delta.Content; text != "" {
-			clock.tick()
+			clock.recordToken()
 			answer = append(answer, text...)
 		}
 		if chunk.Choices[0].FinishReason != "" {
@@ -105,47 +106,47 @@
 	}
 	result.answer = string(answer)
 	if err := stream.Err(); err != nil {
-		noteStreamError(ctx, err)
+		recordStreamError(ctx, err)
 		result.whole = false
 	}
 	return result
 }
 
-// noteStreamError notes what the node said inside a stream that it could not
-// go on with. A connection that broke stands as silence already.
-func noteStreamError(ctx context.Context, err error) {
+// recordStreamError records the refusal that a node sends inside a stream that
+// it cannot continue. A broken connection is recorded as no reply already.
+func recordStreamError(ctx context.Context, err error) {
 	var inside *ssestream.StreamError
 	if !errors.As(err, &inside) {
 		return
 	}
-	if said, ok := parseRefusal(inside.Event.Data); ok {
-		wordsOf(ctx).correct(said)
+	if nodeRefusal, ok := parseRefusal(inside.Event.Data); ok {
+		replyLogOf(ctx).replaceLast(nodeRefusal)
 	}
 }
 
-// streamClock measures the first token and the gaps between tokens.
-type streamClock struct {
-	first   *latency
-	between *latency
-	last    time.Time
-	begun   bool
+// tokenTimer measures the time to the first token and between tokens.
+type tokenTimer struct {
+	first    *latency
+	between  *latency
+	last     time.Time
+	hasFirst bool
 }
 
-func newStreamClock(first, between *latency) *streamClock {
-	return &streamClock{
+func newTokenTimer(first, between *latency) *tokenTimer {
+	return &tokenTimer{
 		first:   first,
 		between: between,
 		last:    time.Now(),
 	}
 }
 
-func (s *streamClock) tick() {
+func (s *tokenTimer) recordToken() {
 	now := time.Now()
-	if s.begun {
+	if s.hasFirst {
 		s.between.record(now.Sub(s.last))
 	} else {
 		s.first.record(now.Sub(s.last))
-		s.begun = true
+		s.hasFirst = true
 	}
 	s.last = now
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -13,49 +13,50 @@
 	"zinniamast/standin/engine"
 )
 
-// task is one request to be made.
+// task is one request to send.
 type task struct {
 	checker.Request
 	apiKey string
-	// sent means that the key has been sent before.
-	sent bool
+	// isSent is true once the key has been sent.
+	isSent bool
 	// messages and maxTokens are set for model requests.
 	messages  []openai.ChatCompletionMessageParamUnion
 	maxTokens int
-	// hash names the messages in the engines' counts.
+	// hash identifies the messages in the run counts of the engines.
 	hash uint64
-	// rack is what lookups and bookings ask for.
+	// rack is the rack that a lookup or booking requests.
 	rack string
 }
 
-// shape is the size of a model request.
-type shape struct {
+// requestSize is the size of a model request.
+type requestSize struct {
 	promptWords int
 	maxTokens   int
 }
 
-// shapes are the sizes of the kinds of model requests.
-var shapes = map[checker.Kind]shape{
+// requestSizes holds the size of each kind of model request.
+var requestSizes = map[checker.Kind]requestSize{
 	checker.KindSummary:  {promptWords: 2000, maxTokens: 200},
 	checker.KindQuestion: {promptWords: 60, maxTokens: 40},
 	checker.KindTriage:   {promptWords: 20, maxTokens: 8},
 }
 
-// Sizes of the pools that prompts and service calls draw from.
+// Sizes of the pools from which prompts and service calls are drawn.
 const (
-	contracts = 8
-	racks     = 50
+	contractCount = 8
+	rackCount     = 50
 )
 
 var vocabulary = strings.Fields(`the a rack cage power cooling clause term renewal notice
 	contract cross connect ticket breaker feed circuit site manager month rate fee
 	price liability service credit outage window access badge`)
 
-// planner draws tasks from a seed; the same seed draws the same tasks.
+// planner draws tasks from a seed; the same seed yields the same tasks, apart
+// from their IDs and deadlines.
 type planner struct {
 	config    Config
 	random    *rand.Rand
-	run       string
+	runID     string
 	contracts []string
 	count     int
 }
@@ -65,17 +66,17 @@
 	p := &planner{
 		config: c,
 		random: random,
-		// Two runs against the same stand-ins must not share keys, or the second
-		// would be answered from the first.
-		run: fmt.Sprintf("load-%d-%x", c.Seed, time.Now().UnixNano()),
+		// Two runs against the same stand-ins must not share keys, or requests of the
+		// second run would receive answers of the first.
+		runID: fmt.Sprintf("load-%d-%x", c.Seed, time.Now().UnixNano()),
 	}
-	for range contracts {
-		p.contracts = append(p.contracts, p.words(shapes[checker.KindSummary].promptWords))
+	for range contractCount {
+		p.contracts = append(p.contracts, p.randomWords(requestSizes[checker.KindSummary].promptWords))
 	}
 	return p
 }
 
-func (p *planner) words(count int) string {
+func (p *planner) randomWords(count int) string {
 	var text strings.Builder
 	for i := range count {
 		if i > 0 {
@@ -86,10 +87,10 @@
 	return text.String()
 }
 
-// next draws a task; its deadline counts from now.
+// next draws a task, whose deadline is relative to the current time.
 func (p *planner) next() (*task, error) {
 	p.count++
-	id := fmt.Sprintf("%s-%06d", p.run, p.count)
+	id := fmt.Sprintf("%s-%06d", p.runID, p.count)
 	kind := p.config.Mix.pick(p.random)
 	turn := p.count % len(p.config.Keys)
 	t := &task{
@@ -102,21 +103,21 @@
 			Deadline:     time.Now().Add(p.config.Deadline),
 		},
 		apiKey: p.config.Keys[turn],
-		rack:   fmt.Sprintf("rack-%d", p.random.IntN(racks)),
+		rack:   fmt.Sprintf("rack-%d", p.random.IntN(rackCount)),
 	}
-	size, ok := shapes[kind]
+	size, ok := requestSizes[kind]
 	if !ok {
-		t.Expected = expectedOfService(t)
+		t.Expected = expectedServiceAnswer(t)
 		return t, nil
 	}
-	return t, p.fillModel(t, size)
+	return t, p.fillModelRequest(t, size)
 }
 
-// fillModel writes the prompt and works out the answer that a whole run gives.
-func (p *planner) fillModel(t *task, size shape) error {
-	text := p.words(size.promptWords)
+// fillModelRequest sets the prompt and the expected answer of a model request.
+func (p *planner) fillModelRequest(t *task, size requestSize) error {
+	text := p.randomWords(size.promptWords)
 	if t.Kind == checker.KindSummary {
-		text = p.contracts[p.random.IntN(contracts)]
+		text = p.contracts[p.random.IntN(contractCount)]
 	}
 	t.messages = []openai.ChatCompletionMessageParamUnion{
 		openai.SystemMessage("Answer site managers."),
--- a/load/refusal.go
+++ b/load/refusal.go
@@ -9,7 +9,7 @@
 	"zinniamast"
 )
 
-// refusal is a node's JSON error as a caller reads it.
+// refusal is a node's JSON error as decoded by a caller.
 type refusal struct {
 	Message      string         `json:"message"`
 	Reason       string         `json:"reason"`
@@ -17,12 +17,14 @@
 	RetryAfterMS int64          `json:"retry_after_ms"`
 }
 
-// retryAfter is when the node asks to be called again; zero means never.
+// retryAfter returns the delay after which the caller may retry; zero means
+// that it must not.
 func (r *refusal) retryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMS) * time.Millisecond
 }
 
-// parseRefusal reads {"error": {...}}; anything else is no word from the node.
+// parseRefusal decodes {"error": {...}}. It reports false for any other body,
+// which does not come from a node.
 func parseRefusal(raw []byte) (*refusal, bool) {
 	var body struct {
 		Error *refusal `json:"error"`
@@ -33,7 +35,8 @@
 	return body.Error, true
 }
 
-// readRetryAfter takes the header where the body gives no finer time.
+// readRetryAfter uses the Retry-After header, which has whole seconds, if the body
+// has no delay in milliseconds.
 func (r *refusal) readRetryAfter(header http.Header) {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err == nil && r.RetryAfterMS == 0 {
--- a/load/report.go
+++ b/load/report.go
@@ -12,7 +12,7 @@
 	"zinniamast/checker"
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Sent             int            `json:"sent"`
 	Accepted         int            `json:"accepted"`
@@ -32,15 +32,15 @@
 	RecomputedTokens int            `json:"recomputed_tokens"`
 	FirstTokenMS     Quantiles      `json:"first_token_ms"`
 	BetweenTokensMS  Quantiles      `json:"between_tokens_ms"`
-	// RunsChecked says whether the stand-ins were asked what ran.
+	// RunsChecked reports whether runs were checked against the counts of stand-ins.
 	RunsChecked bool `json:"runs_checked"`
-	// Violations spells out the first broken promises.
+	// Violations describes the first violations.
 	Violations []string `json:"violations"`
-	// OK is false if any promise was broken.
+	// OK is false if there is any violation.
 	OK bool `json:"ok"`
 }
 
-// report asks the stand-ins what ran and reconciles.
+// report reads the run counts of the stand-ins and reconciles them with the outcomes.
 func (r *runner) report(ctx context.Context) (*Report, error) {
 	checked := len(r.config.Standins) > 0
 	counted, err := readRuns(ctx, r.config.Standins)
@@ -73,10 +73,11 @@
 	}, nil
 }
 
-// ownRuns leaves out what other callers of the same stand-ins sent, and
-// believes the outcome of what no stand-in counts.
-func (r *runner) ownRuns(counted *counted) checker.Runs {
-	own := r.checker.Claimed()
+// ownRuns returns the runs of this run's tasks, without those of other callers of
+// the same stand-ins. For a task that no stand-in counts, the runs follow from
+// its outcome.
+func (r *runner) ownRuns(counted *totalCounts) checker.Runs {
+	own := r.checker.ReportedRuns()
 	for _, t := range r.tasks {
 		if count, ok := counted.runs(t); ok {
 			own[t.ID] = count
@@ -92,7 +93,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for a person.
+// WriteTable writes the report as a table for reading.
 func (r *Report) WriteTable(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name string, value any) { _, _ = fmt.Fprintf(table, "%s\t%v\n", name, value) }
--- a/load/run.go
+++ b/load/run.go
@@ -9,18 +9,18 @@
 	"zinniamast/checker"
 )
 
-// Waits of a caller that got no word at all.
+// Backoff of a caller that receives no reply.
 const (
-	firstWait = 100 * time.Millisecond
-	lastWait  = time.Second
-	// shortestWait is too short to ask again.
-	shortestWait = 2 * time.Millisecond
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff   = time.Second
+	// minRetryDelay is the shortest delay after which a caller retries.
+	minRetryDelay = 2 * time.Millisecond
 )
 
-// reasonSilence is counted where no node said anything by the deadline.
+// reasonSilence is the reason of retries after a try without a reply.
 const reasonSilence = "silence"
 
-// runner is one run of the load.
+// runner sends the traffic of one run.
 type runner struct {
 	config   Config
 	checker  *checker.Checker
@@ -28,15 +28,15 @@
 	services *serviceCaller
 	first    *latency
 	between  *latency
-	// tasks are all that were drawn; only drive appends to them.
+	// tasks holds all tasks drawn; only drive appends to it.
 	tasks []*task
 
 	mu      sync.Mutex
 	retried map[string]int
 }
 
-// Run drives the targets and returns what it found. It ends when every caller
-// has its outcome, or with the context.
+// Run sends traffic to the targets and returns a report. It ends when every
+// caller has its outcome, or when the context ends.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	c, err := c.withDefaults()
 	if err != nil {
@@ -64,7 +64,7 @@
 // drive starts requests at the given rate and waits for all of them.
 func (r *runner) drive(ctx context.Context) error {
 	plan := newPlanner(r.config)
-	places := make(chan struct{}, r.config.InFlight)
+	slots := make(chan struct{}, r.config.InFlight)
 	total := int(r.config.Rate * r.config.For.Seconds())
 	begin := time.Now()
 	var callers sync.WaitGroup
@@ -74,19 +74,19 @@
 		if !sleep(ctx, time.Until(due)) {
 			return nil
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		t, err := plan.next()
 		if err != nil {
 			return err
 		}
 		r.tasks = append(r.tasks, t)
-		if err := r.checker.Sent(t.Request); err != nil {
+		if err := r.checker.RecordSent(t.Request); err != nil {
 			return err
 		}
 		callers.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			if result, ok := r.perform(ctx, t); ok {
-				r.checker.Got(t.ID, result)
+				r.checker.RecordOutcome(t.ID, result)
 			}
 		})
 	}
@@ -108,40 +108,41 @@
 	}
 }
 
-// perform is one caller: it asks, and asks again under the same key, until it
-// has an answer, a final word, or no time left. It reports false if no node
-// ever said how the request ended.
-func (r *runner) perform(ctx context.Context, t *task) (checker.Result, bool) {
+// perform acts as one caller: it sends a request, and retries it under the same
+// key, until it receives an answer or a refusal without a retry delay, or runs
+// out of time. It reports false if the last try received no reply.
+func (r *runner) perform(ctx context.Context, t *task) (checker.Outcome, bool) {
 	ctx, cancel := context.WithDeadline(ctx, t.Deadline.Add(r.config.Margin))
 	defer cancel()
-	heard := &words{}
-	ctx = withWords(ctx, heard)
-	wait := firstWait
+	replies := &replyLog{}
+	ctx = withReplyLog(ctx, replies)
+	wait := firstBackoff
 	for {
 		got := r.call(ctx, t)
 		if got.whole {
-			return checker.Result{
+			return checker.Outcome{
 				Whole:      true,
 				Answer:     got.answer,
 				Recomputed: got.recomputed,
 				At:         time.Now(),
 			}, true
 		}
-		last, uncertain := verdictOf(heard.taken())
-		// After silence the next node may answer at once: it is asked while any
-		// time is left, so that one dead node cannot have the last word.
+		last, uncertain := lastReply(replies.list())
+		// After a try without a reply, another node may answer at once. The caller
+		// retries as long as time remains, so that one dead node does not decide
+		// the outcome.
 		pause := min(wait, time.Until(t.Deadline)/2)
-		if last.said != nil {
-			pause = last.said.retryAfter()
+		if last.refusal != nil {
+			pause = last.refusal.retryAfter()
 		}
-		if pause < shortestWait || time.Now().Add(pause).After(t.Deadline) {
-			return finalResult(last, uncertain)
+		if pause < minRetryDelay || time.Now().Add(pause).After(t.Deadline) {
+			return finalOutcome(last, uncertain)
 		}
-		r.countRetry(last.said)
+		r.countRetry(last.refusal)
 		if !sleep(ctx, pause) {
-			return finalResult(last, uncertain)
+			return finalOutcome(last, uncertain)
 		}
-		wait = min(2*wait, lastWait)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
@@ -162,28 +163,29 @@
 	r.retried[reason]++
 }
 
-// verdictOf returns the last word heard and whether an earlier try may have run.
-func verdictOf(heard []word) (last word, uncertain bool) {
-	if len(heard) == 0 {
-		return word{}, false
+// lastReply returns the last reply and whether an earlier try may have run.
+func lastReply(replies []reply) (last reply, uncertain bool) {
+	if len(replies) == 0 {
+		return reply{}, false
 	}
-	for _, w := range heard[:len(heard)-1] {
-		if w.said == nil || w.said.Ran != zinniamast.NotRun {
+	for _, r := range replies[:len(replies)-1] {
+		if r.refusal == nil || r.refusal.Ran != zinniamast.NotRun {
 			uncertain = true
 		}
 	}
-	return heard[len(heard)-1], uncertain
+	return replies[len(replies)-1], uncertain
 }
 
-// finalResult is the outcome of a caller that gave up. It counts from when the
-// word came: the client library may have slept on it until the deadline.
-func finalResult(last word, uncertain bool) (checker.Result, bool) {
-	if last.said == nil {
-		return checker.Result{}, false
+// finalOutcome returns the outcome of a caller that stops retrying. Its time is
+// when the reply was received, because the client library may wait until the
+// deadline before it returns.
+func finalOutcome(last reply, uncertain bool) (checker.Outcome, bool) {
+	if last.refusal == nil {
+		return checker.Outcome{}, false
 	}
-	return checker.Result{
-		Ran:       last.said.Ran,
-		Reason:    last.said.Reason,
+	return checker.Outcome{
+		Ran:       last.refusal.Ran,
+		Reason:    last.refusal.Reason,
 		Uncertain: uncertain,
 		At:        last.at,
 	}, true
--- a/load/servicecall.go
+++ b/load/servicecall.go
@@ -10,8 +10,8 @@
 	"zinniamast/checker"
 )
 
-// maxAnswer bounds a service's answer, in bytes.
-const maxAnswer = 1 << 20
+// maxAnswerBytes bounds how much of a service's answer is read.
+const maxAnswerBytes = 1 << 20
 
 // serviceCaller sends lookups and bookings by plain HTTP.
 type serviceCaller struct {
@@ -30,7 +30,7 @@
 	}
 }
 
-// call makes one call and reads its answer whole.
+// call makes one call and reads the answer to its end.
 func (s *serviceCaller) call(ctx context.Context, t *task) attemptResult {
 	request, err := s.request(ctx, t)
 	if err != nil {
@@ -38,32 +38,33 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+t.apiKey)
 	request.Header.Set(caller.HeaderKey, t.Key)
-	request.Header.Set(caller.HeaderDeadline, deadlineValue(t.Deadline))
-	if t.Kind == checker.KindBooking && !t.sent {
-		vouch(request)
+	request.Header.Set(caller.HeaderDeadline, deadlineHeader(t.Deadline))
+	if t.Kind == checker.KindBooking && !t.isSent {
+		markFirstSending(request)
 	}
-	t.sent = true
+	t.isSent = true
 	response, err := s.client.Do(request)
 	if err != nil {
 		return attemptResult{}
 	}
 	defer func() { _ = response.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return attemptResult{}
 	}
 	return attemptResult{
 		whole:  response.StatusCode < http.StatusBadRequest,
-		answer: readServiceAnswer(raw),
+		answer: parseServiceAnswer(raw),
 	}
 }
 
-// vouch says that nothing can have run under the request's key.
+// markFirstSending sets the header by which the caller guarantees that nothing
+// has run under the request's key.
 //
-// Failure: net/http sends a request with an Idempotency-Key again by itself if
-// its connection closes, with all its headers, and the repeat would vouch for a
-// key that may have run. It cannot do so without GetBody.
-func vouch(request *http.Request) {
+// If a connection closes, net/http retries a request with an Idempotency-Key by
+// itself, with all its headers. The retry would carry the guarantee for a key that
+// may have run. Without GetBody, net/http cannot retry.
+func markFirstSending(request *http.Request) {
 	request.Header.Set(caller.HeaderFirst, "true")
 	request.GetBody = nil
 }
--- a/load/standins.go
+++ b/load/standins.go
@@ -11,27 +11,27 @@
 	"zinniamast/checker"
 )
 
-// bookingPath is where bookings are posted below the service's root.
+// bookingPath is the path of bookings below the service's root.
 const bookingPath = "/reservations"
 
-// markerPrefix begins the part of a prompt that names its request.
+// markerPrefix starts the part of a prompt that contains the request ID.
 const markerPrefix = "request="
 
-// marker makes every prompt and every lookup its request's own, so that runs
-// are counted apart and a crossed answer is seen.
+// marker makes every prompt and every lookup unique, so that runs are counted
+// per request and an answer to another request is detected.
 func marker(id string) string { return markerPrefix + id }
 
-// lookupPath asks for a rack; the query makes the answer the caller's own.
+// lookupPath returns the path of a lookup; its query makes the answer unique.
 func lookupPath(t *task) string {
 	return "/lookups/" + t.rack + "?" + marker(t.ID)
 }
 
-// bookingBody is what a booking posts.
+// bookingBody returns the body of a booking.
 func bookingBody(t *task) []byte {
 	return []byte(fmt.Sprintf(`{"rack":%q,"request":%q}`, t.rack, t.ID))
 }
 
-// serviceAnswer is the part of the stand-in's answer that depends on the request alone.
+// serviceAnswer is the part of the stand-in's answer that depends only on the request.
 type serviceAnswer struct {
 	Name  string `json:"name"`
 	Query string `json:"query"`
@@ -42,8 +42,8 @@
 	return strings.TrimSpace(a.Name + " " + a.Query + " " + a.Body)
 }
 
-// expectedOfService is the answer that a whole run of the stand-in gives.
-func expectedOfService(t *task) string {
+// expectedServiceAnswer returns the complete answer of the stand-in to a task.
+func expectedServiceAnswer(t *task) string {
 	if t.Kind == checker.KindLookup {
 		return serviceAnswer{
 			Name:  t.rack,
@@ -55,9 +55,9 @@
 	}.text()
 }
 
-// readServiceAnswer strips what changes from run to run; anything that is no
-// answer of the stand-in is kept as it is and will not match.
-func readServiceAnswer(raw []byte) string {
+// parseServiceAnswer removes the parts that differ from run to run. It returns
+// any other text than an answer of the stand-in unchanged, which then does not match.
+func parseServiceAnswer(raw []byte) string {
 	var answer serviceAnswer
 	if json.Unmarshal(raw, &answer) != nil {
 		return string(raw)
@@ -65,39 +65,39 @@
 	return answer.text()
 }
 
-// counts is what stand-ins of both kinds say of their runs.
-type counts struct {
+// standinCounts is the run counts of one stand-in of either kind.
+type standinCounts struct {
 	// Keys counts runs per idempotency key; only services have it.
 	Keys map[string]int `json:"keys"`
 	// Messages counts runs per hash of the messages; only engines have it.
 	Messages map[uint64]int `json:"messages"`
 }
 
-// counted is what all stand-ins together say.
-type counted struct {
+// totalCounts is the sum of the run counts of all stand-ins.
+type totalCounts struct {
 	keys     map[string]int
 	messages map[uint64]int
-	// services and engines say whether any stand-in of the kind was asked.
-	services bool
-	engines  bool
+	// hasServices and hasEngines report whether any stand-in of the kind was read.
+	hasServices bool
+	hasEngines  bool
 }
 
-// runs returns how often a task ran, and false where no stand-in counts it.
-func (c *counted) runs(t *task) (int, bool) {
+// runs returns how often a task ran, and false if no stand-in counts it.
+func (c *totalCounts) runs(t *task) (int, bool) {
 	switch {
 	case t.messages != nil:
-		return c.messages[t.hash], c.engines
+		return c.messages[t.hash], c.hasEngines
 	case t.Kind == checker.KindBooking:
-		return c.keys[t.Key], c.services
+		return c.keys[t.Key], c.hasServices
 	default:
 		return 0, false
 	}
 }
 
-// readRuns asks every stand-in what ran. Replicas that share one ledger are
-// named once, or their runs would be counted twice.
-func readRuns(ctx context.Context, bases []string) (*counted, error) {
-	all := &counted{
+// readRuns reads the run counts of every stand-in. Only one of several replicas
+// that share a ledger may be listed, or their runs would be counted twice.
+func readRuns(ctx context.Context, bases []string) (*totalCounts, error) {
+	all := &totalCounts{
 		keys:     map[string]int{},
 		messages: map[uint64]int{},
 	}
@@ -111,9 +111,9 @@
 	return all, nil
 }
 
-func (c *counted) add(one *counts) {
+func (c *totalCounts) add(one *standinCounts) {
 	for key, count := range one.Keys {
-		// The node puts the organisation before the caller's key.
+		// The node prefixes the caller's key with the organisation.
 		if _, own, found := strings.Cut(key, ":"); found {
 			key = own
 		}
@@ -122,11 +122,11 @@
 	for hash, count := range one.Messages {
 		c.messages[hash] += count
 	}
-	c.services = c.services || one.Keys != nil
-	c.engines = c.engines || one.Messages != nil
+	c.hasServices = c.hasServices || one.Keys != nil
+	c.hasEngines = c.hasEngines || one.Messages != nil
 }
 
-func readCounts(ctx context.Context, base string) (*counts, error) {
+func readCounts(ctx context.Context, base string) (*standinCounts, error) {
 	address, err := url.JoinPath(base, "standin", "counts")
 	if err != nil {
 		return nil, err
@@ -143,6 +143,6 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s answered %s", address, response.Status)
 	}
-	counted := &counts{}
+	counted := &standinCounts{}
 	return counted, json.NewDecoder(response.Body).Decode(counted)
 }
