--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs one node beside in-process stand-ins for every outside
-// system, on loopback.
+// Package demo runs one node and stand-ins for all external systems in one
+// process, on loopback.
 package demo
 
 import (
@@ -25,18 +25,18 @@
 	"zinniamast/standin/service"
 )
 
-// Config says where the demo listens.
+// Config configures the demo.
 type Config struct {
-	// Listen is host:port for callers.
+	// Listen is the host:port at which the node accepts callers.
 	Listen string
-	// Logger gets the node's lines.
+	// Logger receives the log of the node.
 	Logger *slog.Logger
-	// Engine says how fast the stand-in engines are; nil means like a small model.
+	// Engine sets the speed of the stand-in engines; nil means that of a small model.
 	Engine *engine.Config
 }
 
-// withEngine fills in the engines' speed.
-func (c Config) withEngine() Config {
+// withDefaults sets Engine to its default if it is nil.
+func (c Config) withDefaults() Config {
 	if c.Engine == nil {
 		c.Engine = &engine.Config{
 			FirstToken:    20 * time.Millisecond,
@@ -46,16 +46,16 @@
 	return c
 }
 
-// What the demo offers.
+// Names, keys and sizes of the demo.
 const (
-	Key           = "demo-key"
-	Organisation  = "franchise-office"
-	Model         = "contract-summary"
-	Service       = "booking"
-	engines       = 3
-	failureDomain = "burnaby-a"
-	tableCalls    = 100
-	demoKey       = "0123456789abcdef0123456789abcdef"
+	Key                 = "demo-key"
+	Organisation        = "franchise-office"
+	Model               = "contract-summary"
+	Service             = "booking"
+	engineCount         = 3
+	failureDomain       = "burnaby-a"
+	tableCallsPerSecond = 100
+	internalKey         = "0123456789abcdef0123456789abcdef"
 )
 
 // Demo is a running demo.
@@ -71,13 +71,13 @@
 	done     chan error
 }
 
-// Start starts stand-ins and a node, and waits until the node is ready.
+// Start starts the stand-ins and a node, and waits until the node is ready.
 func Start(c Config) (*Demo, error) {
 	d := &Demo{
 		ledger: service.NewLedger(),
 		done:   make(chan error, 1),
 	}
-	instances, err := d.startUpstreams(*c.withEngine().Engine)
+	instances, err := d.startUpstreams(*c.withDefaults().Engine)
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +91,13 @@
 			Weight:        1,
 			Listen:        c.Listen,
 			PeerListen:    "127.0.0.1:0",
-			PeerKeys:      []string{demoKey},
-			OperatorKeys:  []string{demoKey},
+			PeerKeys:      []string{internalKey},
+			OperatorKeys:  []string{internalKey},
 			StopTimeout:   config.Duration(10 * time.Second),
 			MemoryCap:     256 << 20,
 			Platform: settings.Platform{
-				WritesASec: tableCalls,
-				ReadsASec:  tableCalls,
+				WritesASec: tableCallsPerSecond,
+				ReadsASec:  tableCallsPerSecond,
 			},
 		},
 		Platform: node.Platform{
@@ -119,7 +119,8 @@
 	return d, d.configure()
 }
 
-// configure puts the configuration as an operator would and waits for the upstreams.
+// configure puts the configuration as an operator would, and waits until the node
+// has found the upstreams.
 func (d *Demo) configure() error {
 	raw, err := configuration()
 	if err != nil {
@@ -131,10 +132,10 @@
 	if reply.Outcome != rollout.InForce {
 		return fmt.Errorf("configuration is %s: %s", reply.Outcome, strings.Join(reply.Messages, "; "))
 	}
-	return d.wait()
+	return d.waitReady()
 }
 
-// configuration is the fleet-wide configuration of the demo.
+// configuration returns the fleet-wide configuration of the demo.
 func configuration() ([]byte, error) {
 	hash := sha256.Sum256([]byte(Key))
 	return json.MarshalIndent(&config.Config{
@@ -165,10 +166,11 @@
 	}, "", "  ")
 }
 
-// startUpstreams starts engines and a service and returns how the platform lists them.
+// startUpstreams starts the engines and a service and returns their instances as
+// the platform lists them.
 func (d *Demo) startUpstreams(c engine.Config) ([]zinniamast.Instance, error) {
 	var instances []zinniamast.Instance
-	for i := range engines {
+	for i := range engineCount {
 		c.Models = []string{Model}
 		e := engine.New(c)
 		d.engines = append(d.engines, e)
@@ -218,11 +220,11 @@
 
 const readyTimeout = 5 * time.Second
 
-// wait returns when the node knows every upstream.
-func (d *Demo) wait() error {
+// waitReady waits until the node has found every upstream, at most for readyTimeout.
+func (d *Demo) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if len(d.node.Board().Upstreams.All()) == engines+1 {
+		if len(d.node.Board().Upstreams.All()) == engineCount+1 {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -233,11 +235,11 @@
 // URL returns the base URL for callers.
 func (d *Demo) URL() string { return "http://" + d.node.Address() }
 
-// StandinURLs returns the base URLs of the engines and, last, of the service;
-// they count what truly ran.
+// StandinURLs returns the base URLs of the engines and, last, of the service.
+// All of them count their runs.
 func (d *Demo) StandinURLs() []string { return d.standins }
 
-// Describe tells a person what to try.
+// Describe prints commands to try against the demo.
 func (d *Demo) Describe(out io.Writer) {
 	fmt.Fprintf(out, `a node with %d engines and a booking service, all in this process: %s
 
@@ -248,10 +250,10 @@
 zinniamast load -targets %s -key %s -standins %s
 
 Interrupt stops it.
-`, engines, d.URL(), d.URL(), Key, Model, d.URL(), Service, Key, d.URL(), d.URL(), Key, strings.Join(d.standins, ","))
+`, engineCount, d.URL(), d.URL(), Key, Model, d.URL(), Service, Key, d.URL(), d.URL(), Key, strings.Join(d.standins, ","))
 }
 
-// Stop stops the node gracefully and the stand-ins after it.
+// Stop stops the node gracefully, then the stand-ins.
 func (d *Demo) Stop() {
 	d.stop()
 	<-d.done
@@ -260,7 +262,7 @@
 	}
 }
 
-// title writes a heading of the report.
-func title(out io.Writer, text string) {
+// writeTitle writes an underlined heading of the report.
+func writeTitle(out io.Writer, text string) {
 	fmt.Fprintf(out, "%s\n%s\n", text, strings.Repeat("-", len(text)))
 }
--- a/demo/once.go
+++ b/demo/once.go
@@ -47,45 +47,45 @@
 	},
 	{
 		name: "a stranger is refused",
-		run:  checkStranger,
+		run:  checkUnknownKey,
 	},
 }
 
-// Once sends a few requests of each kind, prints what happened and reports
-// whether all was right.
+// Once sends a few requests of each kind, prints the result of each check and
+// reports whether all checks passed.
 func (d *Demo) Once(ctx context.Context, out io.Writer) bool {
-	title(out, "zinniamast demo")
-	right := true
+	writeTitle(out, "zinniamast demo")
+	allPassed := true
 	for _, c := range checks {
-		seen, err := c.run(ctx, d)
+		detail, err := c.run(ctx, d)
 		if err != nil {
-			right = false
+			allPassed = false
 			fmt.Fprintf(out, "WRONG  %s: %v\n", c.name, err)
 			continue
 		}
-		fmt.Fprintf(out, "right  %s: %s\n", c.name, seen)
+		fmt.Fprintf(out, "right  %s: %s\n", c.name, detail)
 	}
-	return right
+	return allPassed
 }
 
 func (d *Demo) client() openai.Client {
 	return openai.NewClient(option.WithBaseURL(d.URL()+"/v1"), option.WithAPIKey(Key))
 }
 
-const demoTokens = 40
+const maxTokens = 40
 
 func question(text string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:               Model,
 		Messages:            []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
-		MaxCompletionTokens: openai.Int(demoTokens),
+		MaxCompletionTokens: openai.Int(maxTokens),
 	}
 }
 
-// expected returns the whole answer that the stand-ins give to a question.
+// expected returns the complete answer of the stand-in engines to a question.
 func expected(params openai.ChatCompletionNewParams) (string, error) {
 	messages, err := json.Marshal(params.Messages)
-	return engine.Text(engine.Answer(messages, demoTokens)), err
+	return engine.Text(engine.Answer(messages, maxTokens)), err
 }
 
 func compare(got string, params openai.ChatCompletionNewParams) (string, error) {
@@ -118,7 +118,7 @@
 	if err != nil {
 		return "", err
 	}
-	if answer.Usage.CompletionTokens != demoTokens {
+	if answer.Usage.CompletionTokens != maxTokens {
 		return "", fmt.Errorf("usage counts %d tokens", answer.Usage.CompletionTokens)
 	}
 	return compare(answer.Choices[0].Message.Content, params)
@@ -141,8 +141,8 @@
 	return compare(text.String(), params)
 }
 
-// service calls the booking service and returns status and body.
-func (d *Demo) service(ctx context.Context, method, path, key, body string) (int, string, error) {
+// callService calls the booking service and returns the status and the body.
+func (d *Demo) callService(ctx context.Context, method, path, key, body string) (int, string, error) {
 	q, err := http.NewRequestWithContext(ctx, method, d.URL()+"/services/"+Service+path, strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
@@ -161,7 +161,7 @@
 }
 
 func checkLookup(ctx context.Context, d *Demo) (string, error) {
-	status, body, err := d.service(ctx, http.MethodGet, "/lookups/cage-7", "", "")
+	status, body, err := d.callService(ctx, http.MethodGet, "/lookups/cage-7", "", "")
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("status %d: %s", status, body)
 	}
@@ -170,11 +170,11 @@
 
 func checkReservation(ctx context.Context, d *Demo) (string, error) {
 	const key, order = "cage-7-for-priya", `{"cage":7}`
-	first, firstBody, err := d.service(ctx, http.MethodPost, "/reservations", key, order)
+	first, firstBody, err := d.callService(ctx, http.MethodPost, "/reservations", key, order)
 	if err != nil {
 		return "", err
 	}
-	second, secondBody, err := d.service(ctx, http.MethodPost, "/reservations", key, order)
+	second, secondBody, err := d.callService(ctx, http.MethodPost, "/reservations", key, order)
 	if err != nil {
 		return "", err
 	}
@@ -192,15 +192,15 @@
 }
 
 func checkUnknownModel(ctx context.Context, d *Demo) (string, error) {
-	return d.refused(ctx, Key, `{"model":"nothing","messages":[{"role":"user","content":"x"}]}`, "unknown_model")
+	return d.checkRefusal(ctx, Key, `{"model":"nothing","messages":[{"role":"user","content":"x"}]}`, "unknown_model")
 }
 
-func checkStranger(ctx context.Context, d *Demo) (string, error) {
-	return d.refused(ctx, "stranger", `{}`, "unauthorised")
+func checkUnknownKey(ctx context.Context, d *Demo) (string, error) {
+	return d.checkRefusal(ctx, "stranger", `{}`, "unauthorised")
 }
 
-// refused sends a body and expects a refusal with a reason.
-func (d *Demo) refused(ctx context.Context, key, body, reason string) (string, error) {
+// checkRefusal sends a body and expects a refusal with the reason and "not run".
+func (d *Demo) checkRefusal(ctx context.Context, key, body, reason string) (string, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, d.URL()+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return "", err
