--- a/overhead/overhead_test.go
+++ b/overhead/overhead_test.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// maxAllocations bounds what the node allocates per streamed token.
-	maxAllocations = 2.0
-	// pace makes engines send each token by itself, as real ones do; without
-	// it many tokens share one read and look cheaper than they are.
-	pace        = time.Millisecond
-	pacedAtOnce = 32
+	// maxAllocationsPerToken bounds the allocations of the node per streamed token.
+	maxAllocationsPerToken = 2.0
+	// tokenInterval makes the engines send each token separately, as real ones do.
+	// Without it one read returns many tokens, so that the cost per token
+	// appears lower than it is.
+	tokenInterval = time.Millisecond
+	pacedStreams  = 32
 )
 
 // TestAllocationsPerToken streams long and short answers through the node and
-// directly, and bounds what the node allocates for one more token. Growing it
-// would show as garbage collection at 930,000 tokens a second, long before
-// any one stream looks slow.
+// directly, and bounds the allocations that the node adds per token. More of
+// them would show as garbage collection at 930,000 tokens per second, long before
+// any single stream is slow.
 func TestAllocationsPerToken(t *testing.T) {
 	if testing.Short() {
 		t.Skip("the race detector makes pools allocate")
 	}
 	is := is.New(t)
-	added := newRig(t, pace).added(pacedAtOnce)
+	added := newRig(t, tokenInterval).addedPerToken(pacedStreams)
 	t.Logf("added per token: %.3f allocations, %.0f bytes", added.allocations, added.bytes)
-	is.True(added.allocations <= maxAllocations)
-	is.True(added.allocations > -maxAllocations) // the two runs are comparable
+	is.True(added.allocations <= maxAllocationsPerToken)
+	is.True(added.allocations > -maxAllocationsPerToken) // the two runs are comparable
 }
 
-// BenchmarkFirstToken reports the wait for the first token through the node,
-// directly, and the difference, at p50, one request at a time.
+// BenchmarkFirstToken reports the median time to first token through the node and
+// directly, and the difference, with one request at a time.
 func BenchmarkFirstToken(b *testing.B) {
 	r := newRig(b, 0)
 	buffer := make([]byte, 64<<10)
@@ -58,41 +59,41 @@
 	return all[len(all)/2]
 }
 
-// BenchmarkToken reports what the node adds to one streamed token, with
-// engines that send each token by itself and with engines that send as fast
+// BenchmarkToken reports the cost that the node adds per streamed token, with
+// engines that send each token separately and with engines that send as fast
 // as they can.
 func BenchmarkToken(b *testing.B) {
-	paces := map[string]time.Duration{
-		"each_by_itself":  pace,
+	intervals := map[string]time.Duration{
+		"each_by_itself":  tokenInterval,
 		"as_fast_as_able": 0,
 	}
-	for name, between := range paces {
+	for name, between := range intervals {
 		b.Run(name, func(b *testing.B) {
 			r := newRig(b, between)
-			var added slope
+			var added tokenCost
 			for b.Loop() {
-				added = r.added(pacedAtOnce)
+				added = r.addedPerToken(pacedStreams)
 			}
 			b.ReportMetric(added.allocations, "allocs/token")
 			b.ReportMetric(added.bytes, "bytes/token")
-			b.ReportMetric(float64(added.processor.Nanoseconds()), "cpu_ns/token")
-			if added.processor > 0 {
-				b.ReportMetric(float64(time.Second)/float64(added.processor), "tokens/s/core")
+			b.ReportMetric(float64(added.cpuTime.Nanoseconds()), "cpu_ns/token")
+			if added.cpuTime > 0 {
+				b.ReportMetric(float64(time.Second)/float64(added.cpuTime), "tokens/s/core")
 			}
 		})
 	}
 }
 
-// BenchmarkRequest reports what the node adds to one request with a one-token
-// answer, beside its tokens.
+// BenchmarkRequest reports the cost that the node adds to one request with a
+// one-token answer, apart from the cost per token.
 func BenchmarkRequest(b *testing.B) {
 	r := newRig(b, 0)
 	const streams = 64
 	var through, direct cost
 	for b.Loop() {
-		through, direct = r.run(r.node, streams, 1), r.run(r.direct, streams, 1)
+		through, direct = r.measureStreams(r.node, streams, 1), r.measureStreams(r.direct, streams, 1)
 	}
 	b.ReportMetric((through.allocations-direct.allocations)/streams, "allocs/request")
 	b.ReportMetric((through.bytes-direct.bytes)/streams, "bytes/request")
-	b.ReportMetric(float64((through.processor-direct.processor).Nanoseconds())/streams, "cpu_ns/request")
+	b.ReportMetric(float64((through.cpuTime-direct.cpuTime).Nanoseconds())/streams, "cpu_ns/request")
 }
--- a/overhead/rig_test.go
+++ b/overhead/rig_test.go
@@ -16,7 +16,7 @@
 	"zinniamast/standin/engine"
 )
 
-// rig is one node before stand-in engines, all in this process.
+// rig is a node and its stand-in engines, all in this process.
 type rig struct {
 	tb     testing.TB
 	client *http.Client
@@ -24,7 +24,7 @@
 	direct string
 }
 
-// newRig starts a node whose engines wait as told between tokens.
+// newRig starts a node whose engines wait for betweenTokens between tokens.
 func newRig(tb testing.TB, betweenTokens time.Duration) *rig {
 	tb.Helper()
 	d, err := demo.Start(demo.Config{
@@ -51,8 +51,8 @@
 	}
 }
 
-// prompt returns a body whose answer has exactly so many tokens. Each stream
-// of a run has its own number, so that no answer is shared.
+// prompt returns a request body whose answer has exactly the given number of
+// tokens. Each stream of a run has a different number, so that no answer is shared.
 func prompt(number, tokens int) []byte {
 	for try := 0; ; try++ {
 		messages := fmt.Sprintf(`[{"role":"user","content":"stream %d %d"}]`, number, try)
@@ -67,7 +67,7 @@
 	endMark     = []byte("data: [DONE]")
 )
 
-// stream reads one answer to its end mark and returns the wait for its first token.
+// stream reads one answer to its end marker and returns the time to first token.
 func (r *rig) stream(base string, body, buffer []byte) time.Duration {
 	request, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
@@ -100,16 +100,17 @@
 	}
 }
 
-// cost is what a run took.
+// cost is the cost of a run to the whole process.
 type cost struct {
 	allocations float64
 	bytes       float64
-	processor   time.Duration
+	cpuTime     time.Duration
 }
 
-// run reads so many streams at once and returns what the whole process spent.
-// It is run once beforehand, so that connections and pools are warm.
-func (r *rig) run(base string, streams, tokens int) cost {
+// measureStreams reads the given number of streams concurrently and returns the
+// cost to the whole process. It does so twice and measures the second round, in
+// which connections and pools are warm.
+func (r *rig) measureStreams(base string, streams, tokens int) cost {
 	bodies := make([][]byte, streams)
 	buffers := make([][]byte, streams)
 	for i := range streams {
@@ -120,7 +121,7 @@
 		for i := range streams {
 			bodies[i] = prompt(round*streams+i, tokens)
 		}
-		measured = spent(func() {
+		measured = measureCost(func() {
 			var readers sync.WaitGroup
 			for i := range streams {
 				readers.Go(func() { r.stream(base, bodies[i], buffers[i]) })
@@ -131,8 +132,8 @@
 	return measured
 }
 
-// spent returns the allocations and processor time of the process during f.
-func spent(f func()) cost {
+// measureCost returns the allocations and CPU time of the process during f.
+func measureCost(f func()) cost {
 	var before, after runtime.MemStats
 	var start, end syscall.Rusage
 	runtime.GC()
@@ -144,43 +145,43 @@
 	return cost{
 		allocations: float64(after.Mallocs - before.Mallocs),
 		bytes:       float64(after.TotalAlloc - before.TotalAlloc),
-		processor:   processor(end) - processor(start),
+		cpuTime:     cpuTime(end) - cpuTime(start),
 	}
 }
 
-func processor(usage syscall.Rusage) time.Duration {
+func cpuTime(usage syscall.Rusage) time.Duration {
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// slope is what one more token costs: the difference between long and short
-// streams, which leaves out what a request costs once.
-type slope struct {
+// tokenCost is the cost per token: the difference between long and short streams
+// divided by their difference in tokens, which excludes the fixed cost of a request.
+type tokenCost struct {
 	allocations float64
 	bytes       float64
-	processor   time.Duration
+	cpuTime     time.Duration
 }
 
 const (
-	shortStream = 50
-	longStream  = 450
+	shortStreamTokens = 50
+	longStreamTokens  = 450
 )
 
-func (r *rig) slope(base string, streams int) slope {
-	long, short := r.run(base, streams, longStream), r.run(base, streams, shortStream)
-	tokens := float64(streams * (longStream - shortStream))
-	return slope{
+func (r *rig) costPerToken(base string, streams int) tokenCost {
+	long, short := r.measureStreams(base, streams, longStreamTokens), r.measureStreams(base, streams, shortStreamTokens)
+	tokens := float64(streams * (longStreamTokens - shortStreamTokens))
+	return tokenCost{
 		allocations: (long.allocations - short.allocations) / tokens,
 		bytes:       (long.bytes - short.bytes) / tokens,
-		processor:   time.Duration(float64(long.processor-short.processor) / tokens),
+		cpuTime:     time.Duration(float64(long.cpuTime-short.cpuTime) / tokens),
 	}
 }
 
-// added is what the node adds to each token.
-func (r *rig) added(streams int) slope {
-	through, direct := r.slope(r.node, streams), r.slope(r.direct, streams)
-	return slope{
+// addedPerToken returns the cost that the node adds to each token.
+func (r *rig) addedPerToken(streams int) tokenCost {
+	through, direct := r.costPerToken(r.node, streams), r.costPerToken(r.direct, streams)
+	return tokenCost{
 		allocations: through.allocations - direct.allocations,
 		bytes:       through.bytes - direct.bytes,
-		processor:   through.processor - direct.processor,
+		cpuTime:     through.cpuTime - direct.cpuTime,
 	}
 }
