--- a/load/plan.go
+++ b/load/plan.go
@@ -52,7 +52,7 @@
 	price liability service credit outage window access badge`)
 
 // planner draws tasks from a seed; the same seed yields the same tasks, apart
-// from their IDs and deadlines.
+// from deadlines, request IDs and the texts that contain the IDs.
 type planner struct {
 	config    Config
 	random    *rand.Rand
--- a/load/refusal.go
+++ b/load/refusal.go
@@ -24,7 +24,7 @@
 }
 
 // parseRefusal decodes {"error": {...}}. It reports false for any other body,
-// which does not come from a node.
+// which is not a refusal of a node.
 func parseRefusal(raw []byte) (*refusal, bool) {
 	var body struct {
 		Error *refusal `json:"error"`
