--- a/load/fake_test.go
+++ b/load/fake_test.go
@@ -137,7 +137,7 @@
 		Stream    bool            `json:"stream"`
 	}
 	_ = json.NewDecoder(r.Body).Decode(&body)
-	f.runsByMessages[engine.Hash(body.Messages)]++
+	f.runsByMessages[engine.MessagesHash(body.Messages)]++
 	text := f.mangle(fakeAnswer(body.Messages, body.MaxTokens))
 	if !body.Stream {
 		w.Header().Set("Content-Type", "application/json")
--- a/load/plan.go
+++ b/load/plan.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	t.hash = engine.Hash(raw)
+	t.hash = engine.MessagesHash(raw)
 	t.Expected = p.config.Answer(raw, t.maxTokens)
 	return nil
 }
