--- a/soak/callers.go
+++ b/soak/callers.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// callers send at the same time, each one request after the other on kept
-	// connections, as clients do until a process is gone.
-	callers = 24
-	// thinkTime is between a caller's requests.
+	// callerCount callers send concurrently. Each sends one request after the other
+	// on keep-alive connections, as clients do until the process ends.
+	callerCount = 24
+	// thinkTime is the pause between a caller's requests.
 	thinkTime = 20 * time.Millisecond
-	// budget is how long a caller waits.
+	// budget is the caller's request timeout.
 	budget = 2500 * time.Millisecond
 )
 
-// outcome is how one request ended at its caller.
+// outcome is the result of one request as its caller saw it.
 type outcome struct {
 	id     string
 	path   string
@@ -29,31 +29,31 @@
 	node   *node
 	sent   time.Time
 	ended  time.Time
-	// status is zero where there was no answer.
+	// status is zero if there was no response.
 	status int
 	body   string
 	err    error
 }
 
-// crowd sends requests and keeps how they ended.
-type crowd struct {
+// callerPool sends requests and records their outcomes.
+type callerPool struct {
 	deployment *deployment
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-// run sends until ctx ends.
-func (c *crowd) run(ctx context.Context, seed uint64) {
+// run sends requests until ctx ends.
+func (c *callerPool) run(ctx context.Context, seed uint64) {
 	var all sync.WaitGroup
-	for i := range uint64(callers) {
-		all.Go(func() { c.call(ctx, rand.New(rand.NewPCG(seed, i))) })
+	for i := range uint64(callerCount) {
+		all.Go(func() { c.runCaller(ctx, rand.New(rand.NewPCG(seed, i))) })
 	}
 	all.Wait()
 }
 
-// call is one caller.
-func (c *crowd) call(ctx context.Context, random *rand.Rand) {
+// runCaller runs one caller until ctx ends.
+func (c *callerPool) runCaller(ctx context.Context, random *rand.Rand) {
 	client := &http.Client{
 		Transport: &http.Transport{},
 		Timeout:   budget,
@@ -66,27 +66,27 @@
 	}
 }
 
-// paths are what callers ask for.
+// paths are the request paths that callers choose from.
 var paths = []string{safePath, unsafePath, streamPath}
 
-// bodyOf is the body of a request.
-func bodyOf(id string) string { return "for " + id }
+// requestBody returns the body of the request with this ID.
+func requestBody(id string) string { return "for " + id }
 
-func (c *crowd) send(client *http.Client, n *node, path string) {
+func (c *callerPool) send(client *http.Client, n *node, path string) {
 	o := outcome{
-		id:     c.deployment.nextID(),
+		id:     c.deployment.newRequestID(),
 		path:   path,
 		unsafe: path == unsafePath,
 		node:   n,
 		sent:   time.Now(),
 	}
-	response, err := c.deployment.ask(client, n, o.id, path)
+	response, err := c.deployment.send(client, n, o.id, path)
 	if err == nil {
 		o.status = response.StatusCode
 		var body []byte
 		body, err = io.ReadAll(response.Body)
 		o.body = string(body)
-		_ = response.Body.Close() // It was read to its end.
+		_ = response.Body.Close() // The body has been read to its end.
 	}
 	o.err = err
 	o.ended = time.Now()
@@ -95,16 +95,16 @@
 	c.outcomes = append(c.outcomes, o)
 }
 
-// ask sends one request.
-func (d *deployment) ask(client *http.Client, n *node, id, path string) (*http.Response, error) {
+// send sends one request to a node.
+func (d *deployment) send(client *http.Client, n *node, id, path string) (*http.Response, error) {
 	request, err := caller.Request{
 		ID:      id,
-		Address: n.frontend,
+		Address: n.frontendAddress,
 		Host:    host,
 		Path:    path,
 		Key:     key,
 		Budget:  budget,
-		Body:    bodyOf(id),
+		Body:    requestBody(id),
 	}.HTTP()
 	if err != nil {
 		return nil, err
@@ -112,7 +112,8 @@
 	return client.Do(request)
 }
 
-// probe returns the status of one request on a connection of its own; zero for none.
+// probe sends one request on a new connection and returns its status, or zero if
+// there was no response.
 func (d *deployment) probe(n *node, path string) int {
 	client := &http.Client{
 		Transport: &http.Transport{
@@ -120,11 +121,11 @@
 		},
 		Timeout: budget,
 	}
-	response, err := d.ask(client, n, d.nextID(), path+"x")
+	response, err := d.send(client, n, d.newRequestID(), path+"x")
 	if err != nil {
 		d.tb.Logf("probe of %s: %v", n.name, err)
 		return 0
 	}
-	_ = response.Body.Close() // The status is all that is asked for.
+	_ = response.Body.Close() // Only the status is needed.
 	return response.StatusCode
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -11,35 +11,36 @@
 	"zinniamast/standin/replica"
 )
 
-// Summary is what a soak saw.
+// Summary is the result of a soak.
 type Summary struct {
-	// Faults are what was injected, with their times.
+	// Faults lists the injected faults with their start times.
 	Faults []string
-	// Requests were sent, and Served got a whole answer; Refused were
-	// answered with a promise that they have not run.
+	// Requests counts the requests sent, Served those that got a complete answer,
+	// and Refused those whose refusal states that they have not run.
 	Requests int
 	Served   int
 	Refused  int
-	// Excused ended without an answer for a reason that excuses it; counted by reason.
-	Excused map[excuse]int
-	// Broken are the promises that did not hold, a line each.
-	Broken []string
+	// Unanswered counts the requests that ended without an answer for an acceptable
+	// reason, by that reason.
+	Unanswered map[lossReason]int
+	// Violations describes the violated guarantees, one line each.
+	Violations []string
 }
 
-// check compares what callers got with what replicas ran.
-func (c *crowd) check() Summary {
+// check compares the answers that callers received with the requests that replicas ran.
+func (c *callerPool) check() Summary {
 	s := Summary{
-		Requests: len(c.outcomes),
-		Excused:  map[excuse]int{},
+		Requests:   len(c.outcomes),
+		Unanswered: map[lossReason]int{},
 	}
-	ran := map[string]work{}
-	for _, r := range c.deployment.all() {
+	ran := map[string]executions{}
+	for _, r := range c.deployment.allReplicas() {
 		for _, run := range r.Runs() {
-			if !c.deployment.sent(run.ID) {
-				s.broke("a request %q ran that nobody sent: at %s, %s %s, %v", run.ID, r.ID, run.Method, run.Target, run.Header)
+			if !c.deployment.wasSent(run.ID) {
+				s.addViolation("request %q ran without having been sent: at %s, %s %s, %v", run.ID, r.ID, run.Method, run.Target, run.Header)
 			}
-			if run.Body != bodyOf(run.ID) {
-				s.broke("%s ran with the body %q", run.ID, run.Body)
+			if run.Body != requestBody(run.ID) {
+				s.addViolation("%s ran with the body %q", run.ID, run.Body)
 			}
 			if !run.Refused {
 				ran[run.ID] = ran[run.ID].add(r, run)
@@ -48,96 +49,98 @@
 	}
 	for i := range c.outcomes {
 		o := &c.outcomes[i]
-		s.judge(o, ran[o.id].runs)
+		s.checkOutcome(o, ran[o.id].runs)
 		if o.err == nil {
 			continue
 		}
-		why := c.deployment.excuse(o, ran[o.id])
+		why := c.deployment.acceptableLossReason(o, ran[o.id])
 		if why == "" {
-			s.broke("%s%s", o.loss(ran[o.id]), o.node.logsOf(o.id))
+			s.addViolation("%s%s", o.describeLoss(ran[o.id]), o.node.logLines(o.id))
 			continue
 		}
-		s.Excused[why]++
+		s.Unanswered[why]++
 	}
 	return s
 }
 
-// work is what replicas did for one request.
-type work struct {
+// executions are the runs of one request on all replicas.
+type executions struct {
 	runs int
-	// last is the newest run by a replica that answers for itself, and replica where
-	// it was. What another one answers tells nothing of how a begun answer ended.
-	last    *replica.Run
+	// latest is the newest run that a replica answered under its own identity and
+	// without a server error, and replica is that replica. Other answers give no
+	// information on how a started answer ended.
+	latest  *replica.Run
 	replica *replica.Replica
 }
 
-// add counts a run.
-func (w work) add(r *replica.Replica, run *replica.Run) work {
+// add adds a run.
+func (w executions) add(r *replica.Replica, run *replica.Run) executions {
 	w.runs++
 	if run.Behaviour.Faulty() {
 		return w
 	}
-	if w.last == nil || run.Received.After(w.last.Received) {
-		w.last, w.replica = run, r
+	if w.latest == nil || run.Received.After(w.latest.Received) {
+		w.latest, w.replica = run, r
 	}
 	return w
 }
 
-// lossSlack is how soon a connection may end on a request that has just been sent:
-// the instance may have closed it before it read the request. It is the least that
-// deployments allow.
-const lossSlack = 200 * time.Millisecond
+// closeRaceWindow is the time after sending within which a connection may end
+// without an answer, because the instance may have closed it before it read the
+// request. It is the minimum that deployments allow.
+const closeRaceWindow = 200 * time.Millisecond
 
-// excuse is why a request may end without a whole answer or a status; empty if
-// it may not.
-type excuse string
+// lossReason is the reason why a request may end without a complete answer or a
+// status. It is empty if there is no acceptable reason.
+type lossReason string
 
 const (
-	timeUp       excuse = "the caller's time was up"
-	notConnected excuse = "not connected"
-	notRead      excuse = "not read"
-	instanceDown excuse = "instance killed or paused"
-	replicaBroke excuse = "replica broke off"
+	callerTimedOut    lossReason = "the caller's time was up"
+	connectionRefused lossReason = "not connected"
+	requestNotRead    lossReason = "not read"
+	instanceDown      lossReason = "instance killed or paused"
+	replicaBrokeOff   lossReason = "replica broke off"
 )
 
-// excuse judges a request that ended so. A stop, a reload, a new configuration, a
-// fault of the store and a replica's silence excuse nothing.
-func (d *deployment) excuse(o *outcome, w work) excuse {
+// acceptableLossReason returns the reason that makes the loss of a request
+// acceptable. A stop, a reload, a new configuration, a store fault and a replica
+// that pauses or answers late are no acceptable reasons.
+func (d *deployment) acceptableLossReason(o *outcome, w executions) lossReason {
 	elapsed := o.ended.Sub(o.sent)
 	switch {
 	case elapsed >= budget:
-		return timeUp
-	case d.disturbed(o.node, o.sent, o.ended):
+		return callerTimedOut
+	case d.wasDisturbed(o.node, o.sent, o.ended):
 		return instanceDown
 	case errors.Is(o.err, syscall.ECONNREFUSED):
-		return notConnected
-	case w.runs == 0 && elapsed <= lossSlack:
-		return notRead
-	case w.last == nil:
+		return connectionRefused
+	case w.runs == 0 && elapsed <= closeRaceWindow:
+		return requestNotRead
+	case w.latest == nil:
 		return ""
-	case w.last.Behaviour.Breaks() || d.disturbed(d.linkOf(w.replica), w.last.Received, o.ended):
-		return replicaBroke
+	case w.latest.Behaviour.Breaks() || d.wasDisturbed(d.linkOf(w.replica), w.latest.Received, o.ended):
+		return replicaBrokeOff
 	default:
 		return ""
 	}
 }
 
-// loss tells what is known of a lost request.
-func (o *outcome) loss(w work) string {
+// describeLoss describes a lost request and its latest run.
+func (o *outcome) describeLoss(w executions) string {
 	line := fmt.Sprintf("%s (%s) was lost at %s after %v, run %d times: status %d, %v", o.id, o.path, o.node.name,
 		o.ended.Sub(o.sent).Round(time.Millisecond), w.runs, o.status, o.err)
-	if w.last == nil {
+	if w.latest == nil {
 		return line
 	}
-	b := w.last.Behaviour
+	b := w.latest.Behaviour
 	return fmt.Sprintf("%s; last by %s for %v, which begins after %v and pauses for %v after event %d", line, w.replica.ID,
-		o.ended.Sub(w.last.Received).Round(time.Millisecond), b.Delay, b.Pause, b.PauseAfter)
+		o.ended.Sub(w.latest.Received).Round(time.Millisecond), b.Delay, b.Pause, b.PauseAfter)
 }
 
-// judge judges one request that replicas ran so many times.
-func (s *Summary) judge(o *outcome, ran int) {
+// checkOutcome checks the answer of one request that replicas ran so many times.
+func (s *Summary) checkOutcome(o *outcome, ran int) {
 	if o.unsafe && ran > 1 {
-		s.broke("%s ran %d times", o.id, ran)
+		s.addViolation("%s ran %d times", o.id, ran)
 	}
 	switch o.status {
 	case http.StatusOK:
@@ -145,26 +148,26 @@
 			break
 		}
 		s.Served++
-		if !o.whole() {
-			s.broke("%s got the answer %q", o.id, o.body)
+		if !o.isComplete() {
+			s.addViolation("%s got the answer %q", o.id, o.body)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		s.Refused++
 		if o.unsafe && ran > 0 {
-			s.broke("%s was told that it has not run, and ran", o.id)
+			s.addViolation("%s was refused as not run, but it ran", o.id)
 		}
 	case http.StatusNotFound, http.StatusUnauthorized, http.StatusForbidden:
-		s.broke("%s got status %d for what the configuration allows", o.id, o.status)
+		s.addViolation("%s got status %d for a request that the configuration allows", o.id, o.status)
 	}
 }
 
-func (s *Summary) broke(format string, args ...any) {
-	s.Broken = append(s.Broken, fmt.Sprintf(format, args...))
+func (s *Summary) addViolation(format string, args ...any) {
+	s.Violations = append(s.Violations, fmt.Sprintf(format, args...))
 }
 
-// whole says whether an answer that ended well is the caller's own and whole: of
-// a stream each event once and in order.
-func (o *outcome) whole() bool {
+// isComplete reports whether an answer that ended without an error belongs to this
+// request and is complete. A complete stream has each event once and in order.
+func (o *outcome) isComplete() bool {
 	if o.path != streamPath {
 		return strings.HasSuffix(o.body, "ran "+o.id)
 	}
@@ -175,22 +178,22 @@
 	return o.body == events.String()
 }
 
-// settled checks what must hold once all faults are over: replicas that left get
-// nothing more, and every instance has the newest configuration in force.
-func (d *deployment) settled(before map[*replica.Replica]int) []string {
+// checkRecovered checks the state after all faults have ended: removed replicas
+// receive no more requests, and every instance has the newest configuration in force.
+func (d *deployment) checkRecovered(before map[*replica.Replica]int) []string {
 	var s Summary
 	for r, runs := range before {
 		if now := len(r.Runs()); now > runs {
-			s.broke("%s got %d requests long after it left", r.ID, now-runs)
+			s.addViolation("%s got %d requests long after it was removed", r.ID, now-runs)
 		}
 	}
 	for _, n := range d.nodes {
-		if status := d.probe(n, pathOf(d.version)); status != http.StatusOK {
-			s.broke("%s answers %d on the newest route", n.name, status)
+		if status := d.probe(n, versionPath(d.version)); status != http.StatusOK {
+			s.addViolation("%s answers %d on the newest route", n.name, status)
 		}
-		if status := d.probe(n, pathOf(d.version-1)); d.version > 1 && status != http.StatusNotFound {
-			s.broke("%s answers %d on a route that was dropped", n.name, status)
+		if status := d.probe(n, versionPath(d.version-1)); d.version > 1 && status != http.StatusNotFound {
+			s.addViolation("%s answers %d on a route that was removed", n.name, status)
 		}
 	}
-	return s.Broken
+	return s.Violations
 }
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -18,36 +18,37 @@
 	"zinniamast/standin/store"
 )
 
-// The failure domains of a deployment.
+// failureDomains are the failure domains of a deployment.
 var failureDomains = []string{"burnaby-a", "surrey-b"}
 
-// The deployment's routes, and the caller's key.
+// The deployment's host and routes, and the callers' API key.
 const (
-	host        = "models.example"
-	safePath    = "/lookup/x"
-	unsafePath  = "/book/x"
-	streamPath  = "/say/x"
-	key         = "k"
-	replicasFor = 3 // of the service, in each failure domain
+	host              = "models.example"
+	safePath          = "/lookup/x"
+	unsafePath        = "/book/x"
+	streamPath        = "/say/x"
+	key               = "k"
+	replicasPerDomain = 3
 )
 
-// deployment is some entry instances before stand-ins.
+// deployment is a set of entry instances with simulated replicas and a simulated store.
 type deployment struct {
 	tb       testing.TB
 	store    *store.Store
 	nodes    []*node
 	replicas []*replica.Replica
 	links    []*processtest.Link
-	// requests counts what callers have sent.
-	requests atomic.Int64
+	// requestsSent counts the requests that callers have sent.
+	requestsSent atomic.Int64
 
-	// mu guards the rest, which faults change.
+	// mu guards the fields below, which faults change.
 	mu sync.Mutex
-	// version is that of the newest configuration.
+	// version is the version of the newest configuration.
 	version int
-	// places holds each replica's, and left those that were taken away.
-	places map[*replica.Replica]place
-	left   []*replica.Replica
+	// locations holds the location of each replica, and removed lists the replicas
+	// whose entries were deleted.
+	locations map[*replica.Replica]location
+	removed   []*replica.Replica
 	// disturbances are the unplanned faults of instances and links so far.
 	disturbances []disturbance
 }
@@ -58,8 +59,8 @@
 	from, until time.Time
 }
 
-// disturb notes that a target had a disturbance from a moment until now.
-func (d *deployment) disturb(target any, from time.Time) {
+// recordDisturbance records that a target was disturbed from a point in time until now.
+func (d *deployment) recordDisturbance(target any, from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.disturbances = append(d.disturbances, disturbance{
@@ -69,8 +70,8 @@
 	})
 }
 
-// disturbed says whether a target had a disturbance in a span of time.
-func (d *deployment) disturbed(target any, from, until time.Time) bool {
+// wasDisturbed reports whether a target was disturbed at any time in an interval.
+func (d *deployment) wasDisturbed(target any, from, until time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.ContainsFunc(d.disturbances, func(f disturbance) bool {
@@ -78,44 +79,44 @@
 	})
 }
 
-// linkOf returns the link before a replica.
+// linkOf returns the link in front of a replica.
 func (d *deployment) linkOf(r *replica.Replica) *processtest.Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.links[slices.Index(d.replicas, r)]
 }
 
-// place is where a replica's entry says that it is.
-type place struct {
+// location is the address and failure domain in a replica's store entry.
+type location struct {
 	address string
 	domain  string
 }
 
-// nextID names a request.
-func (d *deployment) nextID() string { return fmt.Sprintf("r-%d", d.requests.Add(1)) }
+// newRequestID returns the ID of the next request.
+func (d *deployment) newRequestID() string { return fmt.Sprintf("r-%d", d.requestsSent.Add(1)) }
 
-// sent says whether a request of this name was sent.
-func (d *deployment) sent(id string) bool {
+// wasSent reports whether a request with this ID was sent.
+func (d *deployment) wasSent(id string) bool {
 	number, err := strconv.ParseInt(strings.TrimPrefix(id, "r-"), 10, 64)
-	return err == nil && number <= d.requests.Load()
+	return err == nil && number <= d.requestsSent.Load()
 }
 
 // node is one entry instance.
 type node struct {
-	name     string
-	settings string
-	frontend string
-	ready    string
-	store    *processtest.Link
-	process  *processtest.Process
-	// ended are its processes before.
-	ended []*processtest.Process
+	name            string
+	settings        string
+	frontendAddress string
+	readyAddress    string
+	storeLink       *processtest.Link
+	process         *processtest.Process
+	// previous are the instance's earlier processes.
+	previous []*processtest.Process
 }
 
-// logsOf returns the log lines that name a request.
-func (n *node) logsOf(id string) string {
+// logLines returns the log lines that mention a request.
+func (n *node) logLines(id string) string {
 	var found strings.Builder
-	for _, p := range append(slices.Clone(n.ended), n.process) {
+	for _, p := range append(slices.Clone(n.previous), n.process) {
 		for line := range strings.Lines(p.Logs()) {
 			if strings.Contains(line, fmt.Sprintf("%q", id)) || strings.Contains(line, "="+id+" ") {
 				found.WriteString("\n\t" + strings.TrimSpace(line))
@@ -125,44 +126,44 @@
 	return found.String()
 }
 
-// newDeployment starts so many instances, replicas behind links, and a store
-// behind a link for each instance.
+// newDeployment starts the configured number of instances, replicas behind links,
+// and a store with one link for each instance.
 func newDeployment(tb testing.TB, c Config) *deployment {
 	tb.Helper()
 	d := &deployment{
-		tb:     tb,
-		store:  store.New(),
-		places: map[*replica.Replica]place{},
+		tb:        tb,
+		store:     store.New(),
+		locations: map[*replica.Replica]location{},
 	}
 	tb.Cleanup(d.store.Close)
-	d.configure()
-	for i := range replicasFor * len(failureDomains) {
+	d.putNextConfiguration()
+	for i := range replicasPerDomain * len(failureDomains) {
 		d.addReplica(fmt.Sprintf("i-%d", i), failureDomains[i%len(failureDomains)])
 	}
 	directory := tb.TempDir()
 	var seeds []string
-	retries := c.retries()
+	retries := c.retryBudget()
 	for i := range c.Instances {
 		n := &node{
-			name:     fmt.Sprintf("edge-%d", i),
-			frontend: processtest.FreeAddress(tb),
-			ready:    processtest.FreeAddress(tb),
-			settings: filepath.Join(directory, fmt.Sprintf("edge-%d.toml", i)),
-			store:    processtest.NewLink(tb, fmt.Sprintf("store-of-edge-%d", i), d.store.Address()),
+			name:            fmt.Sprintf("edge-%d", i),
+			frontendAddress: processtest.FreeAddress(tb),
+			readyAddress:    processtest.FreeAddress(tb),
+			settings:        filepath.Join(directory, fmt.Sprintf("edge-%d.toml", i)),
+			storeLink:       processtest.NewLink(tb, fmt.Sprintf("store-of-edge-%d", i), d.store.Address()),
 		}
 		peer := processtest.FreeAddress(tb)
 		if i < 2 {
 			seeds = append(seeds, peer)
 		}
 		text := fmt.Sprintf(settings, n.name, failureDomains[i%len(failureDomains)], "["+quoted(seeds)+"]",
-			n.frontend, n.ready, peer, retries.ratio, retries.slack, n.store.Address(), d.store.Address())
+			n.frontendAddress, n.readyAddress, peer, retries.ratio, retries.slack, n.storeLink.Address(), d.store.Address())
 		if err := os.WriteFile(n.settings, []byte(text), 0o600); err != nil {
 			tb.Fatal(err)
 		}
 		d.nodes = append(d.nodes, n)
 	}
 	for _, n := range d.nodes {
-		d.start(n)
+		d.startNode(n)
 	}
 	for _, n := range d.nodes {
 		d.waitReady(n)
@@ -178,18 +179,20 @@
 	return strings.Join(all, ",")
 }
 
-// configure writes the next version, which has a route that no other has.
-func (d *deployment) configure() {
+// putNextConfiguration writes the next configuration version, which has a route that
+// no other version has.
+func (d *deployment) putNextConfiguration() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	d.store.Put("op", "config", fmt.Appendf(nil, configuration, d.version, pathOf(d.version)))
+	d.store.Put("op", "config", fmt.Appendf(nil, configuration, d.version, versionPath(d.version)))
 }
 
-// pathOf is where a version's own route leads.
-func pathOf(version int) string { return fmt.Sprintf("/only-%d/", version) }
+// versionPath returns the path prefix of the route that only this version has.
+func versionPath(version int) string { return fmt.Sprintf("/only-%d/", version) }
 
-// configuration has a route of each kind on one service, and one of its version.
+// configuration has a route of each type on one service and the route that only its
+// version has.
 const configuration = `{"version":%d,
 	"routes":[
 		{"name":"lookup","hostname":"models.example","prefix":"/lookup/","routeType":"safe","timeoutMs":3000,"sloMs":150,"service":"svc","maxAttempts":2},
@@ -200,8 +203,9 @@
 	"limits":{"maxBodyBytes":4096},
 	"tenants":[{"name":"acme","apiKeys":["k"],"ratePerS":100000,"burst":100000}]}`
 
-// settings is an instance's file in the platform's format. The cloud's address,
-// by which instances prove their deployment, is the store's: no other soak has it.
+// settings is an instance's settings file in the platform's format. Instances prove
+// by the cloud's address that they belong to the same deployment. It is the store's
+// address, which is unique to this soak.
 const settings = `nodeName = %q
 ip = "127.0.0.1"
 zone = %q
@@ -233,7 +237,7 @@
 address = %q
 `
 
-// addReplica starts a replica behind a link and enters it into the store.
+// addReplica starts a replica behind a link and writes its entry to the store.
 func (d *deployment) addReplica(id, domain string) {
 	r := replica.New(id)
 	r.StreamPrefix = "/say/"
@@ -242,65 +246,65 @@
 	d.mu.Lock()
 	d.replicas = append(d.replicas, r)
 	d.links = append(d.links, link)
-	d.places[r] = place{
+	d.locations[r] = location{
 		address: link.Address(),
 		domain:  domain,
 	}
 	d.mu.Unlock()
-	d.enter(r, "ready")
+	d.putReplicaEntry(r, "ready")
 }
 
-// enter writes a replica's entry.
-func (d *deployment) enter(r *replica.Replica, state string) {
+// putReplicaEntry writes a replica's entry to the store.
+func (d *deployment) putReplicaEntry(r *replica.Replica, state string) {
 	d.mu.Lock()
-	at := d.places[r]
+	at := d.locations[r]
 	d.mu.Unlock()
 	d.store.Put("servers", r.ID, fmt.Appendf(nil,
 		`{"service":"svc","address":%q,"zone":%q,"state":%q,"slots":16,"born":1}`, at.address, at.domain, state))
 }
 
-// replace lets a replica announce that it leaves, and returns what ends it: the
-// entry goes, and another replica takes its place.
+// replace marks a replica as draining. The returned function deletes its entry and
+// adds another replica in the same failure domain.
 func (d *deployment) replace(r *replica.Replica) (end func()) {
 	d.mu.Lock()
-	gone := slices.Contains(d.left, r)
+	isRemoved := slices.Contains(d.removed, r)
 	d.mu.Unlock()
-	if gone {
+	if isRemoved {
 		return func() {}
 	}
-	d.enter(r, "draining")
+	d.putReplicaEntry(r, "draining")
 	return func() {
 		d.store.Remove("servers", r.ID)
 		d.mu.Lock()
-		d.left = append(d.left, r)
-		next, domain := fmt.Sprintf("i-%d", len(d.replicas)), d.places[r].domain
+		d.removed = append(d.removed, r)
+		next, domain := fmt.Sprintf("i-%d", len(d.replicas)), d.locations[r].domain
 		d.mu.Unlock()
 		d.addReplica(next, domain)
 	}
 }
 
-// all returns the replicas that ever were.
-func (d *deployment) all() []*replica.Replica {
+// allReplicas returns all replicas, including the removed ones.
+func (d *deployment) allReplicas() []*replica.Replica {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.replicas)
 }
 
-func (d *deployment) start(n *node) {
+func (d *deployment) startNode(n *node) {
 	if n.process != nil {
-		n.ended = append(n.ended, n.process)
+		n.previous = append(n.previous, n.process)
 	}
 	n.process = processtest.Start(d.tb, n.name, "entry", "-settings", n.settings)
 }
 
-// readyWithin is how long an instance may take to be ready after its start.
-const readyWithin = 10 * time.Second
+// readyTimeout is the time within which an instance must be ready after its start.
+const readyTimeout = 10 * time.Second
 
 func (d *deployment) waitReady(n *node) {
 	d.tb.Helper()
-	for deadline := time.Now().Add(readyWithin); !n.isReady(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(readyTimeout); !n.isReady(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			d.tb.Fatalf("%s is not ready within %v", n.name, readyWithin)
+			d.tb.Fatalf("%s is not ready within %v", n.name, readyTimeout)
 		}
 	}
 }
@@ -309,7 +313,7 @@
 	client := http.Client{
 		Timeout: time.Second,
 	}
-	response, err := client.Get("http://" + n.ready + "/readyz")
+	response, err := client.Get("http://" + n.readyAddress + "/readyz")
 	if err != nil {
 		return false
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -13,24 +13,25 @@
 	"zinniamast/standin/store"
 )
 
-// fault is one fault: target draws what it strikes, and begin makes it and
-// returns what ends it.
+// fault is one kind of fault. target selects what the fault affects, and begin
+// starts the fault and returns the function that ends it.
 type fault struct {
 	name   string
 	target func(d *deployment, random *rand.Rand) any
 	begin  func(d *deployment, target any, random *rand.Rand) (end func())
-	// unplanned says that it excuses a request that is cut meanwhile at its target.
+	// unplanned makes the loss of a request at the fault's target acceptable while
+	// the fault lasts.
 	unplanned bool
 }
 
-// excusing returns the fault as one that excuses.
-func (f fault) excusing() fault {
+// asUnplanned returns the fault marked as unplanned.
+func (f fault) asUnplanned() fault {
 	f.unplanned = true
 	return f
 }
 
-// strike makes a fault of things of one type.
-func strike[T any](name string, target func(d *deployment, random *rand.Rand) T,
+// newFault returns a fault whose targets have the type T.
+func newFault[T any](name string, target func(d *deployment, random *rand.Rand) T,
 	begin func(d *deployment, target T, random *rand.Rand) (end func())) fault {
 	return fault{
 		name:   name,
@@ -42,87 +43,88 @@
 }
 
 const (
-	// between is the longest time from one fault's beginning to the next one's;
-	// faults overlap, since each lasts for up to lasting.
-	between = 700 * time.Millisecond
-	lasting = 2 * time.Second
+	// maxFaultInterval is the longest time between the starts of two faults of a
+	// series. Faults overlap, since each lasts for up to maxFaultDuration.
+	maxFaultInterval = 700 * time.Millisecond
+	maxFaultDuration = 2 * time.Second
 )
 
-// faults are all there are.
+// faults are the faults of the first series.
 var faults = []fault{
-	strike("kill", anyNode, func(d *deployment, n *node, _ *rand.Rand) func() {
+	newFault("kill", randomNode, func(d *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Kill()
-		return func() { d.start(n) }
-	}).excusing(),
-	strike("pause", anyNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
+		return func() { d.startNode(n) }
+	}).asUnplanned(),
+	newFault("pause", randomNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Pause()
 		return n.process.Resume
-	}).excusing(),
-	strike("stop", anyNode, func(d *deployment, n *node, _ *rand.Rand) func() {
+	}).asUnplanned(),
+	newFault("stop", randomNode, func(d *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Terminate()
 		return func() {
-			_ = n.process.Wait(stopWithin) // How it ended is logged by the process.
-			d.start(n)
+			_ = n.process.Wait(stopTimeout) // The process logs how it ended.
+			d.startNode(n)
 		}
 	}),
-	strike("store down", theStore, storeFault(store.Fault{
+	newFault("store down", storeTarget, storeFault(store.Fault{
 		Status: http.StatusServiceUnavailable,
 	})),
-	strike("store loses answers", theStore, storeFault(store.Fault{
+	newFault("store loses answers", storeTarget, storeFault(store.Fault{
 		LoseWrites: true,
 	})),
-	strike("one instance's store silent", anyStoreLink, silence),
-	strike("replica slow", anyReplicaLink, func(_ *deployment, link *processtest.Link, random *rand.Rand) func() {
+	newFault("one instance's store silent", randomStoreLink, silenceLink),
+	newFault("replica slow", randomReplicaLink, func(_ *deployment, link *processtest.Link, random *rand.Rand) func() {
 		link.Slow(time.Duration(50+random.IntN(300)) * time.Millisecond)
 		return link.Clear
 	}),
-	strike("replica silent", anyReplicaLink, silence).excusing(),
-	strike("replica resets", anyReplicaLink, func(_ *deployment, link *processtest.Link, _ *rand.Rand) func() {
+	newFault("replica silent", randomReplicaLink, silenceLink).asUnplanned(),
+	newFault("replica resets", randomReplicaLink, func(_ *deployment, link *processtest.Link, _ *rand.Rand) func() {
 		link.Reset()
 		return link.Clear
-	}).excusing(),
-	strike("replica leaves", anyReplica, func(d *deployment, r *replica.Replica, _ *rand.Rand) func() {
+	}).asUnplanned(),
+	newFault("replica leaves", randomReplica, func(d *deployment, r *replica.Replica, _ *rand.Rand) func() {
 		return d.replace(r)
 	}),
-	strike("configuration changes", theConfiguration, func(d *deployment, _ *int, _ *rand.Rand) func() {
-		d.configure()
+	newFault("configuration changes", configurationTarget, func(d *deployment, _ *int, _ *rand.Rand) func() {
+		d.putNextConfiguration()
 		return func() {}
 	}),
-	strike("replica misbehaves", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
+	newFault("replica misbehaves", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
 		r.Behave(misbehaviours[random.IntN(len(misbehaviours))])
 		return func() { r.Behave(replica.Behaviour{}) }
 	}),
 }
 
-// silences are well replicas that tell nothing for a while, as those that read long
-// prompts or preempt a request, and reloads beside them. They are drawn apart from
-// faults, so that several replicas at a time are silent beside the other faults.
-var silences = []fault{
-	strike("replica pauses in streams", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
+// silenceFaults make healthy replicas send nothing for a while, as replicas do that
+// prefill long prompts or preempt a request, and reload instances meanwhile. They
+// are a series of their own, so that several replicas at a time are silent during
+// the other faults.
+var silenceFaults = []fault{
+	newFault("replica pauses in streams", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
 		r.Behave(replica.Behaviour{
 			PauseAfter: 1 + random.IntN(replica.StreamEvents-1),
-			Pause:      within(random, 1200*time.Millisecond, 1800*time.Millisecond),
+			Pause:      randomDuration(random, 1200*time.Millisecond, 1800*time.Millisecond),
 		})
 		return func() { r.Behave(replica.Behaviour{}) }
 	}),
-	strike("replica begins late", anyReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
+	newFault("replica begins late", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
 		r.Behave(replica.Behaviour{
-			Delay: within(random, 400*time.Millisecond, time.Second),
+			Delay: randomDuration(random, 400*time.Millisecond, time.Second),
 		})
 		return func() { r.Behave(replica.Behaviour{}) }
 	}),
-	strike("reload", anyNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
+	newFault("reload", randomNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Hangup()
 		return func() {}
 	}),
 }
 
-// within draws a time from a span.
-func within(random *rand.Rand, least, most time.Duration) time.Duration {
+// randomDuration returns a random duration from least up to most.
+func randomDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
 
-// misbehaviours are answers that a faulty replica gives.
+// misbehaviours are the ways in which a faulty replica answers.
 var misbehaviours = []replica.Behaviour{
 	{NotRun: true},
 	{Reset: true},
@@ -132,29 +134,29 @@
 	{Status: http.StatusInternalServerError},
 }
 
-func anyNode(d *deployment, random *rand.Rand) *node { return d.nodes[random.IntN(len(d.nodes))] }
+func randomNode(d *deployment, random *rand.Rand) *node { return d.nodes[random.IntN(len(d.nodes))] }
 
-func anyStoreLink(d *deployment, random *rand.Rand) *processtest.Link {
-	return anyNode(d, random).store
+func randomStoreLink(d *deployment, random *rand.Rand) *processtest.Link {
+	return randomNode(d, random).storeLink
 }
 
-func anyReplicaLink(d *deployment, random *rand.Rand) *processtest.Link {
+func randomReplicaLink(d *deployment, random *rand.Rand) *processtest.Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.links[random.IntN(len(d.links))]
 }
 
-func anyReplica(d *deployment, random *rand.Rand) *replica.Replica {
+func randomReplica(d *deployment, random *rand.Rand) *replica.Replica {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicas[random.IntN(len(d.replicas))]
 }
 
-func theConfiguration(d *deployment, _ *rand.Rand) *int { return &d.version }
+func configurationTarget(d *deployment, _ *rand.Rand) *int { return &d.version }
 
-func theStore(d *deployment, _ *rand.Rand) *store.Store { return d.store }
+func storeTarget(d *deployment, _ *rand.Rand) *store.Store { return d.store }
 
-// storeFault sets a fault of the store.
+// storeFault returns a begin function that sets a fault of the store.
 func storeFault(f store.Fault) func(*deployment, *store.Store, *rand.Rand) func() {
 	return func(_ *deployment, s *store.Store, _ *rand.Rand) func() {
 		s.SetFault(f)
@@ -162,68 +164,70 @@
 	}
 }
 
-// silence lets nothing come back through a link.
-func silence(_ *deployment, link *processtest.Link, _ *rand.Rand) func() {
+// silenceLink drops everything that comes back through a link.
+func silenceLink(_ *deployment, link *processtest.Link, _ *rand.Rand) func() {
 	link.Silence()
 	return link.Clear
 }
 
-// stopWithin is the time that the settings give a stop, and some for the machine.
-const stopWithin = 12 * time.Second
+// stopTimeout is the graceful stop time of the settings (graceS) plus a margin for a
+// busy machine.
+const stopTimeout = 12 * time.Second
 
-// injector makes faults. They overlap, but one thing has one fault at a time.
+// injector injects faults. Faults overlap, but each target has one fault at a time.
 type injector struct {
 	deployment *deployment
-	began      time.Time
+	started    time.Time
 	running    sync.WaitGroup
 
-	mu     sync.Mutex
-	struck map[any]bool
-	did    []string
+	mu       sync.Mutex
+	active   map[any]bool
+	injected []string
 }
 
-// misbehave injects faults until ctx ends and returns what it did. All have ended
-// when it returns.
-func (d *deployment) misbehave(ctx context.Context, seed uint64) []string {
+// injectFaults injects faults until ctx ends and returns a description of each. All
+// faults have ended when it returns.
+func (d *deployment) injectFaults(ctx context.Context, seed uint64) []string {
 	i := &injector{
 		deployment: d,
-		began:      time.Now(),
-		struck:     map[any]bool{},
+		started:    time.Now(),
+		active:     map[any]bool{},
 	}
 	var series sync.WaitGroup
-	series.Go(func() { i.draw(ctx, faults, rand.New(rand.NewPCG(seed, seed))) })
-	series.Go(func() { i.draw(ctx, silences, rand.New(rand.NewPCG(seed, ^seed))) })
+	series.Go(func() { i.injectSeries(ctx, faults, rand.New(rand.NewPCG(seed, seed))) })
+	series.Go(func() { i.injectSeries(ctx, silenceFaults, rand.New(rand.NewPCG(seed, ^seed))) })
 	series.Wait()
 	i.running.Wait()
-	return i.did
+	return i.injected
 }
 
-// draw injects one fault after the other until ctx ends.
-func (i *injector) draw(ctx context.Context, from []fault, random *rand.Rand) {
+// injectSeries starts one random fault after the other until ctx ends.
+func (i *injector) injectSeries(ctx context.Context, from []fault, random *rand.Rand) {
 	for ctx.Err() == nil {
 		f := from[random.IntN(len(from))]
 		target := f.target(i.deployment, random)
-		length := time.Duration(random.Int64N(int64(lasting)))
-		if i.claim(target, fmt.Sprintf("%s for %v", f.name, length.Round(time.Millisecond))) {
+		length := time.Duration(random.Int64N(int64(maxFaultDuration)))
+		if i.reserve(target, fmt.Sprintf("%s for %v", f.name, length.Round(time.Millisecond))) {
 			i.inject(f, target, length, random)
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(between))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxFaultInterval))))
 	}
 }
 
-// claim notes a fault of a target unless it has one.
-func (i *injector) claim(target any, what string) bool {
+// reserve records a fault of a target and returns true, unless the target already
+// has a fault.
+func (i *injector) reserve(target any, what string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.struck[target] {
+	if i.active[target] {
 		return false
 	}
-	i.struck[target] = true
-	i.did = append(i.did, fmt.Sprintf("%v %s", time.Since(i.began).Round(time.Millisecond), what))
+	i.active[target] = true
+	i.injected = append(i.injected, fmt.Sprintf("%v %s", time.Since(i.started).Round(time.Millisecond), what))
 	return true
 }
 
-// inject begins a fault and lets it end later.
+// inject starts a fault and ends it after length, without waiting for the end.
 func (i *injector) inject(f fault, target any, length time.Duration, random *rand.Rand) {
 	from := time.Now()
 	end := f.begin(i.deployment, target, random)
@@ -231,20 +235,20 @@
 		time.Sleep(length)
 		end()
 		if f.unplanned {
-			i.deployment.disturb(target, from)
+			i.deployment.recordDisturbance(target, from)
 		}
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		i.struck[target] = false
+		i.active[target] = false
 	})
 }
 
-// losePower kills all instances at once and starts them again.
-func (d *deployment) losePower() {
+// killAndRestartAll kills all instances at once and starts them again.
+func (d *deployment) killAndRestartAll() {
 	for _, n := range d.nodes {
 		n.process.Kill()
 	}
 	for _, n := range d.nodes {
-		d.start(n)
+		d.startNode(n)
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -8,74 +8,75 @@
 	"zinniamast/standin/replica"
 )
 
-// Config says what is soaked.
+// Config configures a soak.
 type Config struct {
-	// Seed draws the faults and the callers' choices.
+	// Seed seeds the random faults and the callers' random choices.
 	Seed uint64
-	// Instances is how many entry instances there are.
+	// Instances is the number of entry instances.
 	Instances int
-	// Faults is for how long faults are injected.
-	Faults time.Duration
+	// FaultDuration is the time for which faults are injected.
+	FaultDuration time.Duration
 }
 
-// retries is what a deployment allows of repeated sends, in each window of the settings.
-type retries struct {
+// retryBudget limits the retries of a deployment in each retry window of the settings.
+type retryBudget struct {
 	ratio float64
 	slack int
 }
 
-// retries is plenty with half of the seeds. With the others some replicas that
-// misbehave use it up.
-func (c Config) retries() retries {
+// retryBudget returns an ample budget for half of the seeds. For the others it is
+// small enough that a few misbehaving replicas exhaust it.
+func (c Config) retryBudget() retryBudget {
 	if c.Seed/2%2 == 0 {
-		return retries{
+		return retryBudget{
 			ratio: 0.2,
 			slack: 58,
 		}
 	}
-	return retries{
+	return retryBudget{
 		ratio: 0.01,
 		slack: 4,
 	}
 }
 
 const (
-	// recovery is how long after the last fault the system is given.
-	recovery = 6 * time.Second
-	// calm is for how long callers send after it.
-	calm = 2 * time.Second
+	// recoveryTime is the time that the system gets to recover after the last fault.
+	recoveryTime = 6 * time.Second
+	// calmDuration is the time for which callers send after the recovery.
+	calmDuration = 2 * time.Second
 )
 
-// Run soaks a deployment and checks it. With every other seed all instances lose
-// power after the last fault. The second summary is that of the calm seconds
-// after all faults have ended.
+// Run soaks a deployment and checks it. With even seeds all instances are killed at
+// once after the last fault, as in a power failure. The second summary covers the
+// time after the recovery, without faults.
 func Run(tb testing.TB, c Config) (faulty, calmed Summary) {
 	tb.Helper()
 	d := newDeployment(tb, c)
 	faulty = d.soak(c.Seed, func() []string {
-		ctx, cancel := context.WithTimeout(context.Background(), c.Faults)
+		ctx, cancel := context.WithTimeout(context.Background(), c.FaultDuration)
 		defer cancel()
-		return d.misbehave(ctx, c.Seed)
+		return d.injectFaults(ctx, c.Seed)
 	})
 	if c.Seed%2 == 0 {
-		d.losePower()
+		d.killAndRestartAll()
 	}
-	time.Sleep(recovery)
+	time.Sleep(recoveryTime)
 	before := map[*replica.Replica]int{}
-	for _, r := range d.left {
+	for _, r := range d.removed {
 		before[r] = len(r.Runs())
 	}
 	calmed = d.soak(c.Seed+1, func() []string {
-		time.Sleep(calm)
+		time.Sleep(calmDuration)
 		return nil
 	})
-	calmed.Broken = append(calmed.Broken, d.settled(before)...)
+	calmed.Violations = append(calmed.Violations, d.checkRecovered(before)...)
 	return faulty, calmed
 }
 
-// soak lets callers send while something is done, and checks what came of it.
+// soak runs callers while do runs, and checks their outcomes. do returns the
+// descriptions of the faults that it injected.
 func (d *deployment) soak(seed uint64, do func() []string) Summary {
-	c := &crowd{
+	c := &callerPool{
 		deployment: d,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,10 +85,10 @@
 		defer close(ended)
 		c.run(ctx, seed)
 	}()
-	did := do()
+	injected := do()
 	cancel()
 	<-ended
 	s := c.check()
-	s.Faults = did
+	s.Faults = injected
 	return s
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,12 +26,12 @@
 	os.Exit(code)
 }
 
-// Callers book, look up and read streams while instances are killed, paused,
-// stopped and reloaded, the store fails, and replicas misbehave or are silent,
-// several at a time. Nothing that may not be repeated runs twice, "not run" is true,
-// each answer is its caller's own, no connection ends without an answer for a
-// reason that does not excuse it, and seconds after the last fault nearly all
-// requests are served.
+// TestSoak sends bookings, lookups and streams while instances are killed, paused,
+// stopped and reloaded, the store fails, and replicas misbehave or are silent, with
+// several faults at a time. It guards against unsafe requests that run twice,
+// refused requests that ran in spite of "not run", answers to another request,
+// requests that end without an answer and without an acceptable reason, and a
+// deployment that serves fewer than 95 % of requests seconds after the last fault.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		*seeds, *length = 1, time.Second
@@ -40,14 +40,14 @@
 		t.Run(fmt.Sprintf("seed %d", *first+i), func(t *testing.T) {
 			check := is.New(t)
 			faulty, calmed := soak.Run(t, soak.Config{
-				Seed:      *first + i,
-				Instances: *size,
-				Faults:    *length,
+				Seed:          *first + i,
+				Instances:     *size,
+				FaultDuration: *length,
 			})
 			t.Logf("%d requests, %d served, %d refused, without answer %v; then %d, %d served, without answer %v",
-				faulty.Requests, faulty.Served, faulty.Refused, faulty.Excused, calmed.Requests, calmed.Served, calmed.Excused)
+				faulty.Requests, faulty.Served, faulty.Refused, faulty.Unanswered, calmed.Requests, calmed.Served, calmed.Unanswered)
 			t.Logf("faults: %v", faulty.Faults)
-			for _, line := range append(faulty.Broken, calmed.Broken...) {
+			for _, line := range append(faulty.Violations, calmed.Violations...) {
 				t.Error(line)
 			}
 			check.True(faulty.Served > 0)
