--- a/processtest/bench_test.go
+++ b/processtest/bench_test.go
@@ -17,14 +17,14 @@
 )
 
 // BenchmarkNodeProcess streams through one node process that has one core and
-// reports what the process itself spent, by its own metric. Engines send each
-// token by itself.
+// reports the CPU time of the process from its own metric. Engines send each token
+// separately.
 func BenchmarkNodeProcess(b *testing.B) {
 	for _, streams := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			fleet := processtest.NewFleet(b, processtest.FleetConfig{
-				FailureDomains: processtest.ThreeDomains[:1],
-				EnginesEach:    4,
+				FailureDomains:   processtest.ThreeDomains[:1],
+				EnginesPerDomain: 4,
 				Engine: engine.Config{
 					BetweenTokens: 5 * time.Millisecond,
 					Slots:         512,
@@ -33,14 +33,14 @@
 			})
 			node := fleet.Nodes[0]
 			const tokens = 400
-			streamAll(b, node.Direct, streams, 50)
+			streamAll(b, node.DirectURL, streams, 50)
 			total := 0
 			spent, elapsed := 0.0, time.Duration(0)
 			for b.Loop() {
-				before, begin := processorSeconds(b, node.Direct), time.Now()
-				streamAll(b, node.Direct, streams, tokens)
+				before, begin := processorSeconds(b, node.DirectURL), time.Now()
+				streamAll(b, node.DirectURL, streams, tokens)
 				elapsed += time.Since(begin)
-				spent += processorSeconds(b, node.Direct) - before
+				spent += processorSeconds(b, node.DirectURL) - before
 				total += streams * tokens
 			}
 			b.ReportMetric(float64(total)/elapsed.Seconds(), "tokens/s")
@@ -50,7 +50,7 @@
 	}
 }
 
-// streamAll reads so many answers at once, each of exactly so many tokens.
+// streamAll reads answers concurrently, each of exactly tokens tokens.
 func streamAll(b *testing.B, base string, streams, tokens int) {
 	b.Helper()
 	var readers sync.WaitGroup
@@ -84,7 +84,7 @@
 	}
 }
 
-// processorSeconds reads what the node has spent so far.
+// processorSeconds returns the CPU time of the node's process so far.
 func processorSeconds(b *testing.B, base string) float64 {
 	b.Helper()
 	response, err := http.Get(base + "/metrics")
@@ -102,6 +102,6 @@
 			return seconds
 		}
 	}
-	b.Fatal("the node does not say what it spent")
+	b.Fatal("the node's metrics lack process_cpu_seconds_total")
 	return 0
 }
--- a/processtest/binary.go
+++ b/processtest/binary.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-var built = sync.OnceValues(build)
+var buildOnce = sync.OnceValues(build)
 
 // Binary builds zinniamast once per test process and returns its path.
 func Binary(tb testing.TB) string {
 	tb.Helper()
-	path, err := built()
+	path, err := buildOnce()
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 func build() (string, error) {
 	_, file, _, ok := runtime.Caller(0)
 	if !ok {
-		return "", fmt.Errorf("processtest: the source's place is unknown")
+		return "", fmt.Errorf("processtest: cannot determine the source directory")
 	}
 	directory, err := os.MkdirTemp("", "zinniamast-processtest-")
 	if err != nil {
@@ -40,9 +40,9 @@
 	return path, nil
 }
 
-// Clean removes what Binary built; call it from TestMain.
+// Clean removes the binary that Binary built. TestMain calls it after the tests.
 func Clean() {
-	if path, err := built(); err == nil {
+	if path, err := buildOnce(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 }
--- a/processtest/config_test.go
+++ b/processtest/config_test.go
@@ -16,7 +16,7 @@
 	"zinniamast/standin/platform"
 )
 
-// Exit codes of config put; docs/operators/configuration.md lists them.
+// The exit codes of config put, as in docs/operators/configuration.md.
 const (
 	exitInForce  = 0
 	exitFailed   = 1
@@ -24,43 +24,42 @@
 	exitConflict = 4
 )
 
-// nine starts nine nodes in three failure domains.
-func nine(tb testing.TB) *processtest.Fleet {
+// startNineNodes starts a fleet of nine nodes in three failure domains.
+func startNineNodes(tb testing.TB) *processtest.Fleet {
 	tb.Helper()
 	if testing.Short() {
 		tb.Skip("real processes")
 	}
 	return processtest.NewFleet(tb, processtest.FleetConfig{
-		FailureDomains: processtest.ThreeDomains,
-		NodesEach:      3,
-		EnginesEach:    1,
+		FailureDomains:   processtest.ThreeDomains,
+		NodesPerDomain:   3,
+		EnginesPerDomain: 1,
 	})
 }
 
-// maxTokens is a change of one default.
-func maxTokens(count int) func(*config.Config) {
+// withMaxTokens returns a configuration change that sets the default MaxTokens.
+func withMaxTokens(count int) func(*config.Config) {
 	return func(c *config.Config) { c.Defaults.MaxTokens = &count }
 }
 
-// TestConfigRace lets operators at six of nine nodes put different changes
-// from one base at the same moment. One wins; the others read "conflict" with
-// the winner and the differences, and nothing of theirs is in force. Each makes
-// its change again from the newest version until it is accepted, and history
-// holds every change once, in the order of the numbers.
+// TestConfigRace puts different changes with the same base at six of nine nodes
+// concurrently. It guards against lost and partly applied changes. One put must win;
+// the others must report a conflict with the winner and the differences. Each is put
+// again on the newest version, and the history must contain every change once.
 func TestConfigRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := nine(t)
+	fleet := startNineNodes(t)
 	const operators = 6
 	replies := make([]rollout.PutReply, operators)
 	codes := make([]int, operators)
-	var racers sync.WaitGroup
+	var puts sync.WaitGroup
 	for i := range operators {
-		racers.Go(func() {
-			replies[i], codes[i] = fleet.Put(fleet.Nodes[i], 1, fmt.Sprintf("change-%d", i), maxTokens(100+i))
+		puts.Go(func() {
+			replies[i], codes[i] = fleet.Put(fleet.Nodes[i], 1, fmt.Sprintf("change-%d", i), withMaxTokens(100+i))
 		})
 	}
-	racers.Wait()
+	puts.Wait()
 	winner := slices.Index(codes, exitInForce)
 	is.True(winner >= 0)
 	base := uint64(2)
@@ -72,7 +71,7 @@
 		is.Equal(replies[i].Newest.Who, fleet.Nodes[winner].Name)
 		is.Equal(len(replies[i].Changes), 1)
 		is.Equal(replies[i].Changes[0].After, fmt.Sprint(100+winner))
-		again, code := fleet.Put(fleet.Nodes[i], base, fmt.Sprintf("change-%d", i), maxTokens(100+i))
+		again, code := fleet.Put(fleet.Nodes[i], base, fmt.Sprintf("change-%d", i), withMaxTokens(100+i))
 		is.Equal(code, exitInForce)
 		base = again.Number
 	}
@@ -81,48 +80,48 @@
 	for _, n := range fleet.Nodes {
 		is.True(slices.IsSorted(n.Versions()))
 	}
-	history, _ := fleet.Operate(fleet.Nodes[8], []string{"config", "history"}, "-limit", "20")
+	history, _ := fleet.RunCommand(fleet.Nodes[8], []string{"config", "history"}, "-limit", "20")
 	for i := range operators {
 		is.Equal(strings.Count(history, fmt.Sprintf("why: change-%d\n", i)), 1)
 	}
 }
 
-// TestConfigNeverReverts changes the configuration while one node is cut off
-// from peers and platform, one is dead, and the table answers every read as of
-// before the change. The put says which nodes are pending. The dead node comes
-// back and the cut one is joined again while the table still gives the old
-// answer: neither shows an older version than the fleet has, and both reach
-// the newest. No process ever puts a lower number in force.
+// TestConfigNeverReverts changes the configuration while one node is cut off from
+// peers and platform, one is dead, and the table returns stale reads from before the
+// change. The put must report both nodes as pending. Then the dead node restarts and
+// the other is reconnected while reads are still stale. It guards against a process
+// that puts an older version in force: both nodes must reach the newest version, and
+// the restarted node must start with it.
 func TestConfigNeverReverts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	fleet := nine(t)
+	fleet := startNineNodes(t)
 	fleet.WaitJoined()
-	first, code := fleet.Put(fleet.Nodes[0], 1, "before", maxTokens(200))
+	first, code := fleet.Put(fleet.Nodes[0], 1, "before", withMaxTokens(200))
 	is.Equal(code, exitInForce)
 	is.NoErr(fleet.Platform.SetFault(platform.ServiceTable, platform.Fault{
 		Stale: true,
 	}))
-	dead, cut := fleet.Nodes[4], contact(fleet, fleet.Nodes[0], processtest.ThreeDomains[2])
+	dead, cut := fleet.Nodes[4], firstMemberIn(fleet, fleet.Nodes[0], processtest.ThreeDomains[2])
 	before := dead.Process
 	dead.Kill()
-	cut.Peers.Silence()
+	cut.Peers.DropResponses()
 	cut.Platform.Cut()
 
-	second, code := fleet.Put(fleet.Nodes[0], first.Number, "during", maxTokens(201))
+	second, code := fleet.Put(fleet.Nodes[0], first.Number, "during", withMaxTokens(201))
 	is.Equal(code, exitPending)
 	is.Equal(second.Number, first.Number+1)
-	is.Equal(pending(second), []string{cut.Name, dead.Name})
+	is.Equal(pendingNodes(second), []string{cut.Name, dead.Name})
 
 	fleet.StartNode(dead)
 	cut.Peers.Clear()
 	cut.Platform.Heal()
 	fleet.WaitVersion(second.Number)
-	is.Equal(dead.Versions()[0], second.Number) // the old answer was never in force
+	is.Equal(dead.Versions()[0], second.Number) // the stale version was never in force
 	is.True(before.Version() <= dead.Versions()[0])
 
 	is.NoErr(fleet.Platform.SetFault(platform.ServiceTable, platform.Fault{}))
-	third, code := fleet.Put(dead, second.Number, "after", maxTokens(202))
+	third, code := fleet.Put(dead, second.Number, "after", withMaxTokens(202))
 	is.Equal(code, exitInForce)
 	fleet.WaitVersion(third.Number)
 	for _, n := range fleet.Nodes {
@@ -131,8 +130,8 @@
 	}
 }
 
-// contact returns the first member of another failure domain that a node knows.
-func contact(fleet *processtest.Fleet, of *processtest.Node, domain string) *processtest.Node {
+// firstMemberIn returns the first member in a failure domain that a node knows.
+func firstMemberIn(fleet *processtest.Fleet, of *processtest.Node, domain string) *processtest.Node {
 	for _, member := range fleet.Status(of).Members {
 		for _, n := range fleet.Nodes {
 			if member.FailureDomain == domain && n.Name == member.ID {
@@ -143,8 +142,8 @@
 	return nil
 }
 
-// pending returns the nodes that had not confirmed a change, by name.
-func pending(reply rollout.PutReply) []string {
+// pendingNodes returns the sorted names of the nodes that had not confirmed a change.
+func pendingNodes(reply rollout.PutReply) []string {
 	var names []string
 	for _, node := range reply.Nodes {
 		if node.Number < reply.Number {
@@ -155,8 +154,8 @@
 	return names
 }
 
-// BenchmarkConfigInForce measures from acceptance to in force at the last of
-// nine processes, each change by the built binary's config put.
+// BenchmarkConfigInForce measures the time from a change's acceptance until the last
+// of nine processes has it in force. It makes each change by config put of the binary.
 func BenchmarkConfigInForce(b *testing.B) {
 	faults := map[string]platform.Fault{
 		"healthy": {},
@@ -167,7 +166,7 @@
 	}
 	for _, name := range []string{"healthy", "slow", "down"} {
 		b.Run(name, func(b *testing.B) {
-			fleet := nine(b)
+			fleet := startNineNodes(b)
 			fault := faults[name]
 			if err := fleet.Platform.SetFault(platform.ServiceTable, fault); err != nil {
 				b.Fatal(err)
@@ -178,16 +177,16 @@
 			for b.Loop() {
 				stop := func() {}
 				if name == "down" {
-					stop = downAfterAcceptance(b, fleet.Platform)
+					stop = takeTableDownOnAcceptance(b, fleet.Platform)
 				}
-				reply, _ := fleet.Put(fleet.Nodes[len(all)%len(fleet.Nodes)], base, "measure", maxTokens(1000+len(all)))
+				reply, _ := fleet.Put(fleet.Nodes[len(all)%len(fleet.Nodes)], base, "measure", withMaxTokens(1000+len(all)))
 				stop()
 				outcomes[reply.Outcome]++
 				if reply.Accepted.IsZero() {
 					continue
 				}
 				base = reply.Number
-				all = append(all, lastInForce(reply))
+				all = append(all, timeToLastInForce(reply))
 			}
 			slices.Sort(all)
 			b.ReportMetric(0, "ns/op")
@@ -198,8 +197,9 @@
 	}
 }
 
-// lastInForce is when the last node had a change in force; all clocks are one machine's.
-func lastInForce(reply rollout.PutReply) time.Duration {
+// timeToLastInForce returns the time from a change's acceptance until the last node
+// had it in force. All processes share one machine's clock.
+func timeToLastInForce(reply rollout.PutReply) time.Duration {
 	last := time.Duration(0)
 	for _, node := range reply.Nodes {
 		last = max(last, node.Since.Sub(reply.Accepted))
@@ -207,18 +207,19 @@
 	return last
 }
 
-// acceptWrites is how many items an accepted change writes at once.
-const acceptWrites = 4
+// itemsPerAcceptedChange is the number of table items that an accepted change writes
+// in one transaction.
+const itemsPerAcceptedChange = 4
 
-// downAfterAcceptance takes the table down as soon as a change is written, and
-// returns what ends the outage.
-func downAfterAcceptance(b *testing.B, p *platform.Platform) (stop func()) {
+// takeTableDownOnAcceptance makes the table unavailable as soon as a change has been
+// written, and returns the function that ends the outage.
+func takeTableDownOnAcceptance(b *testing.B, p *platform.Platform) (stop func()) {
 	b.Helper()
 	done := make(chan struct{})
 	var watcher sync.WaitGroup
 	before := p.Counts().TableItems
 	watcher.Go(func() {
-		for p.Counts().TableItems < before+acceptWrites {
+		for p.Counts().TableItems < before+itemsPerAcceptedChange {
 			select {
 			case <-done:
 				return
--- a/processtest/doc.go
+++ b/processtest/doc.go
@@ -1,6 +1,6 @@
-// Package processtest starts the built zinniamast binary as real processes on
-// loopback, beside stand-ins for every outside system and behind a fault proxy
-// on each link, for tests of whole failures.
+// Package processtest runs the zinniamast binary as processes on loopback, for
+// end-to-end failure tests. Every external system is simulated, and each link
+// passes through a fault proxy.
 //
 // Only tests use it: the product itself starts no processes.
 package processtest
--- a/processtest/outside_test.go
+++ b/processtest/external_test.go
@@ -16,22 +16,22 @@
 	"zinniamast/standin/platform"
 )
 
-// TestPlatformOutage cuts every node off from the platform for two seconds
-// under load. Model requests need nothing of it and all are whole. Bookings
-// are served or refused as "not run", and the refusals are true.
+// TestPlatformOutage cuts every node off from the platform for two seconds under
+// load. Model requests do not depend on the platform, so all must be complete.
+// Bookings are served or refused as "not run", and a refused booking must not run.
 func TestPlatformOutage(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	toModels := fleet.Drive(load.Config{
+	fleet := startFleet(t, processtest.FleetConfig{})
+	modelRun := fleet.StartLoad(load.Config{
 		Rate: 25,
 		For:  4 * time.Second,
 		Seed: 6,
-		Mix:  models,
+		Mix:  modelMix,
 	})
-	toServices := fleet.Drive(load.Config{
+	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     25,
 		For:      4 * time.Second,
 		Seed:     7,
-		Mix:      services,
+		Mix:      serviceMix,
 		Deadline: 10 * time.Second,
 	})
 	time.Sleep(time.Second)
@@ -42,46 +42,46 @@
 	for _, n := range fleet.Nodes {
 		n.Platform.Heal()
 	}
-	allWhole(t, toModels.Report())
-	honest(t, toServices.Report())
+	checkAllComplete(t, modelRun.Report())
+	checkNoViolations(t, serviceRun.Report())
 }
 
-// TestUpstreamsReclaimed reclaims one engine and then a whole failure domain's
-// upstreams, each on two seconds of notice, under load. Streams there end in
-// time, move or resume elsewhere from the tokens produced; every answer is
-// whole, and nothing new is sent to what is leaving.
+// TestUpstreamsReclaimed reclaims one engine and then all upstreams of a failure
+// domain under load, each with two seconds of notice. It guards against incomplete
+// answers: streams on these upstreams end in time, move, or resume elsewhere from the
+// tokens already produced, and leaving upstreams receive no new requests.
 func TestUpstreamsReclaimed(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	toModels := fleet.Drive(load.Config{
+	fleet := startFleet(t, processtest.FleetConfig{})
+	modelRun := fleet.StartLoad(load.Config{
 		Rate: 25,
 		For:  5 * time.Second,
 		Seed: 8,
-		Mix:  models,
+		Mix:  modelMix,
 	})
-	toServices := fleet.Drive(load.Config{
+	serviceRun := fleet.StartLoad(load.Config{
 		Rate: 15,
 		For:  5 * time.Second,
 		Seed: 9,
-		Mix:  services,
+		Mix:  serviceMix,
 	})
 	time.Sleep(500 * time.Millisecond)
 	fleet.Reclaim(fleet.Upstreams[0], 2*time.Second)
 	time.Sleep(time.Second)
 	fleet.ReclaimDomain(processtest.ThreeDomains[1], 2*time.Second)
-	allWhole(t, toModels.Report())
-	honest(t, toServices.Report())
+	checkAllComplete(t, modelRun.Report())
+	checkNoViolations(t, serviceRun.Report())
 }
 
-// TestEnginesDieWithoutNotice cuts the links to a failure domain's upstreams
-// with no warning. Streams break in the middle; the nodes resume them
-// elsewhere, and callers see one unbroken answer.
-func TestEnginesDieWithoutNotice(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	driven := fleet.Drive(load.Config{
+// TestEngineFailureWithoutNotice cuts the links to a failure domain's engines without
+// notice, which breaks their streams. The nodes resume them elsewhere. It guards
+// against answers that callers receive incomplete.
+func TestEngineFailureWithoutNotice(t *testing.T) {
+	fleet := startFleet(t, processtest.FleetConfig{})
+	loadRun := fleet.StartLoad(load.Config{
 		Rate: 25,
 		For:  3 * time.Second,
 		Seed: 10,
-		Mix:  models,
+		Mix:  modelMix,
 	})
 	time.Sleep(time.Second)
 	for _, u := range fleet.Upstreams {
@@ -89,20 +89,20 @@
 			u.Link.Cut()
 		}
 	}
-	allWhole(t, driven.Report())
+	checkAllComplete(t, loadRun.Report())
 }
 
-// TestPartitionSameKeys cuts the nodes off from each other, drops what they
-// send, and lets callers on two sides book under the same keys at the same
-// moment. The platform's table alone decides who may send, and it loses
-// answers to writes that took effect. Each key runs at most once, and its
-// callers, who ask again as long as they are told to, learn that it ran.
+// TestPartitionSameKeys partitions the nodes from each other, while callers of two
+// nodes book concurrently under the same keys. Only the platform's table decides which
+// node may send a booking, and it loses answers to writes that took effect. It guards
+// against keys that run twice or not at all: callers retry until they are served, and
+// both callers of a key must receive the answer of its one run.
 func TestPartitionSameKeys(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{
+	fleet := startFleet(t, processtest.FleetConfig{
 		Work: 20 * time.Millisecond,
 	})
 	for _, n := range fleet.Nodes {
-		n.Peers.Silence()
+		n.Peers.DropResponses()
 	}
 	is := is.New(t)
 	is.NoErr(fleet.Platform.SetFault(platform.ServiceTable, platform.Fault{
@@ -114,7 +114,7 @@
 	for key := range keys {
 		for side := range 2 {
 			callers.Go(func() {
-				answers[key][side] = book(t, fleet.Nodes[side].Callers.URL(), "same-"+strconv.Itoa(key))
+				answers[key][side] = postBookingUntilServed(t, fleet.Nodes[side].Callers.URL(), "same-"+strconv.Itoa(key))
 			})
 		}
 	}
@@ -124,17 +124,17 @@
 	is.Equal(fleet.Ledger.Counts().Runs, keys)
 	for _, pair := range answers {
 		is.True(pair[0] != "")
-		is.Equal(pair[0], pair[1]) // both callers hold the answer of the one run
+		is.Equal(pair[0], pair[1]) // both callers have the answer of the one run
 	}
 }
 
-// book posts one booking under a key, again while it is told to come back, and
-// returns the answer, or "" if it got none in time.
-func book(t *testing.T, base, key string) string {
+// postBookingUntilServed posts one booking under a key until it is served, and returns
+// the answer, or "" if it is not served in time.
+func postBookingUntilServed(t *testing.T, base, key string) string {
 	t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for time.Now().Before(deadline) {
-		status, body := post(t, base, key)
+		status, body := postBooking(t, base, key)
 		if status == http.StatusOK {
 			return body
 		}
@@ -143,7 +143,7 @@
 	return ""
 }
 
-func post(t *testing.T, base, key string) (int, string) {
+func postBooking(t *testing.T, base, key string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, base+"/services/"+processtest.Service+"/reservations", strings.NewReader(`{"cage":1}`))
 	if err != nil {
--- a/processtest/fleet.go
+++ b/processtest/fleet.go
@@ -22,7 +22,7 @@
 	"zinniamast/standin/service"
 )
 
-// What a fleet offers.
+// The credentials, organisation, model and service of a fleet.
 const (
 	Key          = "caller-key"
 	Organisation = "franchise-office"
@@ -31,43 +31,44 @@
 	secretKey    = "platform-secret-key"
 )
 
-// FleetConfig says what to start.
+// FleetConfig configures a fleet.
 type FleetConfig struct {
-	// FailureDomains get one node each, with engines and one service replica.
+	// FailureDomains each get NodesEach nodes, EnginesEach engines and one service replica.
 	FailureDomains []string
-	// NodesEach is the number of nodes per failure domain; zero means 1.
-	NodesEach int
-	// EnginesEach is the number of engines per failure domain; zero means 2.
-	EnginesEach int
-	// Engine says how fast the engines are.
+	// NodesPerDomain is the number of nodes per failure domain; zero means 1.
+	NodesPerDomain int
+	// EnginesPerDomain is the number of engines per failure domain; zero means 2.
+	EnginesPerDomain int
+	// Engine configures the engines.
 	Engine engine.Config
-	// Work is how long each booking takes.
+	// Work is the processing time of each booking.
 	Work time.Duration
 	// StopTimeout bounds a node's graceful stop; zero means 5 s.
 	StopTimeout time.Duration
-	// Environment is added to that of every node, as NAME=VALUE.
+	// Environment is added to the environment of every node, as NAME=VALUE.
 	Environment []string
-	// Configure may change the configuration before it is put.
+	// Configure, if set, changes the configuration before it is put.
 	Configure func(c *config.Config)
 }
 
-// ThreeDomains is the usual fleet: three failure domains of one region.
+// ThreeDomains are the failure domains of most fleets: three in one region.
 var ThreeDomains = []string{"burnaby-a", "surrey-b", "richmond-c"}
 
-// Fleet is a set of nodes as processes beside stand-ins in this process.
+// Fleet is a set of node processes, with external systems simulated in this process.
 type Fleet struct {
 	tb        testing.TB
 	directory string
 	config    FleetConfig
-	// Platform is the platform's stand-in; its control calls are not behind a link.
+	// Platform is the simulated platform. Its control methods are called directly,
+	// without a link.
 	Platform *platform.Platform
-	// Ledger counts what the booking service truly ran.
+	// Ledger counts the bookings that the service ran.
 	Ledger    *service.Ledger
 	Nodes     []*Node
 	Upstreams []*Upstream
 	platform  *httptest.Server
-	// Each fleet has its own keys: ports are used again, and a node of another
-	// test must not be taken for a peer.
+	// Each fleet has its own keys: ports are reused, and a node of another test
+	// must not be accepted as a peer.
 	peerKey     string
 	operatorKey string
 }
@@ -77,19 +78,21 @@
 	*Process
 	Name          string
 	FailureDomain string
-	// Callers, Platform and Peers are the links before the node's caller
-	// listener, from the node to the platform, and before its peer listener.
+	// Callers is the link in front of the node's caller listener, Platform the
+	// link from the node to the platform, and Peers the link in front of its peer
+	// listener.
 	Callers  *Link
 	Platform *Link
 	Peers    *Link
-	// Direct is the base URL of the caller listener without its link.
-	Direct string
-	// PeerKeys and OperatorKeys go into the node's settings, the first proves.
-	PeerKeys     []string
-	OperatorKeys []string
-	listen       string
-	peerListen   string
-	settings     string
+	// DirectURL is the base URL of the caller listener without its link.
+	DirectURL string
+	// PeerKeys and OperatorKeys are written to the node's settings. The node
+	// proves itself by the first of a list and accepts all.
+	PeerKeys          []string
+	OperatorKeys      []string
+	listenAddress     string
+	peerListenAddress string
+	settingsPath      string
 }
 
 // Upstream is one replica behind its link.
@@ -97,19 +100,19 @@
 	Instance zinniamast.Instance
 	Link     *Link
 	// Engine is set for engines.
-	Engine *engine.Engine
-	direct string
+	Engine    *engine.Engine
+	directURL string
 }
 
-// NewFleet starts stand-ins and nodes, puts the configuration and waits until
-// every node is ready.
+// NewFleet starts the simulated systems and the nodes, puts the configuration and
+// waits until every node is ready.
 func NewFleet(tb testing.TB, c FleetConfig) *Fleet {
 	tb.Helper()
-	if c.EnginesEach == 0 {
-		c.EnginesEach = 2
+	if c.EnginesPerDomain == 0 {
+		c.EnginesPerDomain = 2
 	}
-	if c.NodesEach == 0 {
-		c.NodesEach = 1
+	if c.NodesPerDomain == 0 {
+		c.NodesPerDomain = 1
 	}
 	if c.StopTimeout == 0 {
 		c.StopTimeout = 5 * time.Second
@@ -123,7 +126,7 @@
 		Ledger:      service.NewLedger(),
 	}
 	f.startUpstreams()
-	f.placeNodes()
+	f.addNodes()
 	f.startPlatform()
 	f.startNodes()
 	f.putConfiguration()
@@ -133,7 +136,7 @@
 
 func (f *Fleet) startUpstreams() {
 	for _, domain := range f.config.FailureDomains {
-		for range f.config.EnginesEach {
+		for range f.config.EnginesPerDomain {
 			c := f.config.Engine
 			c.Models = []string{Model}
 			e := engine.New(c)
@@ -162,8 +165,8 @@
 			Address:       link.URL(),
 			Started:       time.Now().Add(-time.Hour),
 		},
-		Link:   link,
-		direct: server.URL,
+		Link:      link,
+		directURL: server.URL,
 	}
 	f.Upstreams = append(f.Upstreams, u)
 	return u
@@ -192,53 +195,53 @@
 	f.tb.Cleanup(f.platform.Close)
 }
 
-// placeNodes gives each node its addresses and the links before them.
-func (f *Fleet) placeNodes() {
+// addNodes creates the nodes with their addresses and the links in front of them.
+func (f *Fleet) addNodes() {
 	for _, domain := range f.config.FailureDomains {
-		f.placeNode("entry-"+domain, domain)
-		for i := 1; i < f.config.NodesEach; i++ {
-			f.placeNode(fmt.Sprintf("entry-%s-%d", domain, i+1), domain)
+		f.addNode("entry-"+domain, domain)
+		for i := 1; i < f.config.NodesPerDomain; i++ {
+			f.addNode(fmt.Sprintf("entry-%s-%d", domain, i+1), domain)
 		}
 	}
 }
 
-func (f *Fleet) placeNode(name, domain string) {
+func (f *Fleet) addNode(name, domain string) {
 	n := &Node{
-		Name:          name,
-		FailureDomain: domain,
-		PeerKeys:      []string{f.peerKey},
-		OperatorKeys:  []string{f.operatorKey},
-		listen:        FreeAddress(f.tb),
-		peerListen:    FreeAddress(f.tb),
+		Name:              name,
+		FailureDomain:     domain,
+		PeerKeys:          []string{f.peerKey},
+		OperatorKeys:      []string{f.operatorKey},
+		listenAddress:     FreeAddress(f.tb),
+		peerListenAddress: FreeAddress(f.tb),
 	}
-	n.Direct = "http://" + n.listen
-	n.Callers = NewLink(f.tb, name+"-callers", n.listen)
-	n.Peers = NewLink(f.tb, name+"-peers", n.peerListen)
+	n.DirectURL = "http://" + n.listenAddress
+	n.Callers = NewLink(f.tb, name+"-callers", n.listenAddress)
+	n.Peers = NewLink(f.tb, name+"-peers", n.peerListenAddress)
 	f.Nodes = append(f.Nodes, n)
 }
 
-// startNodes starts all nodes; each knows the others' links.
+// startNodes starts all nodes. Each has the peer links of the others in its settings.
 func (f *Fleet) startNodes() {
 	for _, n := range f.Nodes {
 		n.Platform = NewLink(f.tb, n.Name+"-platform", f.platform.Listener.Addr().String())
-		n.settings = f.writeSettings(n)
+		n.settingsPath = f.writeSettings(n)
 		f.StartNode(n)
 	}
 }
 
-// StartNode starts a node's process, also after the last one ended.
+// StartNode starts a node's process, or starts it again after the previous one ended.
 func (f *Fleet) StartNode(n *Node) {
 	f.tb.Helper()
-	n.Process = startWith(f.tb, n.Name, f.config.Environment, "node", "-settings", n.settings)
+	n.Process = startWithEnvironment(f.tb, n.Name, f.config.Environment, "node", "-settings", n.settingsPath)
 }
 
-// StartTwin starts another process that has a caller port of its own and the
-// peer port of a node that runs.
-func (f *Fleet) StartTwin(n *Node) *Process {
+// StartOnSamePeerPort starts another process with its own caller port and the peer port of a
+// running node.
+func (f *Fleet) StartOnSamePeerPort(n *Node) *Process {
 	f.tb.Helper()
 	twin := *n
 	twin.Name = n.Name + "-twin"
-	twin.listen = FreeAddress(f.tb)
+	twin.listenAddress = FreeAddress(f.tb)
 	return Start(f.tb, twin.Name, "node", "-settings", f.writeSettings(&twin))
 }
 
@@ -254,8 +257,8 @@
 		Instance:      n.Name,
 		FailureDomain: n.FailureDomain,
 		Weight:        1,
-		Listen:        n.listen,
-		PeerListen:    n.peerListen,
+		Listen:        n.listenAddress,
+		PeerListen:    n.peerListenAddress,
 		PeerAdvertise: n.Peers.Address(),
 		Peers:         peers,
 		PeerKeys:      n.PeerKeys,
@@ -320,18 +323,18 @@
 	return c
 }
 
-// putTimeout bounds one config put; waitReady bounds the wait for the fleet.
+// putTimeout bounds one config put, and readyTimeout the wait for one node.
 const (
 	putTimeout   = 30 * time.Second
 	readyTimeout = 20 * time.Second
 )
 
-// putConfiguration puts the configuration as an operator would.
+// putConfiguration puts the configuration by the operators' command.
 func (f *Fleet) putConfiguration() {
 	f.tb.Helper()
 	f.waitHealthy()
 	path := f.writeJSON("configuration.json", f.configuration())
-	put := Start(f.tb, "config-put", "config", "put", "-settings", f.Nodes[0].settings,
+	put := Start(f.tb, "config-put", "config", "put", "-settings", f.Nodes[0].settingsPath,
 		"-base", "0", "-why", "the test's fleet", "-who", "test", path)
 	if err := put.Wait(putTimeout); err != nil {
 		f.tb.Fatalf("config put: %v\n%s", err, put.Logs())
@@ -345,7 +348,7 @@
 	}
 }
 
-// WaitReady waits until every node that runs is ready.
+// WaitReady waits until every running node is ready.
 func (f *Fleet) WaitReady() {
 	f.tb.Helper()
 	for _, n := range f.Nodes {
@@ -355,12 +358,12 @@
 	}
 }
 
-// waitFor polls a page of a node until it answers 200.
+// waitFor polls a page of a node until the status is 200.
 func (f *Fleet) waitFor(n *Node, page string) {
 	f.tb.Helper()
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		response, err := http.Get(n.Direct + page)
+		response, err := http.Get(n.DirectURL + page)
 		if err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
--- a/processtest/keys_test.go
+++ b/processtest/keys_test.go
@@ -17,21 +17,21 @@
 	"zinniamast/processtest"
 )
 
-// Keys of a rotation and of a stranger.
+// The new keys of a rotation, and a key that no node accepts.
 const (
-	newPeerKey     = "new-peer-key-new-peer-key-new-peer-key"
-	newOperatorKey = "new-operator-key-new-operator-key-new"
-	strangerKey    = "stranger-key-stranger-key-stranger-key"
+	newPeerKey      = "new-peer-key-new-peer-key-new-peer-key"
+	newOperatorKey  = "new-operator-key-new-operator-key-new"
+	unauthorisedKey = "stranger-key-stranger-key-stranger-key"
 )
 
 // TestKeyRotation rotates peer and operator keys under load by the steps of
 // docs/operators/keys.md: three rounds of graceful restarts, one node after the
-// other, each list holding old and new while any node needs both. Every model
-// request is whole, no booking is lost or doubled, and a stranger's key and, at
-// the end, the old keys are refused.
+// other, with old and new keys in each list while any node needs both. It guards
+// against incomplete answers, lost and repeated bookings, and nodes that accept an
+// unauthorised key or, after the rotation, an old one.
 func TestKeyRotation(t *testing.T) {
 	is := is.New(t)
-	fleet := start(t, processtest.FleetConfig{
+	fleet := startFleet(t, processtest.FleetConfig{
 		StopTimeout: 3 * time.Second,
 	})
 	oldPeers, oldOperators := fleet.Nodes[0].PeerKeys, fleet.Nodes[0].OperatorKeys
@@ -42,7 +42,7 @@
 		{peers: both(newPeers, oldPeers), operators: both(newOperators, oldOperators)},
 		{peers: newPeers, operators: newOperators},
 	}
-	driven := fleet.Drive(load.Config{
+	loadRun := fleet.StartLoad(load.Config{
 		Rate:     15,
 		For:      12 * time.Second,
 		Seed:     21,
@@ -60,35 +60,35 @@
 			fleet.SetKeys(n, round.peers, round.operators)
 			fleet.StartNode(n)
 			fleet.WaitReady()
-			is.True(!operates(t, n, strangerKey))
-			is.True(operates(t, n, round.operators[0]))
+			is.True(!acceptsOperatorKey(t, n, unauthorisedKey))
+			is.True(acceptsOperatorKey(t, n, round.operators[0]))
 		}
 	}
 	t.Logf("nine restarts in %v", time.Since(began))
-	allWhole(t, driven.Report())
+	checkAllComplete(t, loadRun.Report())
 	is.Equal(fleet.Ledger.Doubled(), nil)
-	is.True(!operates(t, fleet.Nodes[0], oldOperators[0]))
+	is.True(!acceptsOperatorKey(t, fleet.Nodes[0], oldOperators[0]))
 	for _, n := range fleet.Nodes {
-		refusesStrangers(t, n, oldPeers[0])
-		keepsSecrets(t, fleet, n)
+		checkRefusesKey(t, n, oldPeers[0])
+		checkLogHasNoSecrets(t, fleet, n)
 	}
 }
 
-// TestStrangers lets a stranger on the network try to join, order, configure
-// and read: by a process with a wrong peer key, by operators' commands with a
-// wrong key, by plain HTTP, by bytes without TLS, and by TLS without a proof.
-// Nothing of it is answered, no node knows of it afterwards, and no log shows
-// a key.
-func TestStrangers(t *testing.T) {
+// TestUnauthorisedPeers guards against access without a key. It tries to join,
+// command, configure and read by a process with a wrong peer key, operator commands
+// with a wrong key, plain HTTP, bytes without TLS, and TLS with a wrong proof. None
+// may be answered, no node may list the process as a member, and no log may
+// contain a key.
+func TestUnauthorisedPeers(t *testing.T) {
 	is := is.New(t)
-	fleet := start(t, processtest.FleetConfig{})
-	stranger := fleet.StartStranger(strangerKey)
+	fleet := startFleet(t, processtest.FleetConfig{})
+	unauthorised := fleet.StartUnauthorisedNode(unauthorisedKey)
 	for _, n := range fleet.Nodes {
-		refusesStrangers(t, n, strangerKey)
-		// A peer's key is not an operator's.
-		is.True(!operates(t, n, n.PeerKeys[0]))
+		checkRefusesKey(t, n, unauthorisedKey)
+		// A peer key is not accepted as an operator key.
+		is.True(!acceptsOperatorKey(t, n, n.PeerKeys[0]))
 	}
-	fleet.WaitUntil("a node to refuse the stranger", func() bool {
+	fleet.WaitUntil("a node to refuse the unauthorised process", func() bool {
 		for _, n := range fleet.Nodes {
 			if strings.Contains(n.Logs(), "peer_connection_refused") {
 				return true
@@ -96,20 +96,20 @@
 		}
 		return false
 	})
-	is.Equal(stranger.Versions(), nil) // it learned no configuration
+	is.Equal(unauthorised.Versions(), nil) // it received no configuration
 	for _, n := range fleet.Nodes {
 		for _, member := range fleet.Status(n).Members {
-			is.True(member.ID != stranger.Name)
+			is.True(member.ID != unauthorised.Name)
 		}
-		keepsSecrets(t, fleet, n)
+		checkLogHasNoSecrets(t, fleet, n)
 	}
-	status, _ := post(t, fleet.Nodes[0].Direct, "k")
+	status, _ := postBooking(t, fleet.Nodes[0].DirectURL, "k")
 	is.Equal(status, http.StatusOK)
-	is.Equal(send(t, http.MethodPost, fleet.Nodes[0].Direct+"/v1/chat/completions", "", "{}").status, http.StatusBadRequest)
+	is.Equal(send(t, http.MethodPost, fleet.Nodes[0].DirectURL+"/v1/chat/completions", "", "{}").status, http.StatusBadRequest)
 }
 
-// operates says whether an operator's key is believed by a node.
-func operates(t *testing.T, n *processtest.Node, key string) bool {
+// acceptsOperatorKey reports whether a node accepts an operator key.
+func acceptsOperatorKey(t *testing.T, n *processtest.Node, key string) bool {
 	t.Helper()
 	client, err := operator.NewClient(operator.ClientConfig{
 		Addresses: []string{n.Peers.Address()},
@@ -123,11 +123,12 @@
 	return err == nil
 }
 
-// refusesStrangers tries each way into a node's peer listener.
-func refusesStrangers(t *testing.T, n *processtest.Node, key string) {
+// checkRefusesKey checks that a node's peer listener refuses a key, plain HTTP, bytes
+// without TLS, and TLS with a wrong proof.
+func checkRefusesKey(t *testing.T, n *processtest.Node, key string) {
 	t.Helper()
-	if operates(t, n, key) {
-		t.Errorf("%s believes a stranger's key", n.Name)
+	if acceptsOperatorKey(t, n, key) {
+		t.Errorf("%s accepts an unauthorised key", n.Name)
 	}
 	if response, err := http.Get(n.Peers.URL() + "/status"); err == nil {
 		_ = response.Body.Close()
@@ -140,24 +141,24 @@
 	if _, err := plain.Write([]byte("zmp1 without TLS, long enough for a hello of any kind\n\n")); err != nil {
 		t.Error(err)
 	}
-	closesWithoutAnswer(t, n, plain)
+	checkClosed(t, n, plain)
 	secured, err := tls.Dial("tcp", n.Peers.Address(), &tls.Config{InsecureSkipVerify: true})
 	if err != nil {
 		return
 	}
-	// A hello of the right size whose proof is wrong.
+	// The hello has the right size and a wrong proof.
 	if _, err := secured.Write([]byte("zmp1\x01" + strings.Repeat("x", 32))); err != nil {
 		t.Error(err)
 	}
-	closesWithoutAnswer(t, n, secured)
+	checkClosed(t, n, secured)
 }
 
-// maxRefusal bounds what a refused connection may carry: a TLS alert or the
-// answer that says no, in bytes.
+// maxRefusal is the maximum number of bytes that a node may send on a refused
+// connection: a TLS alert or the refusal.
 const maxRefusal = 64
 
-// closesWithoutAnswer reads until the node ends the connection.
-func closesWithoutAnswer(t *testing.T, n *processtest.Node, connection net.Conn) {
+// checkClosed checks that the node closes the connection and sends at most a refusal.
+func checkClosed(t *testing.T, n *processtest.Node, connection net.Conn) {
 	t.Helper()
 	defer func() { _ = connection.Close() }()
 	if err := connection.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -165,21 +166,21 @@
 	}
 	raw, err := io.ReadAll(connection)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		t.Errorf("%s keeps a stranger's connection open", n.Name)
+		t.Errorf("%s keeps an unauthorised connection open", n.Name)
 	}
 	if len(raw) > maxRefusal {
-		t.Errorf("%s told a stranger %d bytes", n.Name, len(raw))
+		t.Errorf("%s sent %d bytes on an unauthorised connection", n.Name, len(raw))
 	}
 }
 
-// keepsSecrets checks that a node's log holds no key.
-func keepsSecrets(t *testing.T, fleet *processtest.Fleet, n *processtest.Node) {
+// checkLogHasNoSecrets checks that a node's log is not empty and contains no key.
+func checkLogHasNoSecrets(t *testing.T, fleet *processtest.Fleet, n *processtest.Node) {
 	t.Helper()
 	log := n.Logs()
-	secrets := append([]string{processtest.Key, newPeerKey, newOperatorKey, strangerKey}, fleet.Secrets()...)
+	secrets := append([]string{processtest.Key, newPeerKey, newOperatorKey, unauthorisedKey}, fleet.Secrets()...)
 	for _, secret := range append(secrets, append(n.PeerKeys, n.OperatorKeys...)...) {
 		if strings.Contains(log, secret) {
-			t.Errorf("the log of %s holds a secret", n.Name)
+			t.Errorf("the log of %s contains a secret", n.Name)
 		}
 	}
 	if log == "" {
--- a/processtest/links_test.go
+++ b/processtest/links_test.go
@@ -15,47 +15,47 @@
 	"zinniamast/standin/engine"
 )
 
-// TestSlowLinks slows one node's way to the platform by 300 ms and to one
-// failure domain's upstreams by 60 ms, and resets every connection to another
-// engine as soon as it answers, for a second. Model requests come slower and
-// whole; bookings are booked once or honestly refused.
+// TestSlowLinks delays one node's link to the platform by 300 ms and the links to
+// one failure domain's upstreams by 60 ms, and for a second resets every connection
+// to an engine as soon as it answers. Model requests may be slower but must be
+// complete. Bookings must run once or be refused correctly.
 func TestSlowLinks(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	toModels := fleet.Drive(load.Config{
+	fleet := startFleet(t, processtest.FleetConfig{})
+	modelRun := fleet.StartLoad(load.Config{
 		Rate: 20,
 		For:  3 * time.Second,
 		Seed: 12,
-		Mix:  models,
+		Mix:  modelMix,
 	})
-	toServices := fleet.Drive(load.Config{
+	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     15,
 		For:      3 * time.Second,
 		Seed:     13,
-		Mix:      services,
+		Mix:      serviceMix,
 		Deadline: 10 * time.Second,
 	})
-	fleet.Nodes[0].Platform.Slow(300 * time.Millisecond)
+	fleet.Nodes[0].Platform.Delay(300 * time.Millisecond)
 	for _, u := range fleet.Upstreams {
 		if u.Instance.FailureDomain == processtest.ThreeDomains[1] {
-			u.Link.Slow(60 * time.Millisecond)
+			u.Link.Delay(60 * time.Millisecond)
 		}
 	}
 	time.Sleep(time.Second)
 	fleet.Upstreams[0].Link.Reset()
 	time.Sleep(time.Second)
 	fleet.Upstreams[0].Link.Clear()
-	allWhole(t, toModels.Report())
-	honest(t, toServices.Report())
+	checkAllComplete(t, modelRun.Report())
+	checkNoViolations(t, serviceRun.Report())
 }
 
-// event is one server-sent event as it came.
+// event is one received server-sent event.
 type event struct {
 	id   string
 	data string
 }
 
-// read sends a streamed request and reads at most so many events; 0 means all.
-func read(t *testing.T, base, body, lastEvent string, most int) []event {
+// readEvents sends a streamed request and reads at most limit events, or all if limit is 0.
+func readEvents(t *testing.T, base, body, lastEvent string, limit int) []event {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -73,7 +73,7 @@
 	var events []event
 	current := event{}
 	lines := bufio.NewScanner(response.Body)
-	for lines.Scan() && (most == 0 || len(events) < most) {
+	for lines.Scan() && (limit == 0 || len(events) < limit) {
 		if id, found := strings.CutPrefix(lines.Text(), "id: "); found {
 			current.id = id
 		}
@@ -86,8 +86,8 @@
 	return events
 }
 
-// text joins the content of events.
-func text(events []event) string {
+// joinContent returns the joined content of events.
+func joinContent(events []event) string {
 	var joined strings.Builder
 	for _, e := range events {
 		_, after, found := strings.Cut(e.data, `"content":"`)
@@ -98,13 +98,13 @@
 	return joined.String()
 }
 
-// TestLastEventID loses a caller's connection in the middle of a stream. The
-// caller goes on after its last event at another node, which finds the request
-// where it runs; then that node is stopped too, and the rest comes from the
-// third. The three parts joined are the answer, with no token twice or missing.
+// TestLastEventID breaks a caller's connection during a stream. The caller resumes
+// after its last event at a second node, which locates the running request. Then
+// the first node is stopped, and the caller reads the rest at the third. It guards
+// against repeated and missing tokens: the three parts joined must be the answer.
 func TestLastEventID(t *testing.T) {
 	is := is.New(t)
-	fleet := start(t, processtest.FleetConfig{
+	fleet := startFleet(t, processtest.FleetConfig{
 		Engine: engine.Config{
 			FirstToken:    10 * time.Millisecond,
 			BetweenTokens: 20 * time.Millisecond,
@@ -116,16 +116,16 @@
 		messages = fmt.Sprintf(`[{"role":"user","content":"go on %d"}]`, try)
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":%s}`, processtest.Model, tokens, messages)
-	first := read(t, fleet.Nodes[0].Callers.URL(), body, "", 20)
+	first := readEvents(t, fleet.Nodes[0].Callers.URL(), body, "", 20)
 	is.Equal(len(first), 20)
-	second := read(t, fleet.Nodes[1].Callers.URL(), body, first[len(first)-1].id, 20)
+	second := readEvents(t, fleet.Nodes[1].Callers.URL(), body, first[len(first)-1].id, 20)
 	is.Equal(len(second), 20)
 	fleet.Nodes[0].Terminate()
-	third := read(t, fleet.Nodes[2].Callers.URL(), body, second[len(second)-1].id, 0)
+	third := readEvents(t, fleet.Nodes[2].Callers.URL(), body, second[len(second)-1].id, 0)
 	is.True(len(third) > 0)
 	is.Equal(third[len(third)-1].data, "[DONE]")
 	want := engine.Text(engine.Answer([]byte(messages), tokens))
-	is.Equal(text(first)+text(second)+text(third), want)
+	is.Equal(joinContent(first)+joinContent(second)+joinContent(third), want)
 	produced := 0
 	for _, u := range fleet.Upstreams {
 		if u.Engine != nil {
@@ -133,7 +133,7 @@
 		}
 	}
 	t.Logf("tokens=%d produced=%d", tokens, produced)
-	// The answer went on where it stood, three times; the old attempt may
-	// produce a few more tokens before it hears that it is over.
+	// Each part continued the same generation. A cancelled attempt may produce a
+	// few more tokens before the engine receives the cancellation.
 	is.True(produced <= tokens+20)
 }
--- a/processtest/drive.go
+++ b/processtest/load.go
@@ -9,8 +9,8 @@
 	"zinniamast/load"
 )
 
-// Targets are the base URLs by which callers reach the nodes, behind their links.
-func (f *Fleet) Targets() []string {
+// TargetURLs returns the base URLs at which callers reach the nodes through their links.
+func (f *Fleet) TargetURLs() []string {
 	var targets []string
 	for _, n := range f.Nodes {
 		targets = append(targets, n.Callers.URL())
@@ -18,10 +18,10 @@
 	return targets
 }
 
-// Standins are the base URLs of all engines and of one service replica, which
-// stands for the ledger that all of them share; no link is before them.
-func (f *Fleet) Standins() []string {
-	var standins []string
+// StandinURLs returns the base URLs, without links, of all engines and of one
+// service replica. One replica is enough, since all share one ledger.
+func (f *Fleet) StandinURLs() []string {
+	var urls []string
 	services := 0
 	for _, u := range f.Upstreams {
 		if u.Engine == nil {
@@ -30,24 +30,25 @@
 				continue
 			}
 		}
-		standins = append(standins, u.direct)
+		urls = append(urls, u.directURL)
 	}
-	return standins
+	return urls
 }
 
-// Driven is a load that goes on beside a test.
-type Driven struct {
+// LoadRun is a load that runs concurrently with a test.
+type LoadRun struct {
 	fleet  *Fleet
 	done   chan struct{}
 	report *load.Report
 	err    error
 }
 
-// Drive starts a load against the fleet; fields that the fleet knows are filled in.
-func (f *Fleet) Drive(c load.Config) *Driven {
+// StartLoad starts a load against the fleet. It sets the targets, simulated upstreams,
+// key, model and service, and the patience and deadline if they are zero.
+func (f *Fleet) StartLoad(c load.Config) *LoadRun {
 	f.tb.Helper()
-	c.Targets = f.Targets()
-	c.Standins = f.Standins()
+	c.Targets = f.TargetURLs()
+	c.Standins = f.StandinURLs()
 	c.Keys = []string{Key}
 	c.Model = Model
 	c.Service = Service
@@ -57,7 +58,7 @@
 	if c.Deadline == 0 {
 		c.Deadline = 20 * time.Second
 	}
-	d := &Driven{
+	d := &LoadRun{
 		fleet: f,
 		done:  make(chan struct{}),
 	}
@@ -68,8 +69,8 @@
 	return d
 }
 
-// Report waits for the load's end and returns what it found.
-func (d *Driven) Report() *load.Report {
+// Report waits until the load ends and returns its report.
+func (d *LoadRun) Report() *load.Report {
 	d.fleet.tb.Helper()
 	<-d.done
 	if d.err != nil {
@@ -78,20 +79,22 @@
 	return d.report
 }
 
-// Summary is one line of a report for the test's log.
+// Summary returns a report as one line for the test's log.
 func Summary(r *load.Report) string {
 	return fmt.Sprintf("sent=%d whole=%d late=%d not_run=%d ran=%d unknown=%d lost=%d doubled=%d recomputed=%d refused=%v retried=%v gap_p99_ms=%.0f violations=%q",
 		r.Sent, r.Whole, r.Late, r.NotRun, r.Ran, r.Unknown, r.Lost, r.Doubled, r.RecomputedTokens,
 		r.RefusedByReason, r.RetriedByReason, r.BetweenTokensMS.P99, r.Violations)
 }
 
-// Reclaim announces that an upstream goes, and takes it away when the time is up.
+// Reclaim announces the reclamation of an upstream and cuts its link when the notice
+// has expired.
 func (f *Fleet) Reclaim(u *Upstream, notice time.Duration) {
 	f.Platform.Cloud.Reclaim(u.Instance.ID, notice)
-	f.takeAway(notice, u)
+	f.cutAfter(notice, u)
 }
 
-// ReclaimDomain announces that all upstreams of a failure domain go at once.
+// ReclaimDomain announces the reclamation of all reclaimable upstreams of a failure
+// domain and cuts their links when the notice has expired.
 func (f *Fleet) ReclaimDomain(domain string, notice time.Duration) {
 	f.Platform.Cloud.ReclaimDomain(domain, notice)
 	var leaving []*Upstream
@@ -100,11 +103,11 @@
 			leaving = append(leaving, u)
 		}
 	}
-	f.takeAway(notice, leaving...)
+	f.cutAfter(notice, leaving...)
 }
 
-// ReclaimNode announces that an entry instance goes, and kills it when the
-// time is up, whatever it is doing.
+// ReclaimNode announces the reclamation of an entry instance and kills its process
+// when the notice has expired, even if it is not idle.
 func (f *Fleet) ReclaimNode(n *Node, notice time.Duration) {
 	f.Platform.Cloud.Reclaim(n.Name, notice)
 	process := n.Process
@@ -112,7 +115,7 @@
 	f.tb.Cleanup(func() { timer.Stop() })
 }
 
-func (f *Fleet) takeAway(after time.Duration, leaving ...*Upstream) {
+func (f *Fleet) cutAfter(after time.Duration, leaving ...*Upstream) {
 	timer := time.AfterFunc(after, func() {
 		for _, u := range leaving {
 			u.Link.Cut()
--- a/processtest/main_test.go
+++ b/processtest/main_test.go
@@ -17,27 +17,27 @@
 	os.Exit(code)
 }
 
-// small is an engine like a small model, with some caching.
-var small = engine.Config{
+// smallEngine has the timing of a small model, and the default prefix cache.
+var smallEngine = engine.Config{
 	FirstToken:    10 * time.Millisecond,
 	BetweenTokens: 5 * time.Millisecond,
 }
 
-// models is traffic that may be repeated; services is bookings and lookups.
+// modelMix is model requests, which may be repeated. serviceMix is bookings and lookups.
 var (
-	models = load.Mix{
+	modelMix = load.Mix{
 		checker.KindSummary:  1,
 		checker.KindQuestion: 2,
 		checker.KindTriage:   2,
 	}
-	services = load.Mix{
+	serviceMix = load.Mix{
 		checker.KindLookup:  1,
 		checker.KindBooking: 3,
 	}
 )
 
-// start starts three nodes in three failure domains.
-func start(t *testing.T, c processtest.FleetConfig) *processtest.Fleet {
+// startFleet starts a fleet in three failure domains.
+func startFleet(t *testing.T, c processtest.FleetConfig) *processtest.Fleet {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real processes")
@@ -45,25 +45,25 @@
 	t.Parallel()
 	c.FailureDomains = processtest.ThreeDomains
 	if c.Engine.FirstToken == 0 {
-		c.Engine = small
+		c.Engine = smallEngine
 	}
 	return processtest.NewFleet(t, c)
 }
 
-// allWhole checks that every caller got its whole answer.
-func allWhole(t *testing.T, report *load.Report) {
+// checkAllComplete checks that every caller received its complete answer.
+func checkAllComplete(t *testing.T, report *load.Report) {
 	t.Helper()
 	t.Log(processtest.Summary(report))
 	if !report.OK || report.Whole != report.Sent {
-		t.Errorf("%d of %d whole, want all", report.Whole, report.Sent)
+		t.Errorf("%d of %d answers complete, want all", report.Whole, report.Sent)
 	}
 }
 
-// honest checks that no promise was broken, whatever could be answered.
-func honest(t *testing.T, report *load.Report) {
+// checkNoViolations checks that no guarantee was violated. Requests may have been refused.
+func checkNoViolations(t *testing.T, report *load.Report) {
 	t.Helper()
 	t.Log(processtest.Summary(report))
 	if !report.OK {
-		t.Errorf("a promise was broken")
+		t.Errorf("a guarantee was violated")
 	}
 }
--- a/processtest/nodes_test.go
+++ b/processtest/nodes_test.go
@@ -13,13 +13,13 @@
 	"zinniamast/standin/engine"
 )
 
-// TestGracefulStop stops one of three nodes by TERM while streamed and plain
-// requests of the public client, lookups and bookings run through all three.
-// Callers of the stopped node are answered by it or go on at another one;
-// nothing is lost, and each booking runs once.
+// TestGracefulStop stops one of three nodes by SIGTERM while streamed and plain
+// model requests, lookups and bookings run through all three. It guards against a
+// graceful stop that loses an answer or runs a booking twice: the stopped node
+// answers its callers, or they continue at another node.
 func TestGracefulStop(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	driven := fleet.Drive(load.Config{
+	fleet := startFleet(t, processtest.FleetConfig{})
+	loadRun := fleet.StartLoad(load.Config{
 		Rate: 30,
 		For:  3 * time.Second,
 		Seed: 1,
@@ -29,34 +29,34 @@
 	if err := fleet.Nodes[0].Wait(15 * time.Second); err != nil {
 		t.Errorf("the stopped node's exit: %v", err)
 	}
-	allWhole(t, driven.Report())
+	checkAllComplete(t, loadRun.Report())
 }
 
-// TestBusyPeerPort starts a node again whose peer port another process still
-// holds. It ends at once with a plain sentence and exit code 1; it used to
-// panic on the listener that it did not have.
+// TestBusyPeerPort starts a node whose peer port another process still uses. It
+// guards against a panic on the nil listener: the node must exit with code 1 and an
+// error message instead.
 func TestBusyPeerPort(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{})
-	second := fleet.StartTwin(fleet.Nodes[0])
+	fleet := startFleet(t, processtest.FleetConfig{})
+	second := fleet.StartOnSamePeerPort(fleet.Nodes[0])
 	is := is.New(t)
 	is.True(second.Wait(10*time.Second) != nil)
 	is.True(strings.Contains(second.Logs(), "peer listener"))
 	is.True(!strings.Contains(second.Logs(), "panic"))
 }
 
-// TestTermWithStreamsOpen stops a node whose streams last longer than its
-// stop may. It hands them to peers in other failure domains before it goes;
-// callers see one unbroken answer or attach again by their key, and no token
-// comes twice.
+// TestTermWithStreamsOpen stops a node whose streams last longer than its stop
+// timeout. The node hands them off to peers in other failure domains before it
+// exits. It guards against lost answers and repeated tokens: callers receive one
+// uninterrupted answer or reattach by their key.
 func TestTermWithStreamsOpen(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{
+	fleet := startFleet(t, processtest.FleetConfig{
 		StopTimeout: 2 * time.Second,
 		Engine: engine.Config{
 			FirstToken:    10 * time.Millisecond,
 			BetweenTokens: 25 * time.Millisecond,
 		},
 	})
-	driven := fleet.Drive(load.Config{
+	loadRun := fleet.StartLoad(load.Config{
 		Rate: 20,
 		For:  1500 * time.Millisecond,
 		Seed: 2,
@@ -67,72 +67,72 @@
 	if err := fleet.Nodes[1].Wait(15 * time.Second); err != nil {
 		t.Errorf("the stopped node's exit: %v", err)
 	}
-	allWhole(t, driven.Report())
+	checkAllComplete(t, loadRun.Report())
 }
 
-// TestEntriesReclaimed announces the end of two of three nodes at once, with
-// streams open, and kills both when the notice is over. They hand what they
-// hold to the third, prove it by its acknowledgement and go; their callers
-// come back by key or last event, and no answer is lost.
-func TestEntriesReclaimed(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{
+// TestEntryInstancesReclaimed announces the reclamation of two of three nodes at once,
+// with streams open, and kills both when the notice has expired. They hand off
+// their requests to the third node, which acknowledges them, and exit. It guards
+// against lost answers: callers reattach by key or last event.
+func TestEntryInstancesReclaimed(t *testing.T) {
+	fleet := startFleet(t, processtest.FleetConfig{
 		Engine: engine.Config{
 			FirstToken:    10 * time.Millisecond,
 			BetweenTokens: 20 * time.Millisecond,
 		},
 	})
-	driven := fleet.Drive(load.Config{
+	loadRun := fleet.StartLoad(load.Config{
 		Rate: 20,
 		For:  4 * time.Second,
 		Seed: 11,
-		Mix:  models,
+		Mix:  modelMix,
 	})
 	time.Sleep(time.Second)
 	fleet.ReclaimNode(fleet.Nodes[0], 3*time.Second)
 	fleet.ReclaimNode(fleet.Nodes[1], 3*time.Second)
-	allWhole(t, driven.Report())
+	checkAllComplete(t, loadRun.Report())
 }
 
-// TestKillUnderLoad kills a node without notice (SIGKILL) in the middle of
-// model requests and bookings. Connections break; model callers come back by
-// key to another node and have their whole answer. A booking that was under
-// way is told "unknown" or answered from its claim; it never runs twice.
+// TestKillUnderLoad kills a node without notice (SIGKILL) during model requests and
+// bookings, which breaks their connections. Callers of models reattach by key at
+// another node and must receive their complete answer. A booking that was in flight
+// is reported as "unknown" or answered from its claim, and must not run twice.
 func TestKillUnderLoad(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{
+	fleet := startFleet(t, processtest.FleetConfig{
 		Work: 100 * time.Millisecond,
 	})
-	toModels := fleet.Drive(load.Config{
+	modelRun := fleet.StartLoad(load.Config{
 		Rate: 25,
 		For:  3 * time.Second,
 		Seed: 3,
-		Mix:  models,
+		Mix:  modelMix,
 	})
-	toServices := fleet.Drive(load.Config{
+	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     25,
 		For:      3 * time.Second,
 		Seed:     4,
-		Mix:      services,
+		Mix:      serviceMix,
 		Deadline: 8 * time.Second,
 	})
 	time.Sleep(1200 * time.Millisecond)
 	fleet.Nodes[2].Kill()
-	allWhole(t, toModels.Report())
-	honest(t, toServices.Report())
+	checkAllComplete(t, modelRun.Report())
+	checkNoViolations(t, serviceRun.Report())
 }
 
-// TestPausedHolder stops a node in its tracks (SIGSTOP) while it holds claims
-// of bookings, for longer than any lease, and wakes it. Meanwhile callers lose
-// patience and ask other nodes under the same keys. The woken node goes on
-// where it stood, and still no booking runs twice.
-func TestPausedHolder(t *testing.T) {
-	fleet := start(t, processtest.FleetConfig{
+// TestPausedClaimHolder pauses a node (SIGSTOP) for longer than any lease while it
+// holds claims of bookings, and resumes it. Meanwhile callers time out and retry
+// at other nodes under the same keys. It guards against bookings that run twice
+// because the resumed node continues with its old claims.
+func TestPausedClaimHolder(t *testing.T) {
+	fleet := startFleet(t, processtest.FleetConfig{
 		Work: 50 * time.Millisecond,
 	})
-	driven := fleet.Drive(load.Config{
+	loadRun := fleet.StartLoad(load.Config{
 		Rate:     40,
 		For:      6 * time.Second,
 		Seed:     5,
-		Mix:      services,
+		Mix:      serviceMix,
 		Patience: time.Second,
 		Deadline: 15 * time.Second,
 	})
@@ -140,7 +140,7 @@
 	fleet.Nodes[0].Pause()
 	time.Sleep(4 * time.Second)
 	fleet.Nodes[0].Resume()
-	honest(t, driven.Report())
+	checkNoViolations(t, loadRun.Report())
 	is := is.New(t)
 	is.Equal(fleet.Ledger.Doubled(), nil)
 }
--- a/processtest/partition_test.go
+++ b/processtest/partition_test.go
@@ -16,60 +16,61 @@
 	"zinniamast/processtest"
 )
 
-// partition is one fault between failure domains or to the platform, with
-// what callers and operators get at the node that it concerns and at another.
+// partition is one fault of the links between failure domains or to the platform,
+// with the expected results of calls at the affected node (here) and at another
+// (there).
 type partition struct {
-	name  string
-	begin func(f *processtest.Fleet) (end func())
-	here  answers
-	there answers
-	// changes says that the fault comes and goes while the calls are made.
-	changes bool
+	name          string
+	begin         func(f *processtest.Fleet) (end func())
+	expectedHere  callResults
+	expectedThere callResults
+	// isFlapping is true if the fault starts and ends repeatedly during the calls.
+	isFlapping bool
 }
 
-// answers holds what each kind of call gets, several where more are right:
-// "ok", REASON/RAN, or the exit code of config put. What is not named is "ok"
-// and 0.
-type answers struct {
+// callResults holds the result of each kind of call: "ok", REASON/RAN, or the exit
+// code of config put. An expected result may list several, separated by spaces. If it
+// is empty, "ok" or exit code 0 is expected.
+type callResults struct {
 	model, lookup, booking, issued, issuedElsewhere, put string
 }
 
-// TestPartitionMatrix brings about each partition between three processes in
-// three failure domains. What needs only the node and its upstreams goes on,
-// bookings go on wherever their claim or their issuer can be reached and are
-// refused as not run otherwise, and config put says where a change is pending.
-// When the links heal, every change is in force everywhere, no version number
-// has fallen anywhere, and no booking has run twice.
+// TestPartitionMatrix creates each partition between three processes in three failure
+// domains. Requests that need only the node and its upstreams must be served. Bookings
+// must be served where their claim or the issuer of their key is reachable, and refused
+// otherwise. config put must report where a change is pending. After the links heal,
+// every change must be in force everywhere, no version number may have decreased, and
+// no booking may have run twice.
 func TestPartitionMatrix(t *testing.T) {
 	t.Parallel()
 	for _, p := range partitions {
 		t.Run(p.name, func(t *testing.T) {
 			is := is.New(t)
-			fleet := start(t, processtest.FleetConfig{})
+			fleet := startFleet(t, processtest.FleetConfig{})
 			here, there := fleet.Nodes[0], fleet.Nodes[1]
-			keysHere, keysThere := issue(t, here), issue(t, there)
+			keysHere, keysThere := issueKeys(t, here), issueKeys(t, there)
 			end := p.begin(fleet)
 			time.Sleep(3 * time.Second)
 
 			base := uint64(1)
-			gotHere := probe(t, here, keysHere[0], keysThere[0])
-			gotThere := probe(t, there, keysThere[1], keysHere[1])
-			gotHere.put, base = putAt(fleet, here, base)
-			gotThere.put, base = putAt(fleet, there, base)
+			gotHere := sendEachCall(t, here, keysHere[0], keysThere[0])
+			gotThere := sendEachCall(t, there, keysThere[1], keysHere[1])
+			gotHere.put, base = putConfiguration(fleet, here, base)
+			gotThere.put, base = putConfiguration(fleet, there, base)
 			t.Logf("here  %+v", gotHere)
 			t.Logf("there %+v", gotThere)
-			// An operator who asks the node sees whether it is cut off from the platform.
-			if !p.changes {
-				is.Equal(len(fleet.Status(here).Failures) > 0, p.here.put == strconv.Itoa(exitFailed))
+			// The node's status shows whether it is cut off from the platform.
+			if !p.isFlapping {
+				is.Equal(len(fleet.Status(here).Failures) > 0, p.expectedHere.put == strconv.Itoa(exitFailed))
 			}
-			p.here.check(t, "here", gotHere)
-			p.there.check(t, "there", gotThere)
+			p.expectedHere.check(t, "here", gotHere)
+			p.expectedThere.check(t, "there", gotThere)
 
 			end()
 			fleet.WaitVersion(base)
 			code := ""
 			fleet.WaitUntil("a change to be in force everywhere", func() bool {
-				code, base = putAt(fleet, here, base)
+				code, base = putConfiguration(fleet, here, base)
 				return code == strconv.Itoa(exitInForce)
 			})
 			for _, n := range fleet.Nodes {
@@ -85,11 +86,11 @@
 	{
 		name:  "domains from each other",
 		begin: silencePeers,
-		here: answers{
+		expectedHere: callResults{
 			issuedElsewhere: "outcome_unknown/unknown no_upstream/not_run",
 			put:             "3",
 		},
-		there: answers{
+		expectedThere: callResults{
 			issuedElsewhere: "outcome_unknown/unknown no_upstream/not_run",
 			put:             "3",
 		},
@@ -100,7 +101,7 @@
 			f.Nodes[0].Platform.Cut()
 			return f.Nodes[0].Platform.Heal
 		},
-		here: answers{
+		expectedHere: callResults{
 			booking: "store_unavailable/not_run",
 			put:     "1",
 		},
@@ -109,18 +110,18 @@
 		name: "domain from domains and platform",
 		begin: func(f *processtest.Fleet) func() {
 			f.Nodes[0].Platform.Cut()
-			joinAgain := silencePeers(f)
+			reconnect := silencePeers(f)
 			return func() {
 				f.Nodes[0].Platform.Heal()
-				joinAgain()
+				reconnect()
 			}
 		},
-		here: answers{
+		expectedHere: callResults{
 			booking:         "store_unavailable/not_run",
 			issuedElsewhere: "outcome_unknown/unknown no_upstream/not_run",
 			put:             "1",
 		},
-		there: answers{
+		expectedThere: callResults{
 			issuedElsewhere: "outcome_unknown/unknown no_upstream/not_run",
 			put:             "3",
 		},
@@ -128,36 +129,36 @@
 	{
 		name: "one way",
 		begin: func(f *processtest.Fleet) func() {
-			f.Nodes[0].Peers.Silence()
+			f.Nodes[0].Peers.DropResponses()
 			return f.Nodes[0].Peers.Clear
 		},
-		there: answers{
+		expectedThere: callResults{
 			issuedElsewhere: "outcome_unknown/unknown no_upstream/not_run",
 			put:             "3",
 		},
 	},
 	{
-		name:    "flapping",
-		changes: true,
+		name:       "flapping",
+		isFlapping: true,
 		begin: func(f *processtest.Fleet) func() {
 			return flap(f.Nodes[0].Peers, f.Nodes[0].Platform)
 		},
-		here: answers{
+		expectedHere: callResults{
 			booking:         "ok store_unavailable/not_run",
 			issuedElsewhere: "ok outcome_unknown/unknown no_upstream/not_run",
 			put:             "0 1 3 6",
 		},
-		there: answers{
+		expectedThere: callResults{
 			issuedElsewhere: "ok outcome_unknown/unknown no_upstream/not_run",
 			put:             "0 3",
 		},
 	},
 }
 
-// silencePeers cuts every node off from every other.
+// silencePeers drops the answers on every node's peer link.
 func silencePeers(f *processtest.Fleet) (end func()) {
 	for _, n := range f.Nodes {
-		n.Peers.Silence()
+		n.Peers.DropResponses()
 	}
 	return func() {
 		for _, n := range f.Nodes {
@@ -166,7 +167,7 @@
 	}
 }
 
-// flap cuts and heals links in turn until it is ended.
+// flap cuts and heals links alternately until the returned function is called.
 func flap(links ...*processtest.Link) (end func()) {
 	const period = 250 * time.Millisecond
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -193,7 +194,7 @@
 	}
 }
 
-func (a answers) check(t *testing.T, side string, got answers) {
+func (a callResults) check(t *testing.T, side string, got callResults) {
 	t.Helper()
 	for _, c := range []struct{ name, allowed, usual, got string }{
 		{name: "model", allowed: a.model, usual: "ok", got: got.model},
@@ -209,41 +210,43 @@
 	}
 }
 
-// probe sends one call of each kind to a node.
-func probe(t *testing.T, n *processtest.Node, own, other string) answers {
+// sendEachCall sends one call of each kind to a node. own is a key that the node
+// issued, and other one that another node issued.
+func sendEachCall(t *testing.T, n *processtest.Node, own, other string) callResults {
 	t.Helper()
-	service := n.Direct + "/services/" + processtest.Service
+	service := n.DirectURL + "/services/" + processtest.Service
 	model := `{"model":"` + processtest.Model + `","max_tokens":5,"messages":[{"role":"user","content":"` + n.Name + `"}]}`
-	return answers{
-		model:           ask(t, http.MethodPost, n.Direct+"/v1/chat/completions", "", model),
-		lookup:          ask(t, http.MethodGet, service+"/lookups/7", "", ""),
-		booking:         ask(t, http.MethodPost, service+"/reservations", "new-"+n.Name, `{"cage":1}`),
-		issued:          ask(t, http.MethodPost, service+"/reservations", own, `{"cage":2}`),
-		issuedElsewhere: ask(t, http.MethodPost, service+"/reservations", other, `{"cage":3}`),
+	return callResults{
+		model:           sendCall(t, http.MethodPost, n.DirectURL+"/v1/chat/completions", "", model),
+		lookup:          sendCall(t, http.MethodGet, service+"/lookups/7", "", ""),
+		booking:         sendCall(t, http.MethodPost, service+"/reservations", "new-"+n.Name, `{"cage":1}`),
+		issued:          sendCall(t, http.MethodPost, service+"/reservations", own, `{"cage":2}`),
+		issuedElsewhere: sendCall(t, http.MethodPost, service+"/reservations", other, `{"cage":3}`),
 	}
 }
 
-// putAt changes the configuration and returns the exit code and the next base.
-func putAt(f *processtest.Fleet, n *processtest.Node, base uint64) (string, uint64) {
-	reply, code := f.Put(n, base, "change", maxTokens(int(time.Now().UnixMilli()%1e6)+1))
+// putConfiguration changes the configuration at a node and returns the exit code and
+// the next base version.
+func putConfiguration(f *processtest.Fleet, n *processtest.Node, base uint64) (string, uint64) {
+	reply, code := f.Put(n, base, "change", withMaxTokens(int(time.Now().UnixMilli()%1e6)+1))
 	return strconv.Itoa(code), max(base, reply.Number)
 }
 
-// issue takes two issued keys from a node.
-func issue(t *testing.T, n *processtest.Node) []string {
+// issueKeys requests two issued keys from a node.
+func issueKeys(t *testing.T, n *processtest.Node) []string {
 	t.Helper()
 	var issued struct {
 		Keys []string `json:"keys"`
 	}
-	raw := send(t, http.MethodPost, n.Direct+"/services/"+processtest.Service+"/keys", "", `{"count":2}`).body
+	raw := send(t, http.MethodPost, n.DirectURL+"/services/"+processtest.Service+"/keys", "", `{"count":2}`).body
 	if err := json.Unmarshal(raw, &issued); err != nil || len(issued.Keys) != 2 {
 		t.Fatalf("issued keys: %s", raw)
 	}
 	return issued.Keys
 }
 
-// ask sends a call and returns "ok", or REASON/RAN of its refusal.
-func ask(t *testing.T, method, url, key, body string) string {
+// sendCall sends a call and returns "ok", or REASON/RAN of its refusal.
+func sendCall(t *testing.T, method, url, key, body string) string {
 	t.Helper()
 	got := send(t, method, url, key, body)
 	if got.status == http.StatusOK {
@@ -261,14 +264,14 @@
 	return refusal.Error.Reason + "/" + refusal.Error.Ran
 }
 
-// answer is what came back for a call.
-type answer struct {
+// callResponse is the status and body of the response to a call.
+type callResponse struct {
 	status int
 	body   []byte
 }
 
-// send sends a call that is the first under its key.
-func send(t *testing.T, method, url, key, body string) answer {
+// send sends a call and, if it has a key, marks it as the first with this key.
+func send(t *testing.T, method, url, key, body string) callResponse {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -283,14 +286,14 @@
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Errorf("%s %s: %v", method, url, err)
-		return answer{}
+		return callResponse{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Errorf("%s %s: %v", method, url, err)
 	}
-	return answer{
+	return callResponse{
 		status: response.StatusCode,
 		body:   raw,
 	}
--- a/processtest/port.go
+++ b/processtest/port.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// FreeAddress returns host:port on which nothing listens. The port stays taken
-// for as long as this process runs: the system gives it to no other listener
-// that asks for any port, and to no outgoing connection. A listener that names
-// it may come and go; in between, connections to it are refused.
+// FreeAddress returns a host:port on which nothing listens. The port stays reserved
+// while this process runs: the system assigns it neither to another listener that
+// asks for any port nor to an outgoing connection. A listener on this port may be
+// opened and closed repeatedly. While there is none, connections are refused.
 func FreeAddress(tb testing.TB) string {
 	tb.Helper()
-	port, err := reserve()
+	port, err := reservePort()
 	if err != nil {
 		tb.Fatalf("reserve a port: %v", err)
 	}
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 }
 
-// reserve binds a socket to a free port and never listens on it. Both it and
-// net.Listen set SO_REUSEADDR, so that a listener that names the port gets it.
-func reserve() (port int, err error) {
+// reservePort binds a socket to a free port and never listens on it. Both it and
+// net.Listen set SO_REUSEADDR, so a listener on this port can still be opened.
+func reservePort() (port int, err error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return 0, os.NewSyscallError("socket", err)
--- a/processtest/port_test.go
+++ b/processtest/port_test.go
@@ -11,8 +11,9 @@
 	"zinniamast/processtest"
 )
 
-// Guards against a cut link whose address somebody else gets, who answers there in its place.
-func TestCutLinkKeepsItsAddress(t *testing.T) {
+// TestCutLinkKeepsAddress guards against a cut link whose port the system assigns to
+// another listener, which then answers the link's connections.
+func TestCutLinkKeepsAddress(t *testing.T) {
 	is := is.New(t)
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -22,7 +23,7 @@
 		link.Cut()
 		_, err := net.Dial("tcp", link.Address())
 		is.True(errors.Is(err, syscall.ECONNREFUSED))
-		is.True(!free(t, link.Address()))
+		is.True(!isFree(t, link.Address()))
 		link.Heal()
 		connection, err := net.Dial("tcp", link.Address())
 		is.NoErr(err)
@@ -30,21 +31,22 @@
 	}
 }
 
-// Guards against a process whose address somebody else gets before it listens or between two starts.
-func TestFreeAddressStaysTaken(t *testing.T) {
+// TestFreeAddressStaysReserved guards against a port that the system assigns to another
+// listener before its process listens or between two starts of the process.
+func TestFreeAddressStaysReserved(t *testing.T) {
 	is := is.New(t)
 	address := processtest.FreeAddress(t)
 	for range 3 {
-		is.True(!free(t, address))
+		is.True(!isFree(t, address))
 		listener, err := net.Listen("tcp", address)
 		is.NoErr(err)
 		is.NoErr(listener.Close())
 	}
 }
 
-// free says whether nothing is bound to an address: without SO_REUSEADDR a
-// listener gets none that is.
-func free(t *testing.T, address string) bool {
+// isFree reports whether no socket is bound to an address. It listens without
+// SO_REUSEADDR, which fails if one is bound.
+func isFree(t *testing.T, address string) bool {
 	t.Helper()
 	config := net.ListenConfig{
 		Control: func(_, _ string, raw syscall.RawConn) error {
--- a/processtest/process.go
+++ b/processtest/process.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Process is one running zinniamast.
+// Process is one zinniamast process.
 type Process struct {
 	tb      testing.TB
 	name    string
 	command *exec.Cmd
 	logs    *logs
-	done    chan struct{}
+	exited  chan struct{}
 	err     error
 }
 
-// Start runs the binary with the arguments. The process is ended by its own
-// id when the test ends, and its log is shown if the test failed.
+// Start runs the binary with the arguments. When the test ends, the process is
+// killed by its own ID, and its log is shown if the test failed.
 func Start(tb testing.TB, name string, args ...string) *Process {
 	tb.Helper()
-	return startWith(tb, name, nil, args...)
+	return startWithEnvironment(tb, name, nil, args...)
 }
 
-// startWith also sets environment variables, as NAME=VALUE.
-func startWith(tb testing.TB, name string, environment []string, args ...string) *Process {
+// startWithEnvironment is Start with additional environment variables, as NAME=VALUE.
+func startWithEnvironment(tb testing.TB, name string, environment []string, args ...string) *Process {
 	tb.Helper()
 	p := &Process{
-		tb:   tb,
-		name: name,
-		logs: &logs{},
-		done: make(chan struct{}),
+		tb:     tb,
+		name:   name,
+		logs:   &logs{},
+		exited: make(chan struct{}),
 	}
 	p.command = exec.Command(Binary(tb), args...)
 	p.command.Env = append(os.Environ(), environment...)
@@ -45,13 +45,13 @@
 	}
 	go func() {
 		p.err = p.command.Wait()
-		close(p.done)
+		close(p.exited)
 	}()
 	tb.Cleanup(p.cleanup)
 	return p
 }
 
-// cleanup ends the process, paused or not.
+// cleanup kills the process, even if it is paused.
 func (p *Process) cleanup() {
 	p.Kill()
 	if p.tb.Failed() {
@@ -59,59 +59,60 @@
 	}
 }
 
-// signal sends a signal to this process alone.
+// signal sends a signal to this process only.
 func (p *Process) signal(signal os.Signal) {
 	if p.Exited() {
 		return
 	}
-	// A process that has just ended by itself is no fault of the test.
+	// The process may have just exited, which is not an error.
 	_ = p.command.Process.Signal(signal)
 }
 
-// Kill ends the process without notice (SIGKILL) and waits for its end.
+// Kill kills the process (SIGKILL) and waits until it has exited.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.done
+	<-p.exited
 }
 
-// Pause stops the process in its tracks (SIGSTOP).
+// Pause suspends the process (SIGSTOP).
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on (SIGCONT).
+// Resume continues a paused process (SIGCONT).
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks for a graceful stop (SIGTERM).
+// Terminate requests a graceful stop (SIGTERM).
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Hangup asks for the settings to be read again (SIGHUP).
+// Hangup requests a reload of the settings (SIGHUP).
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// Exited says whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// Wait returns how the process ended; it fails the test if it goes on for longer.
-func (p *Process) Wait(longest time.Duration) error {
+// Wait waits for the process to exit and returns its error. It fails the test if that
+// takes longer than timeout.
+func (p *Process) Wait(timeout time.Duration) error {
 	p.tb.Helper()
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return p.err
-	case <-time.After(longest):
-		p.tb.Fatalf("%s did not end in %v", p.name, longest)
+	case <-time.After(timeout):
+		p.tb.Fatalf("%s did not exit within %v", p.name, timeout)
 		return nil
 	}
 }
 
-// Logs returns what the process wrote so far.
+// Logs returns the process's output so far.
 func (p *Process) Logs() string { return p.logs.text() }
 
-// maxTail bounds how much of a log a failed test shows, in bytes.
+// maxTail is the length of the end of a log that a failed test shows, in bytes.
 const maxTail = 8 << 10
 
 // logs collects a process's output.
--- a/soak/check.go
+++ b/soak/check.go
@@ -53,12 +53,12 @@
 		if o.err == nil {
 			continue
 		}
-		why := c.deployment.acceptableLossReason(o, ran[o.id])
-		if why == "" {
+		reason := c.deployment.acceptableLossReason(o, ran[o.id])
+		if reason == "" {
 			s.addViolation("%s%s", o.describeLoss(ran[o.id]), o.node.logLines(o.id))
 			continue
 		}
-		s.Unanswered[why]++
+		s.Unanswered[reason]++
 	}
 	return s
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -74,7 +74,7 @@
 	})),
 	newFault("one instance's store silent", randomStoreLink, silenceLink),
 	newFault("replica slow", randomReplicaLink, func(_ *deployment, link *processtest.Link, random *rand.Rand) func() {
-		link.Slow(time.Duration(50+random.IntN(300)) * time.Millisecond)
+		link.Delay(time.Duration(50+random.IntN(300)) * time.Millisecond)
 		return link.Clear
 	}),
 	newFault("replica silent", randomReplicaLink, silenceLink).asUnplanned(),
@@ -166,7 +166,7 @@
 
 // silenceLink drops everything that comes back through a link.
 func silenceLink(_ *deployment, link *processtest.Link, _ *rand.Rand) func() {
-	link.Silence()
+	link.DropResponses()
 	return link.Clear
 }
 
