--- a/processtest/external_test.go
+++ b/processtest/external_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	callers.Wait()
-	is.Equal(fleet.Ledger.Doubled(), nil)
+	is.Equal(fleet.Ledger.KeysRunTwice(), nil)
 	t.Logf("keys=%d runs=%d lost table answers=%d", keys, fleet.Ledger.Counts().Runs, fleet.Platform.Counts().Lost)
 	is.Equal(fleet.Ledger.Counts().Runs, keys)
 	for _, pair := range answers {
--- a/processtest/keys_test.go
+++ b/processtest/keys_test.go
@@ -66,7 +66,7 @@
 	}
 	t.Logf("nine restarts in %v", time.Since(began))
 	checkAllComplete(t, loadRun.Report())
-	is.Equal(fleet.Ledger.Doubled(), nil)
+	is.Equal(fleet.Ledger.KeysRunTwice(), nil)
 	is.True(!acceptsOperatorKey(t, fleet.Nodes[0], oldOperators[0]))
 	for _, n := range fleet.Nodes {
 		checkRefusesKey(t, n, oldPeers[0])
--- a/processtest/lease_test.go
+++ b/processtest/lease_test.go
@@ -20,7 +20,7 @@
 	return func(c *config.Config) {
 		c.Models[0].MinTokensASecond = tokensASecond
 		c.Capacity = &config.Capacity{
-			Classes: []config.MachineClass{{
+			Classes: []config.InstanceClass{{
 				Name:          "g1",
 				TokensASecond: 400,
 			}},
--- a/processtest/nodes_test.go
+++ b/processtest/nodes_test.go
@@ -142,5 +142,5 @@
 	fleet.Nodes[0].Resume()
 	checkNoViolations(t, loadRun.Report())
 	is := is.New(t)
-	is.Equal(fleet.Ledger.Doubled(), nil)
+	is.Equal(fleet.Ledger.KeysRunTwice(), nil)
 }
--- a/processtest/partition_test.go
+++ b/processtest/partition_test.go
@@ -77,7 +77,7 @@
 				is.True(slices.IsSorted(n.Versions()))
 				is.Equal(n.Version(), base)
 			}
-			is.Equal(fleet.Ledger.Doubled(), nil)
+			is.Equal(fleet.Ledger.KeysRunTwice(), nil)
 		})
 	}
 }
--- a/soak/check.go
+++ b/soak/check.go
@@ -173,7 +173,7 @@
 	}
 	var events strings.Builder
 	for i := 1; i <= replica.StreamEvents; i++ {
-		fmt.Fprintf(&events, "id: %d\ndata: %s\n\n", i, replica.Piece(true, o.id, i))
+		fmt.Fprintf(&events, "id: %d\ndata: %s\n\n", i, replica.EventData(true, o.id, i))
 	}
 	return o.body == events.String()
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -70,7 +70,7 @@
 		Status: http.StatusServiceUnavailable,
 	})),
 	newFault("store loses answers", storeTarget, storeFault(store.Fault{
-		LoseWrites: true,
+		LoseWriteAnswers: true,
 	})),
 	newFault("one instance's store silent", randomStoreLink, silenceLink),
 	newFault("replica slow", randomReplicaLink, func(_ *deployment, link *processtest.Link, random *rand.Rand) func() {
@@ -90,8 +90,8 @@
 		return func() {}
 	}),
 	newFault("replica misbehaves", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(misbehaviours[random.IntN(len(misbehaviours))])
-		return func() { r.Behave(replica.Behaviour{}) }
+		r.SetBehaviour(misbehaviours[random.IntN(len(misbehaviours))])
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 }
 
@@ -101,17 +101,17 @@
 // the other faults.
 var silenceFaults = []fault{
 	newFault("replica pauses in streams", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(replica.Behaviour{
+		r.SetBehaviour(replica.Behaviour{
 			PauseAfter: 1 + random.IntN(replica.StreamEvents-1),
 			Pause:      randomDuration(random, 1200*time.Millisecond, 1800*time.Millisecond),
 		})
-		return func() { r.Behave(replica.Behaviour{}) }
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 	newFault("replica begins late", randomReplica, func(_ *deployment, r *replica.Replica, random *rand.Rand) func() {
-		r.Behave(replica.Behaviour{
+		r.SetBehaviour(replica.Behaviour{
 			Delay: randomDuration(random, 400*time.Millisecond, time.Second),
 		})
-		return func() { r.Behave(replica.Behaviour{}) }
+		return func() { r.SetBehaviour(replica.Behaviour{}) }
 	}),
 	newFault("reload", randomNode, func(_ *deployment, n *node, _ *rand.Rand) func() {
 		n.process.Hangup()
@@ -128,7 +128,7 @@
 var misbehaviours = []replica.Behaviour{
 	{NotRun: true},
 	{Reset: true},
-	{Unsigned: true},
+	{OmitStamp: true},
 	{Crossed: true},
 	{CutBody: true},
 	{Status: http.StatusInternalServerError},
