--- a/entry/allowance.go
+++ b/entry/allowance.go
@@ -73,14 +73,15 @@
 	return holders
 }
 
-// takeFromPool requests a part of an allowance from another node's pool.
+// takeFromPool renews this node's loan to a pool of another node and takes tokens from
+// that pool.
 func (e *Entry) takeFromPool(ctx context.Context, address string, request limits.PoolRequest) (limits.PoolAnswer, error) {
 	var answer limits.PoolAnswer
 	err := e.peerPool.Call(ctx, address, allowanceName+".Take", request, &answer)
 	return answer, err
 }
 
-// renewLoans renews the parts that this node holds from another node's pools.
+// renewLoans renews the loans of this node's parts to another node's pools.
 func (e *Entry) renewLoans(ctx context.Context, address string, renewal limits.PoolRenewal) error {
 	return e.peerPool.Call(ctx, address, allowanceName+".Renew", renewal, &struct{}{})
 }
@@ -98,13 +99,13 @@
 	return p.fleetPool
 }
 
-// Take lends a part of an organisation's pool to the requesting node.
+// Take renews the calling node's loan and takes tokens from an organisation's pool.
 func (p *PoolReceiver) Take(request limits.PoolRequest, answer *limits.PoolAnswer) error {
 	*answer = p.poolOf(request.Apart).Take(request)
 	return nil
 }
 
-// Renew records a node's loans again.
+// Renew renews the calling node's loans to this node's pools.
 func (p *PoolReceiver) Renew(renewal limits.PoolRenewal, _ *struct{}) error {
 	p.poolOf(renewal.Apart).RenewAll(renewal)
 	return nil
