--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -9,27 +9,27 @@
 	"zinniamast/prefix"
 )
 
-// baseline is what the plain policies share: the replicas, and this node's
-// own requests at each.
+// baseline holds the state that the reference policies share: the replicas, and
+// the number of this node's in-flight requests at each.
 type baseline struct {
-	board *blackboard.Board
-	own   map[string]int
-	at    map[string]string
+	board      *blackboard.Board
+	inFlight   map[string]int
+	upstreamOf map[string]string
 }
 
 func newBaseline(board *blackboard.Board) baseline {
 	return baseline{
-		board: board,
-		own:   map[string]int{},
-		at:    map[string]string{},
+		board:      board,
+		inFlight:   map[string]int{},
+		upstreamOf: map[string]string{},
 	}
 }
 
-// usable lists the replicas that take work, in a fixed order.
-func (b *baseline) usable(need *zinniamast.RouteRequest) []string {
+// usable lists the replicas that accept requests, in order of ID.
+func (b *baseline) usable(route *zinniamast.RouteRequest) []string {
 	var ids []string
-	for _, upstream := range b.board.Upstreams.Of(need.Service) {
-		if !upstream.Leaving() && !slices.Contains(need.Avoid, upstream.Instance.ID) {
+	for _, upstream := range b.board.Upstreams.Of(route.Service) {
+		if !upstream.Leaving() && !slices.Contains(route.Avoid, upstream.Instance.ID) {
 			ids = append(ids, upstream.Instance.ID)
 		}
 	}
@@ -41,24 +41,25 @@
 func (b *baseline) Observe(o zinniamast.Observation) {
 	switch o.Kind {
 	case zinniamast.ObservedStart:
-		b.own[o.Upstream]++
-		b.at[o.Attempt] = o.Upstream
+		b.inFlight[o.Upstream]++
+		b.upstreamOf[o.Attempt] = o.Upstream
 	case zinniamast.ObservedEnd:
-		b.own[b.at[o.Attempt]]--
-		delete(b.at, o.Attempt)
+		b.inFlight[b.upstreamOf[o.Attempt]]--
+		delete(b.upstreamOf, o.Attempt)
 	}
 }
 
 // Explain implements zinniamast.Router.
 func (b *baseline) Explain(string) string { return "" }
 
-// least returns the one with the fewest requests of this node; the search
-// begins at a moving place, so that equals take turns.
-func (b *baseline) least(ids []string, from int) string {
+// leastLoaded returns the replica with the fewest in-flight requests of this
+// node. The search starts at index from, which callers advance so that ties
+// rotate among the replicas.
+func (b *baseline) leastLoaded(ids []string, from int) string {
 	best := ids[from%len(ids)]
 	for i := range ids {
 		id := ids[(from+i)%len(ids)]
-		if b.own[id] < b.own[best] {
+		if b.inFlight[id] < b.inFlight[best] {
 			best = id
 		}
 	}
@@ -67,15 +68,15 @@
 
 func noUpstream() error { return zinniamast.Refuse(zinniamast.ReasonNoUpstream, "no replica") }
 
-// roundRobin takes the replicas in turn.
+// roundRobin selects the replicas in turn.
 type roundRobin struct {
 	baseline
 	next int
 }
 
 // Route implements zinniamast.Router.
-func (r *roundRobin) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
-	ids := r.usable(need)
+func (r *roundRobin) Route(route *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+	ids := r.usable(route)
 	if len(ids) == 0 {
 		return zinniamast.Choice{}, noUpstream()
 	}
@@ -85,9 +86,9 @@
 	}, nil
 }
 
-// leastOutstanding takes the replica with the fewest requests of this node. A
-// limit above zero makes requests queue at the node in order of arrival while
-// every replica has as many.
+// leastOutstanding selects the replica with the fewest in-flight requests of
+// this node. With a limit above zero, requests queue at the node in order of
+// arrival while every replica has reached the limit.
 type leastOutstanding struct {
 	baseline
 	next  int
@@ -95,14 +96,14 @@
 }
 
 // Route implements zinniamast.Router.
-func (l *leastOutstanding) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
-	ids := l.usable(need)
+func (l *leastOutstanding) Route(route *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+	ids := l.usable(route)
 	if len(ids) == 0 {
 		return zinniamast.Choice{}, noUpstream()
 	}
 	l.next++
-	best := l.least(ids, l.next)
-	if l.limit > 0 && l.own[best] >= l.limit {
+	best := l.leastLoaded(ids, l.next)
+	if l.limit > 0 && l.inFlight[best] >= l.limit {
 		return zinniamast.Choice{}, noUpstream()
 	}
 	return zinniamast.Choice{
@@ -111,35 +112,37 @@
 }
 
 // prefixAffinity sends each long prefix to one replica by consistent hashing,
-// unless that one has far more than its part, and the rest to the least loaded.
+// unless that replica has far more than its share of the load. Requests without
+// a prefix go to the least loaded replica.
 type prefixAffinity struct {
 	leastOutstanding
-	// bound is how many times the mean a replica may have before its prefixes overflow.
-	bound float64
+	// loadFactor bounds the load of a replica as a multiple of the mean; beyond it,
+	// its prefixes overflow to the next replica. Zero means no bound.
+	loadFactor float64
 }
 
-// affinityBlock is the index of the prefix that decides: some 2,000 tokens, or
-// the whole of a shorter prompt's.
-const affinityBlock = 7
+// affinityBlockIndex is the index of the prefix hash that selects the replica.
+// It covers about 2,000 tokens; a shorter prompt uses its longest prefix.
+const affinityBlockIndex = 7
 
 // Route implements zinniamast.Router.
-func (a *prefixAffinity) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
-	if len(need.Prefix) == 0 {
-		return a.leastOutstanding.Route(need)
+func (a *prefixAffinity) Route(route *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+	if len(route.Prefix) == 0 {
+		return a.leastOutstanding.Route(route)
 	}
-	ids := a.usable(need)
+	ids := a.usable(route)
 	if len(ids) == 0 {
 		return zinniamast.Choice{}, noUpstream()
 	}
-	key := need.Prefix[min(affinityBlock, len(need.Prefix)-1)]
-	slices.SortFunc(ids, func(x, y string) int { return cmp.Compare(weight(key, y), weight(key, x)) })
+	key := route.Prefix[min(affinityBlockIndex, len(route.Prefix)-1)]
+	slices.SortFunc(ids, func(x, y string) int { return cmp.Compare(rendezvousWeight(key, y), rendezvousWeight(key, x)) })
 	total := 0
 	for _, id := range ids {
-		total += a.own[id]
+		total += a.inFlight[id]
 	}
-	most := a.bound * float64(total+1) / float64(len(ids))
+	most := a.loadFactor * float64(total+1) / float64(len(ids))
 	for _, id := range ids {
-		if a.bound == 0 || float64(a.own[id]+1) <= max(most, 1) {
+		if a.loadFactor == 0 || float64(a.inFlight[id]+1) <= max(most, 1) {
 			return zinniamast.Choice{
 				Upstream: id,
 			}, nil
@@ -150,5 +153,8 @@
 	}, nil
 }
 
-// weight orders replicas for a prefix by highest random weight.
-func weight(key uint64, id string) uint64 { return prefix.Hash([]byte(id)) ^ key*0x9e3779b97f4a7c15 }
+// rendezvousWeight returns the weight of a replica for a prefix in rendezvous
+// (highest random weight) hashing.
+func rendezvousWeight(key uint64, id string) uint64 {
+	return prefix.Hash([]byte(id)) ^ key*0x9e3779b97f4a7c15
+}
--- a/experiment/engine.go
+++ b/experiment/engine.go
@@ -7,28 +7,29 @@
 	"zinniamast"
 )
 
-// tickEvery is how often a node's router shares and polls.
-const tickEvery = 250 * time.Millisecond
+// tickInterval is how often the router of a node publishes its state and polls replicas.
+const tickInterval = 250 * time.Millisecond
 
-// ticks lets a node share and poll, as its own goroutines would.
-func (w *world) ticks(n *node) {
-	n.ours.Tick(context.Background())
+// tick makes a node publish its state and poll replicas, which outside the
+// experiment its own goroutines do.
+func (w *world) tick(n *node) {
+	n.routingRouter.Tick(context.Background())
 	if n.limiter != nil {
 		n.limiter.Tick()
 	}
-	w.after(tickEvery, func() { w.ticks(n) })
+	w.after(tickInterval, func() { w.tick(n) })
 }
 
 // Load implements zinniamast.Engine.
-func (m *machine) Load(context.Context) (zinniamast.LoadReport, error) {
-	return m.lagged(m.world.now, m.world.scenario.ReportLag), nil
+func (r *replica) Load(context.Context) (zinniamast.LoadReport, error) {
+	return r.delayedReport(r.world.now, r.world.scenario.ReportLag), nil
 }
 
-// CacheEvents implements zinniamast.Engine; events come late and with gaps.
-func (m *machine) CacheEvents(_ context.Context, after uint64) ([]zinniamast.CacheEvent, error) {
+// CacheEvents implements zinniamast.Engine; events arrive late and with gaps.
+func (r *replica) CacheEvents(_ context.Context, after uint64) ([]zinniamast.CacheEvent, error) {
 	var events []zinniamast.CacheEvent
-	for _, event := range m.cache.since(after, m.world.now.Add(-m.world.scenario.EventLag)) {
-		if m.world.scenario.EventGap == 0 || event.Sequence%uint64(m.world.scenario.EventGap) != 0 {
+	for _, event := range r.cache.since(after, r.world.now.Add(-r.world.scenario.EventLag)) {
+		if r.world.scenario.EventGap == 0 || event.Sequence%uint64(r.world.scenario.EventGap) != 0 {
 			events = append(events, event)
 		}
 	}
--- a/experiment/events.go
+++ b/experiment/events.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a function to run at a virtual time.
 type event struct {
 	at    time.Time
 	order int
-	do    func()
+	run   func()
 }
 
-// events are ordered by time, and by when they were planned.
-type events []event
+// eventQueue is a heap of events, ordered by time and then by the order of scheduling.
+type eventQueue []event
 
 // Len implements heap.Interface.
-func (e events) Len() int { return len(e) }
+func (e eventQueue) Len() int { return len(e) }
 
 // Less implements heap.Interface.
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
@@ -27,53 +27,53 @@
 }
 
 // Swap implements heap.Interface.
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	popped := (*e)[last]
 	*e = (*e)[:last]
 	return popped
 }
 
-// clock is virtual time with what is planned in it.
+// clock is a virtual clock with a queue of scheduled events.
 type clock struct {
-	now     time.Time
-	planned events
-	order   int
+	now       time.Time
+	scheduled eventQueue
+	order     int
 }
 
 // Now returns the virtual time.
 func (c *clock) Now() time.Time { return c.now }
 
-// after plans something.
-func (c *clock) after(wait time.Duration, do func()) {
+// after schedules a function to run once after a delay.
+func (c *clock) after(wait time.Duration, run func()) {
 	c.order++
-	heap.Push(&c.planned, event{
+	heap.Push(&c.scheduled, event{
 		at:    c.now.Add(wait),
 		order: c.order,
-		do:    do,
+		run:   run,
 	})
 }
 
-// every plans something again and again.
-func (c *clock) every(interval time.Duration, do func()) {
+// every schedules a function to run repeatedly at an interval.
+func (c *clock) every(interval time.Duration, run func()) {
 	c.after(interval, func() {
-		do()
-		c.every(interval, do)
+		run()
+		c.every(interval, run)
 	})
 }
 
-// runTo lets everything happen up to a time.
+// runTo runs all events up to a time and advances the clock to it.
 func (c *clock) runTo(end time.Time) {
-	for len(c.planned) > 0 && !c.planned[0].at.After(end) {
-		next := heap.Pop(&c.planned).(event)
+	for len(c.scheduled) > 0 && !c.scheduled[0].at.After(end) {
+		next := heap.Pop(&c.scheduled).(event)
 		c.now = next.at
-		next.do()
+		next.run()
 	}
 	c.now = end
 }
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -7,53 +7,56 @@
 	"zinniamast/routing"
 )
 
-// Policy is a way to choose replicas, by name.
+// Policy names a way to choose replicas.
 type Policy string
 
-// The policies that are compared.
+// The policies that an experiment compares.
 const (
-	// Ours is package routing, with package limits where the scenario limits.
-	Ours Policy = "zinniamast"
-	// RoundRobin takes replicas in turn.
+	// Zinniamast uses package routing, and package limits in scenarios that enable limits.
+	Zinniamast Policy = "zinniamast"
+	// RoundRobin selects replicas in turn.
 	RoundRobin Policy = "round_robin"
-	// LeastOutstanding takes the replica with the fewest requests of the node.
+	// LeastOutstanding selects the replica with the fewest in-flight requests of the node.
 	LeastOutstanding Policy = "least_outstanding"
-	// PrefixHash sends a prefix to one replica by consistent hashing.
+	// PrefixHash sends each prefix to one replica by consistent hashing.
 	PrefixHash Policy = "prefix_hash"
-	// PrefixBounded does so with bounded loads.
+	// PrefixBounded uses consistent hashing with bounded loads.
 	PrefixBounded Policy = "prefix_bounded"
-	// FixedQueue queues at the node above a fixed number of requests per replica.
+	// FixedQueue queues requests at the node above a fixed number of in-flight
+	// requests per replica.
 	FixedQueue Policy = "fixed_queue"
 )
 
-// Policies lists all of them, ours first.
+// Policies lists all policies, Zinniamast first.
 func Policies() []Policy {
-	return []Policy{Ours, RoundRobin, LeastOutstanding, PrefixHash, PrefixBounded, FixedQueue}
+	return []Policy{Zinniamast, RoundRobin, LeastOutstanding, PrefixHash, PrefixBounded, FixedQueue}
 }
 
 const (
-	// fixedLimit is what a node allows itself per replica under FixedQueue.
-	fixedLimit = 4
-	// affinityBound is the usual bound of consistent hashing with bounded loads.
-	affinityBound = 1.25
+	// fixedQueueLimit is the number of in-flight requests that a node sends to one
+	// replica under FixedQueue.
+	fixedQueueLimit = 4
+	// affinityLoadFactor is the load factor commonly used for consistent hashing
+	// with bounded loads.
+	affinityLoadFactor = 1.25
 )
 
-// node is one entry instance.
+// node is one entry instance, which routes requests to the replicas.
 type node struct {
-	world   *world
-	name    string
-	domain  string
-	board   *blackboard.Board
-	router  zinniamast.Router
-	ours    *routing.Router
-	limiter *limits.Limiter
-	// pending are requests that found no replica.
-	pending []*tracked
-	// waking means that a next try is planned.
-	waking bool
+	world         *world
+	name          string
+	domain        string
+	board         *blackboard.Board
+	router        zinniamast.Router
+	routingRouter *routing.Router
+	limiter       *limits.Limiter
+	// pending holds the requests that found no replica.
+	pending []*request
+	// retryScheduled means that a retry of the pending requests is scheduled.
+	retryScheduled bool
 }
 
-func (n *node) equip(policy Policy, seed uint64) {
+func (n *node) setRouter(policy Policy, seed uint64) {
 	base := newBaseline(n.board)
 	switch policy {
 	case RoundRobin:
@@ -67,7 +70,7 @@
 	case FixedQueue:
 		n.router = &leastOutstanding{
 			baseline: base,
-			limit:    fixedLimit,
+			limit:    fixedQueueLimit,
 		}
 	case PrefixHash:
 		n.router = &prefixAffinity{
@@ -80,25 +83,25 @@
 			leastOutstanding: leastOutstanding{
 				baseline: base,
 			},
-			bound: affinityBound,
+			loadFactor: affinityLoadFactor,
 		}
 	default:
-		n.equipOurs(seed)
+		n.setRoutingRouter(seed)
 	}
 }
 
-func (n *node) equipOurs(seed uint64) {
-	n.ours = routing.New(routing.Config{
+func (n *node) setRoutingRouter(seed uint64) {
+	n.routingRouter = routing.New(routing.Config{
 		Board:         n.board,
 		Node:          n.name,
 		FailureDomain: n.domain,
-		Gossip: &port{
+		Gossip: &gossipPort{
 			node: n,
 		},
 		Seed: seed,
 		Now:  n.world.Now,
 	})
-	n.router = n.ours
+	n.router = n.routingRouter
 	if !n.world.scenario.Limits {
 		return
 	}
@@ -106,46 +109,47 @@
 		Board:         n.board,
 		Node:          n.name,
 		FailureDomain: n.domain,
-		Gossip: &port{
+		Gossip: &gossipPort{
 			node: n,
 		},
-		Predictor: n.ours,
+		Predictor: n.routingRouter,
 		Now:       n.world.Now,
 	})
 }
 
-// port is a node's place in the exchange of news.
-type port struct {
+// gossipPort connects a node to the gossip of the others.
+type gossipPort struct {
 	node *node
 }
 
-// Publish implements zinniamast.Gossip: others hear after the scenario's delay.
-func (p *port) Publish(news zinniamast.GossipItem) {
+// Publish implements zinniamast.Gossip: the other nodes receive the
+// item after the delay of the scenario.
+func (p *gossipPort) Publish(item zinniamast.GossipItem) {
 	w := p.node.world
 	w.sequence++
-	news.Origin = p.node.name
-	news.Sequence = w.sequence
+	item.Origin = p.node.name
+	item.Sequence = w.sequence
 	for _, s := range w.subscribers {
-		if s.topic == news.Topic && s.node != p.node && (news.AllDomains || s.node.domain == p.node.domain) {
-			w.newsBytes += len(news.Value)
-			w.after(w.scenario.NewsDelay, func() { s.hear(news) })
+		if s.topic == item.Topic && s.node != p.node && (item.AllDomains || s.node.domain == p.node.domain) {
+			w.gossipBytes += len(item.Value)
+			w.after(w.scenario.GossipDelay, func() { s.receive(item) })
 		}
 	}
 }
 
 // Subscribe implements zinniamast.Gossip.
-func (p *port) Subscribe(topic zinniamast.Topic, hear func(zinniamast.GossipItem)) {
+func (p *gossipPort) Subscribe(topic zinniamast.Topic, receive func(zinniamast.GossipItem)) {
 	w := p.node.world
 	w.subscribers = append(w.subscribers, subscriber{
-		topic: topic,
-		node:  p.node,
-		hear:  hear,
+		topic:   topic,
+		node:    p.node,
+		receive: receive,
 	})
 }
 
-// subscriber hears news of a topic at a node.
+// subscriber receives the gossip items of a topic at a node.
 type subscriber struct {
-	topic zinniamast.Topic
-	node  *node
-	hear  func(zinniamast.GossipItem)
+	topic   zinniamast.Topic
+	node    *node
+	receive func(zinniamast.GossipItem)
 }
--- a/experiment/reclaim.go
+++ b/experiment/reclaim.go
@@ -7,34 +7,35 @@
 	"zinniamast"
 )
 
-// reclaimDomain gives notice to a whole failure domain, and brings it back empty later.
+// reclaimDomain reclaims all replicas of a failure domain; their replacements
+// start later with empty caches.
 func (w *world) reclaimDomain(domain string) {
-	for _, m := range slices.Clone(w.machines) {
-		if m.instance.FailureDomain == domain && !m.gone {
-			w.reclaim(m, w.scenario.Replace)
+	for _, r := range slices.Clone(w.replicas) {
+		if r.instance.FailureDomain == domain && !r.removed {
+			w.reclaim(r, w.scenario.ReplaceAfter)
 		}
 	}
 }
 
-// reclaim takes one machine away after its notice; a new one replaces it.
-func (w *world) reclaim(m *machine, replace time.Duration) {
-	m.leaving = true
-	w.after(noticeDelay, func() {
+// reclaim removes one replica when its notice expires and starts a replacement later.
+func (w *world) reclaim(r *replica, replace time.Duration) {
+	r.leaving = true
+	w.after(noticePropagation, func() {
 		for _, n := range w.nodes {
-			n.board.Upstreams.MarkLeaving(m.instance.ID, m.world.now.Add(noticeTime-noticeDelay))
+			n.board.Upstreams.MarkLeaving(r.instance.ID, r.world.now.Add(reclaimNotice-noticePropagation))
 		}
 	})
-	w.after(noticeTime, func() { w.remove(m) })
-	w.after(noticeTime+replace, func() { w.addMachine(m.instance.FailureDomain, m.instance.Class == "slow") })
+	w.after(reclaimNotice, func() { w.remove(r) })
+	w.after(reclaimNotice+replace, func() { w.addReplica(r.instance.FailureDomain, r.instance.Class == "slow") })
 }
 
-func (w *world) remove(m *machine) {
-	m.gone = true
-	m.stopped = w.now
+func (w *world) remove(r *replica) {
+	r.removed = true
+	r.stopped = w.now
 	for _, n := range w.nodes {
-		n.board.Upstreams.Remove(m.instance.ID)
+		n.board.Upstreams.Remove(r.instance.ID)
 	}
-	for _, jobs := range [][]*job{m.running, m.waiting} {
+	for _, jobs := range [][]*job{r.running, r.waiting} {
 		for _, j := range jobs {
 			if !j.ended {
 				w.fail(j, zinniamast.FailureRefused)
@@ -44,9 +45,9 @@
 }
 
 func (w *world) restartOldest() {
-	for _, m := range w.machines {
-		if !m.gone && !m.leaving {
-			w.reclaim(m, 0)
+	for _, r := range w.replicas {
+		if !r.removed && !r.leaving {
+			w.reclaim(r, 0)
 			return
 		}
 	}
--- a/experiment/scenario.go
+++ b/experiment/scenario.go
@@ -2,66 +2,69 @@
 
 import "time"
 
-// Scenario is a world and what happens in it.
+// Scenario describes a fleet, its load and the faults that occur during a run.
 type Scenario struct {
 	Name  string
 	Kinds []Kind
-	// Load scales all rates.
+	// Load multiplies the rates of all kinds.
 	Load float64
-	// Replicas run in all; Slow of them are of the slow class.
-	Replicas int
-	Slow     int
-	// Nodes route to them, and Domains is how many failure domains all run in.
+	// Replicas is the total number of replicas; SlowReplicas of them are of the slow class.
+	Replicas     int
+	SlowReplicas int
+	// Nodes is the number of routing nodes, and Domains the number of failure
+	// domains over which nodes and replicas are spread.
 	Nodes   int
 	Domains int
-	// Length is how long requests come; the first Warm of it does not count.
+	// Length is how long requests arrive; those during the first Warmup are not measured.
 	Length time.Duration
-	Warm   time.Duration
-	// NewsDelay is how long news takes between nodes.
-	NewsDelay time.Duration
-	// ReportLag is how old load reports are.
+	Warmup time.Duration
+	// GossipDelay is how long a gossip item takes between nodes.
+	GossipDelay time.Duration
+	// ReportLag is the age of load reports when nodes read them.
 	ReportLag time.Duration
-	// EventLag is how late cache events are, and every EventGap-th is lost.
+	// EventLag is the delay of cache events; every EventGap-th event is lost.
 	EventLag time.Duration
 	EventGap int
-	// ReclaimAt is when a whole failure domain gets its notice, and it comes
-	// back empty after Replace; zero means never.
-	ReclaimAt time.Duration
-	Replace   time.Duration
-	// RestartEvery restarts one replica after the other with an empty cache.
+	// ReclaimAt is when a whole failure domain receives its reclaim notice; zero
+	// means never. Replacements with empty caches start ReplaceAfter later than
+	// the replicas are removed.
+	ReclaimAt    time.Duration
+	ReplaceAfter time.Duration
+	// RestartEvery is the interval at which one replica after another restarts
+	// with an empty cache; zero means never.
 	RestartEvery time.Duration
-	// BurstAt is when the largest organisation begins to send Burst times as much.
-	BurstAt time.Duration
-	Burst   float64
-	// FloodAt is when bulk requests come Flood times as often.
-	FloodAt time.Duration
-	Flood   float64
-	// Limits puts package limits before our policy.
+	// BurstAt is when the largest organisation begins to send BurstFactor times as many requests.
+	BurstAt     time.Duration
+	BurstFactor float64
+	// FloodAt is when bulk requests begin to arrive FloodFactor times as often.
+	FloodAt     time.Duration
+	FloodFactor float64
+	// Limits enables admission by package limits under the Zinniamast policy.
 	Limits bool
 }
 
-// steady is what the scenarios start from.
-func steady(name string, kinds []Kind, replicas int) Scenario {
+// baseScenario returns the settings that all scenarios start from.
+func baseScenario(name string, kinds []Kind, replicas int) Scenario {
 	return Scenario{
-		Name:      name,
-		Kinds:     kinds,
-		Load:      1,
-		Replicas:  replicas,
-		Nodes:     4,
-		Domains:   4,
-		Length:    150 * time.Second,
-		Warm:      50 * time.Second,
-		NewsDelay: 300 * time.Millisecond,
-		ReportLag: time.Second,
-		EventLag:  2 * time.Second,
-		EventGap:  10,
+		Name:        name,
+		Kinds:       kinds,
+		Load:        1,
+		Replicas:    replicas,
+		Nodes:       4,
+		Domains:     4,
+		Length:      150 * time.Second,
+		Warmup:      50 * time.Second,
+		GossipDelay: 300 * time.Millisecond,
+		ReportLag:   time.Second,
+		EventLag:    2 * time.Second,
+		EventGap:    10,
 	}
 }
 
 // FullSize is one failure domain of a fleet of 5,700 replicas and 370 nodes in
-// 14 failure domains. It takes some minutes and is run by name alone.
+// 14 failure domains. It takes some minutes and runs only when selected by name.
 func FullSize() Scenario {
-	full := steady("full_size_domain", Cedarline(), 400)
+	full := baseScenario("full_size_domain", Cedarline(), 400)
 	full.Nodes = 26
 	full.Domains = 1
 	full.Load = 400.0 / 12
@@ -69,38 +72,38 @@
 		full.Kinds[i].Documents *= 400 / 12
 	}
 	full.Length = 60 * time.Second
-	full.Warm = 30 * time.Second
+	full.Warmup = 30 * time.Second
 	return full
 }
 
-// Scenarios lists what is measured.
+// Scenarios lists the scenarios that run by default.
 func Scenarios() []Scenario {
-	cedarline := steady("cedarline_day", Cedarline(), 12)
-	atlas := steady("atlas_day", Atlas(), 9)
+	cedarline := baseScenario("cedarline_day", Cedarline(), 12)
+	atlas := baseScenario("atlas_day", Atlas(), 9)
 	atlas.Load = 2.2
 
-	mixed := steady("mixed_speeds", Cedarline(), 14)
-	mixed.Slow = 7
+	mixed := baseScenario("mixed_speeds", Cedarline(), 14)
+	mixed.SlowReplicas = 7
 
-	reclaim := steady("domain_reclaimed", Cedarline(), 16)
+	reclaim := baseScenario("domain_reclaimed", Cedarline(), 16)
 	reclaim.ReclaimAt = 80 * time.Second
-	reclaim.Replace = 30 * time.Second
+	reclaim.ReplaceAfter = 30 * time.Second
 
-	stale := steady("stale_reports", Cedarline(), 12)
+	stale := baseScenario("stale_reports", Cedarline(), 12)
 	stale.ReportLag = 5 * time.Second
 	stale.EventLag = 10 * time.Second
 	stale.EventGap = 2
 
-	restarts := steady("restart_storm", Cedarline(), 14)
+	restarts := baseScenario("restart_storm", Cedarline(), 14)
 	restarts.RestartEvery = 4 * time.Second
 
-	flood := steady("bulk_flood", Cedarline(), 14)
+	flood := baseScenario("bulk_flood", Cedarline(), 14)
 	flood.FloodAt = 60 * time.Second
-	flood.Flood = 3
+	flood.FloodFactor = 3
 
-	burst := steady("one_bursts", Cedarline(), 12)
+	burst := baseScenario("one_bursts", Cedarline(), 12)
 	burst.BurstAt = 60 * time.Second
-	burst.Burst = 5
+	burst.BurstFactor = 5
 	burst.Limits = true
 
 	return []Scenario{cedarline, atlas, mixed, reclaim, stale, restarts, flood, burst}
--- a/experiment/search.go
+++ b/experiment/search.go
@@ -9,16 +9,16 @@
 // onTimeTarget is the share of requests that must be on time.
 const onTimeTarget = 0.95
 
-// maxReplicas ends a search.
+// maxReplicas is the largest fleet that a search tries.
 const maxReplicas = 32
 
 // Cheapest returns the outcome with the fewest replicas that meets the latency
 // target for 95 in 100 requests: its cost is the cost at the latency target. A
-// fleet meets the target only if every larger one does too, so that a lucky
-// size does not count. If none meets it, the largest fleet's outcome and false
+// fleet meets the target only if every larger one does too, so that a size that
+// meets it by chance does not count. If none meets it, the largest fleet's outcome and false
 // are returned.
 func Cheapest(scenario Scenario, policy Policy, seed uint64) (best Outcome, ok bool) {
-	least := scenario.Slow + 1
+	least := scenario.SlowReplicas + 1
 	for replicas := maxReplicas; replicas >= least; replicas-- {
 		scenario.Replicas = replicas
 		o := Run(scenario, policy, seed)
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -24,6 +24,6 @@
 func (o *Outcome) write(out io.Writer) {
 	fmt.Fprintf(out, "| %s\t| %s\t| %d\t| %d\t| %.1f\t| %.3f\t| %.0f\t| %.0f\t| %d\t| %.1f\t| %.3f\t| %.1f\t| %.1f\t| %.0f\t|\n",
 		o.Scenario, o.Policy, o.Replicas, o.Requests, 100*o.OnTime, o.CostPerThousand, o.Computed, o.Recomputed,
-		o.QuickFirst.Milliseconds(), float64(o.Between)/float64(time.Millisecond), o.Attempts,
-		100*o.Refused, 100*o.WorstOrganisation, o.NewsBytes)
+		o.InteractiveFirstToken.Milliseconds(), float64(o.BetweenTokens)/float64(time.Millisecond), o.Attempts,
+		100*o.Refused, 100*o.WorstOrganisation, o.GossipBytes)
 }
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -1,7 +1,7 @@
-// Package experiment compares routing policies on the same seeded work in
-// virtual time: a few nodes' routers over small models of engines, which batch
-// continuously and cache prefixes in limited memory. It is no simulator of a
-// cluster; it exists to measure decisions.
+// Package experiment compares routing policies on the same seeded workload in
+// virtual time. The routers of a few nodes send requests to simple models of
+// engines, which batch continuously and cache prefixes in limited memory. The
+// package measures routing decisions; it does not simulate a whole cluster.
 package experiment
 
 import (
@@ -13,72 +13,72 @@
 	"zinniamast/blackboard"
 )
 
-// service is the one model deployment of an experiment.
+// service is the only service of an experiment.
 const service = "assistant"
 
 const (
-	// link is the time from a node to an engine.
-	link = 1500 * time.Microsecond
-	// noticeTime is what a reclaim leaves.
-	noticeTime = 5 * time.Second
-	// noticeDelay is how long the first sign takes to reach all nodes.
-	noticeDelay = 300 * time.Millisecond
-	// retryPause is how long a request that found no replica waits at most.
-	retryPause = 100 * time.Millisecond
+	// networkDelay is the one-way delay between a node and an engine.
+	networkDelay = 1500 * time.Microsecond
+	// reclaimNotice is the time between the notice of a reclaim and the removal.
+	reclaimNotice = 5 * time.Second
+	// noticePropagation is how long a reclaim notice takes to reach all nodes.
+	noticePropagation = 300 * time.Millisecond
+	// retryDelay is the longest wait before a request that found no replica is retried.
+	retryDelay = 100 * time.Millisecond
 )
 
-// world is one run of a scenario.
+// world is the state of one run of a scenario.
 type world struct {
 	clock
-	scenario    Scenario
-	random      *rand.Rand
-	source      source
-	domains     []string
-	machines    []*machine
-	byID        map[string]*machine
-	nodes       []*node
-	subscribers []subscriber
-	sequence    uint64
-	// newsBytes counts what all nodes heard.
-	newsBytes int
-	attempts  int
-	built     int
-	requests  []*tracked
-	seen      map[uint64]bool
-	start     time.Time
+	scenario     Scenario
+	random       *rand.Rand
+	source       source
+	domains      []string
+	replicas     []*replica
+	replicasByID map[string]*replica
+	nodes        []*node
+	subscribers  []subscriber
+	sequence     uint64
+	// gossipBytes counts the gossip bytes that all nodes received.
+	gossipBytes      int
+	attempts         int
+	replicasStarted  int
+	requests         []*request
+	computedPrefixes map[uint64]bool
+	start            time.Time
 }
 
-// Fast and slow are the machine classes of the scenarios.
+// fast and slow are the instance classes of the scenarios.
 var (
 	fast = Speed{
-		Base:        12 * time.Millisecond,
-		PerSequence: 800 * time.Microsecond,
-		PerPrompt:   50 * time.Microsecond,
-		Chunk:       384,
-		Sequences:   64,
-		CacheTokens: 200_000,
-		Price:       2.4,
+		StepBase:       12 * time.Millisecond,
+		PerSequence:    800 * time.Microsecond,
+		PerPromptToken: 50 * time.Microsecond,
+		ChunkTokens:    384,
+		MaxSequences:   64,
+		CacheTokens:    200_000,
+		PricePerHour:   2.4,
 	}
 	slow = Speed{
-		Base:        18 * time.Millisecond,
-		PerSequence: 1600 * time.Microsecond,
-		PerPrompt:   200 * time.Microsecond,
-		Chunk:       96,
-		Sequences:   32,
-		CacheTokens: 100_000,
-		Price:       0.9,
+		StepBase:       18 * time.Millisecond,
+		PerSequence:    1600 * time.Microsecond,
+		PerPromptToken: 200 * time.Microsecond,
+		ChunkTokens:    96,
+		MaxSequences:   32,
+		CacheTokens:    100_000,
+		PricePerHour:   0.9,
 	}
 )
 
-// Run runs a scenario under a policy and returns what came of it.
+// Run runs a scenario under a policy and returns its outcome.
 func Run(scenario Scenario, policy Policy, seed uint64) Outcome {
 	w := newWorld(scenario, policy, seed)
 	w.runTo(w.start.Add(scenario.Length))
-	w.settle()
+	w.drain()
 	return w.outcome(policy)
 }
 
-// newWorld builds a world and plans what comes from outside.
+// newWorld builds the nodes and replicas and schedules the external events.
 func newWorld(scenario Scenario, policy Policy, seed uint64) *world {
 	w := &world{
 		scenario: scenario,
@@ -87,8 +87,8 @@
 			random:        rand.New(rand.NewPCG(seed, 2)),
 			organisations: Organisations(),
 		},
-		byID: map[string]*machine{},
-		seen: map[uint64]bool{},
+		replicasByID:     map[string]*replica{},
+		computedPrefixes: map[uint64]bool{},
 	}
 	for i := range scenario.Domains {
 		w.domains = append(w.domains, fmt.Sprintf("domain-%d", i+1))
@@ -100,8 +100,8 @@
 	return w
 }
 
-// settle lets what was accepted end, or be late.
-func (w *world) settle() { w.runTo(w.now.Add(bulkDeadline)) }
+// drain runs on until every accepted request has ended or passed its deadline.
+func (w *world) drain() { w.runTo(w.now.Add(bulkDeadline)) }
 
 func (w *world) build(policy Policy, seed uint64) {
 	for i := range w.scenario.Nodes {
@@ -111,17 +111,17 @@
 			domain: w.domains[i%len(w.domains)],
 			board:  blackboard.New(),
 		}
-		n.equip(policy, seed*100+uint64(i)+1)
+		n.setRouter(policy, seed*100+uint64(i)+1)
 		w.nodes = append(w.nodes, n)
 	}
-	w.introduce()
+	w.registerMembers()
 	for i := range w.scenario.Replicas {
-		w.addMachine(w.domains[i%len(w.domains)], i < w.scenario.Slow)
+		w.addReplica(w.domains[i%len(w.domains)], i < w.scenario.SlowReplicas)
 	}
 }
 
-// introduce makes every node known to every other.
-func (w *world) introduce() {
+// registerMembers adds all nodes to the member list of every node.
+func (w *world) registerMembers() {
 	for _, n := range w.nodes {
 		for _, other := range w.nodes {
 			n.board.Members.Update(other.name, func(m *blackboard.Member) bool {
@@ -132,17 +132,17 @@
 	}
 }
 
-// addMachine starts a replica that every node learns of at once.
-func (w *world) addMachine(domain string, isSlow bool) {
+// addReplica starts a replica and adds it to all nodes immediately.
+func (w *world) addReplica(domain string, isSlow bool) {
 	speed, class := fast, "fast"
 	if isSlow {
 		speed, class = slow, "slow"
 	}
-	m := &machine{
+	r := &replica{
 		world: w,
 		speed: speed,
 		instance: zinniamast.Instance{
-			ID:            fmt.Sprintf("engine-%03d", w.built),
+			ID:            fmt.Sprintf("engine-%03d", w.replicasStarted),
 			FailureDomain: domain,
 			Class:         class,
 			Market:        zinniamast.Reclaimable,
@@ -152,39 +152,39 @@
 		cache:   newBlockCache(speed.CacheTokens, w.Now),
 		started: w.now,
 	}
-	w.built++
-	w.machines = append(w.machines, m)
-	w.byID[m.instance.ID] = m
+	w.replicasStarted++
+	w.replicas = append(w.replicas, r)
+	w.replicasByID[r.instance.ID] = r
 	for _, n := range w.nodes {
 		n.board.Upstreams.Add(&blackboard.Upstream{
-			Instance: m.instance,
-			Engine:   m,
+			Instance: r.instance,
+			Engine:   r,
 		})
-		if n.ours != nil {
-			n.ours.SetPrices([]zinniamast.Offer{{
+		if n.routingRouter != nil {
+			n.routingRouter.SetPrices([]zinniamast.Offer{{
 				FailureDomain: domain,
 				Class:         class,
 				Market:        zinniamast.Reclaimable,
-				Price:         speed.Price,
+				Price:         speed.PricePerHour,
 			}})
 		}
 	}
 }
 
-// arrive lets a node decide about a new request.
-func (w *world) arrive(n *node, q *tracked) {
+// arrive admits a new request at a node, if its limiter allows, and dispatches it.
+func (w *world) arrive(n *node, q *request) {
 	w.requests = append(w.requests, q)
 	if n.limiter != nil {
 		_, err := n.limiter.Admit(zinniamast.Admission{
 			Organisation: q.organisation,
 			Service:      service,
 			Priority:     q.class,
-			PromptTokens: q.prompt,
-			MaxTokens:    q.answer,
+			PromptTokens: q.promptTokens,
+			MaxTokens:    q.answerTokens,
 			Deadline:     q.arrived.Add(q.kind.Deadline),
 		})
 		if err != nil {
-			q.refused = string(zinniamast.AsRefusal(err).Reason)
+			q.refusal = string(zinniamast.AsRefusal(err).Reason)
 			return
 		}
 	}
@@ -192,8 +192,9 @@
 	w.dispatch(n, q)
 }
 
-// dispatch sends a request where the policy says, or keeps it at the node.
-func (w *world) dispatch(n *node, q *tracked) {
+// dispatch sends a request to the replica that the policy chooses, or queues it
+// at the node if the policy chooses none.
+func (w *world) dispatch(n *node, q *request) {
 	if q.expired {
 		return
 	}
@@ -202,67 +203,67 @@
 		Service:             service,
 		Organisation:        q.organisation,
 		Priority:            q.class,
-		PromptTokens:        q.prompt,
+		PromptTokens:        q.promptTokens,
 		Produced:            q.produced,
-		MaxTokens:           4 * q.kind.Answer,
+		MaxTokens:           4 * q.kind.AnswerTokens,
 		Prefix:              q.hashes,
 		Deadline:            q.arrived.Add(q.kind.Deadline),
-		FirstTokenTarget:    firstTarget,
-		BetweenTokensTarget: betweenTarget,
+		FirstTokenTarget:    firstTokenTarget,
+		BetweenTokensTarget: betweenTokensTarget,
 		Avoid:               q.avoid,
 	})
 	if err != nil {
-		w.keep(n, q)
+		w.enqueue(n, q)
 		return
 	}
-	m := w.byID[choice.Upstream]
+	r := w.replicasByID[choice.Upstream]
 	w.attempts++
 	q.attempts++
 	j := &job{
-		request: q,
-		attempt: fmt.Sprint(w.attempts),
-		node:    n,
-		machine: m,
-		sent:    w.now,
+		request:   q,
+		attemptID: fmt.Sprint(w.attempts),
+		node:      n,
+		replica:   r,
+		sent:      w.now,
 	}
 	q.job = j
 	n.router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
-		Attempt:      j.attempt,
+		Attempt:      j.attemptID,
 		Upstream:     choice.Upstream,
 		Priority:     q.class,
-		PromptTokens: q.prompt + q.produced,
+		PromptTokens: q.promptTokens + q.produced,
 		Prefix:       q.hashes,
 	})
-	w.after(link, func() { w.deliver(j) })
+	w.after(networkDelay, func() { w.deliver(j) })
 }
 
-// deliver brings a job to its machine, if that still takes it.
+// deliver submits a job to its replica, or fails it if the replica is leaving or removed.
 func (w *world) deliver(j *job) {
 	if j.ended {
 		return
 	}
-	if j.machine.gone || j.machine.leaving {
+	if j.replica.removed || j.replica.leaving {
 		w.fail(j, zinniamast.FailureRefused)
 		return
 	}
-	j.machine.submit(j)
+	j.replica.submit(j)
 }
 
-// keep holds a request that found no replica, and tries again soon.
-func (w *world) keep(n *node, q *tracked) {
+// enqueue queues a request that found no replica and schedules a retry.
+func (w *world) enqueue(n *node, q *request) {
 	n.pending = append(n.pending, q)
-	if n.waking {
+	if n.retryScheduled {
 		return
 	}
-	n.waking = true
-	w.after(retryPause, func() {
-		n.waking = false
+	n.retryScheduled = true
+	w.after(retryDelay, func() {
+		n.retryScheduled = false
 		w.dispatchPending(n)
 	})
 }
 
-// dispatchPending tries requests that waited at the node, the oldest first,
+// dispatchPending dispatches the requests queued at the node, the oldest first,
 // until one finds no replica.
 func (w *world) dispatchPending(n *node) {
 	pending := n.pending
@@ -276,8 +277,8 @@
 	}
 }
 
-// expire gives a request up at its deadline.
-func (w *world) expire(q *tracked) {
+// expire cancels a request at its deadline.
+func (w *world) expire(q *request) {
 	q.expired = true
 	if j := q.job; j != nil && !j.ended {
 		j.ended = true
@@ -285,16 +286,17 @@
 	}
 }
 
-// computed counts what a job makes the machine compute.
-func (w *world) computed(j *job) {
+// countComputed counts the tokens that a job makes its replica compute, and
+// those of them that were computed before.
+func (w *world) countComputed(j *job) {
 	q := j.request
-	q.computed += j.left
+	q.computed += j.remaining
 	known := 0
 	for i, hash := range q.hashes {
-		if w.seen[hash] {
+		if w.computedPrefixes[hash] {
 			known = i + 1
 		}
-		w.seen[hash] = true
+		w.computedPrefixes[hash] = true
 	}
 	if known > 0 {
 		q.recomputed += max(0, tokensOf(known)-j.cached)
@@ -302,19 +304,19 @@
 	q.recomputed += q.produced
 }
 
-func (w *world) firstToken(j *job) {
-	w.after(link, func() {
+func (w *world) observeFirstToken(j *job) {
+	w.after(networkDelay, func() {
 		j.node.router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedFirstToken,
-			Attempt:  j.attempt,
-			Upstream: j.machine.instance.ID,
+			Attempt:  j.attemptID,
+			Upstream: j.replica.instance.ID,
 		})
 	})
 }
 
 func (w *world) finish(j *job) {
 	j.ended = true
-	w.after(link, func() {
+	w.after(networkDelay, func() {
 		w.observeEnd(j, "")
 		w.dispatchPending(j.node)
 	})
@@ -323,27 +325,28 @@
 func (w *world) observeEnd(j *job, failure zinniamast.Failure) {
 	j.node.router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedEnd,
-		Attempt:      j.attempt,
-		Upstream:     j.machine.instance.ID,
-		PromptTokens: j.request.prompt,
+		Attempt:      j.attemptID,
+		Upstream:     j.replica.instance.ID,
+		PromptTokens: j.request.promptTokens,
 		CachedTokens: j.cached,
 		Tokens:       j.emitted,
 		Failure:      failure,
 	})
 }
 
-// fail ends an attempt and sends the request elsewhere, from the tokens it has.
+// fail ends an attempt and dispatches the request to another replica, which
+// resumes after the tokens already produced.
 func (w *world) fail(j *job, failure zinniamast.Failure) {
 	j.ended = true
 	w.observeEnd(j, failure)
-	j.request.avoid = append(j.request.avoid, j.machine.instance.ID)
+	j.request.avoid = append(j.request.avoid, j.replica.instance.ID)
 	w.dispatch(j.node, j.request)
 }
 
-func (w *world) takeReports() {
-	for _, m := range w.machines {
-		if !m.gone {
-			m.report(w.now)
+func (w *world) recordLoads() {
+	for _, r := range w.replicas {
+		if !r.removed {
+			r.recordLoad(w.now)
 		}
 	}
 }
