--- a/capacitypage/cluster_test.go
+++ b/capacitypage/cluster_test.go
@@ -27,55 +27,56 @@
 )
 
 const (
-	peerKey = "0123456789abcdef0123456789abcdef"
-	settled = 3 * time.Second
-	window  = 8 * time.Second
-	// patience bounds the wait until all know each other and the fleet.
-	patience = 40 * time.Second
-	// domains is how many failure domains the listed upstreams stand in.
-	domains = 14
+	peerKey       = "0123456789abcdef0123456789abcdef"
+	settleTime    = 3 * time.Second
+	measureWindow = 8 * time.Second
+	// readyTimeout bounds the wait until all nodes have discovered each other and the
+	// fleet.
+	readyTimeout = 40 * time.Second
+	// failureDomains is the number of failure domains of the listed upstreams.
+	failureDomains = 14
 )
 
-// counted counts the bytes of all connections to one listener, both ways.
-type counted struct {
+// countingListener counts the bytes of all its connections in both directions.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (c *counted) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{
+	return &countingConn{
 		Conn: conn,
 		sum:  &c.bytes,
 	}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	sum *atomic.Int64
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.sum.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sum.Add(int64(n))
 	return n, err
 }
 
-// serve starts a counted listener.
-func serve(b *testing.B, handler http.Handler) (string, *counted) {
+// serveCounted starts a server behind a counting listener and returns its URL.
+func serveCounted(b *testing.B, handler http.Handler) (string, *countingListener) {
 	b.Helper()
 	server := httptest.NewUnstartedServer(handler)
-	c := &counted{
+	c := &countingListener{
 		Listener: server.Listener,
 	}
 	server.Listener = c
@@ -84,19 +85,19 @@
 	return server.URL, c
 }
 
-// rig is some nodes at rest before a listed fleet.
-type rig struct {
-	nodes []*node.Node
-	list  *counted
-	cloud *counted
-	// reports are the engines' answers, one listener for all.
-	reports *counted
-	asked   atomic.Int64
-	read    atomic.Int64
+// testCluster is a number of idle nodes with a fleet in the instance list.
+type testCluster struct {
+	nodes         []*node.Node
+	listListener  *countingListener
+	cloudListener *countingListener
+	// engineListener serves the requests to all engines.
+	engineListener *countingListener
+	engineRequests atomic.Int64
+	listReads      atomic.Int64
 }
 
-func (r *rig) engine(w http.ResponseWriter, q *http.Request) {
-	r.asked.Add(1)
+func (c *testCluster) engine(w http.ResponseWriter, q *http.Request) {
+	c.engineRequests.Add(1)
 	w.Header().Set("Content-Type", "application/json")
 	if q.URL.Path == "/cache_events" {
 		fmt.Fprint(w, `[]`)
@@ -108,14 +109,14 @@
 	})
 }
 
-// listing is the list as the platform would send it, packed once so that the
-// stand-in costs next to nothing.
-func listing(engines string, upstreams int) []byte {
+// compressedInstanceList returns the instance list as the platform sends it. It
+// is compressed once, so that the stand-in uses little processor time.
+func compressedInstanceList(engines string, upstreams int) []byte {
 	instances := make([]zinniamast.Instance, upstreams)
 	for i := range instances {
 		instances[i] = zinniamast.Instance{
 			ID:            fmt.Sprintf("i-%06d", i),
-			FailureDomain: fmt.Sprintf("domain-%02d", i%domains),
+			FailureDomain: fmt.Sprintf("domain-%02d", i%failureDomains),
 			Class:         "g1",
 			Market:        zinniamast.Reclaimable,
 			Role:          "engine",
@@ -131,19 +132,19 @@
 	return packed.Bytes()
 }
 
-func newRig(b *testing.B, nodes, upstreams int) *rig {
+func newTestCluster(b *testing.B, nodes, upstreams int) *testCluster {
 	b.Helper()
-	r := &rig{}
+	c := &testCluster{}
 	var engines, lists, clouds string
-	engines, r.reports = serve(b, http.HandlerFunc(r.engine))
-	packed := listing(engines, upstreams)
-	lists, r.list = serve(b, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		r.read.Add(1)
+	engines, c.engineListener = serveCounted(b, http.HandlerFunc(c.engine))
+	packed := compressedInstanceList(engines, upstreams)
+	lists, c.listListener = serveCounted(b, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		c.listReads.Add(1)
 		w.Header().Set("Content-Encoding", "gzip")
 		_, _ = w.Write(packed)
 	}))
 	p := platform.New(platform.Config{})
-	clouds, r.cloud = serve(b, p)
+	clouds, c.cloudListener = serveCounted(b, p)
 	var peers []string
 	for i := range nodes {
 		api := platformapi.New(platformapi.Config{
@@ -188,43 +189,43 @@
 			cancel()
 			<-done
 		})
-		r.nodes = append(r.nodes, n)
+		c.nodes = append(c.nodes, n)
 	}
-	r.configure(b)
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline) && !r.whole(upstreams); {
+	c.configure(b)
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline) && !c.isReady(upstreams); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	if !r.whole(upstreams) {
-		b.Fatal("nodes do not know each other or the fleet")
+	if !c.isReady(upstreams) {
+		b.Fatal("nodes did not discover each other or the fleet in time")
 	}
-	time.Sleep(settled)
-	return r
+	time.Sleep(settleTime)
+	return c
 }
 
-func (r *rig) configure(b *testing.B) {
+func (c *testCluster) configure(b *testing.B) {
 	b.Helper()
 	hash := sha256.Sum256([]byte("key"))
 	raw := fmt.Appendf(nil, `{"defaults": {}, "organisations": [{"name": "north", "key_hashes": ["%s"]}],
 		"models": [{"name": "summary"}], "services": []}`, hex.EncodeToString(hash[:]))
-	r.nodes[0].PutConfiguration(b.Context(), raw, "bench", "bench")
+	c.nodes[0].PutConfiguration(b.Context(), raw, "bench", "bench")
 }
 
-func (r *rig) whole(upstreams int) bool {
-	for _, n := range r.nodes {
+func (c *testCluster) isReady(upstreams int) bool {
+	for _, n := range c.nodes {
 		domain := 0
 		for _, m := range n.Board().Members.All() {
 			if m.Heard.IsZero() || !m.Dead {
 				domain++
 			}
 		}
-		if len(n.Board().Upstreams.All()) != upstreams || domain < min(len(r.nodes), (len(r.nodes)+2)/3) {
+		if len(n.Board().Upstreams.All()) != upstreams || domain < min(len(c.nodes), (len(c.nodes)+2)/3) {
 			return false
 		}
 	}
 	return true
 }
 
-// processorTime returns what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -233,8 +234,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heap returns the bytes in use after a collection.
-func heap() int64 {
+// heapBytes returns the heap bytes in use after a garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/capacitypage/doc.go
+++ b/capacitypage/doc.go
@@ -1,4 +1,5 @@
-// Package capacitypage measures the slopes that docs/CAPACITY.md is worked out
-// from and that no single package can measure: whole nodes over loopback, with
-// a small or a large fleet listed. It has benchmarks only.
+// Package capacitypage measures the growth rates from which docs/CAPACITY.md is
+// calculated and which no single package can measure. It runs whole nodes over
+// loopback, with a small or a large fleet in the instance list, and contains
+// only benchmarks.
 package capacitypage
--- a/capacitypage/node_test.go
+++ b/capacitypage/node_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// BenchmarkIdleNode measures what a whole node costs while no caller asks
-// anything: the slopes over nodes and over listed upstreams. The stand-ins'
-// cost and the platform's side of each call are in it. Run it with
-// -benchtime 1x; one case takes about twelve seconds.
+// BenchmarkIdleNode measures the resources that a whole node uses without
+// requests, for several numbers of nodes and of listed upstreams. The figures
+// include the cost of the stand-ins and the platform's side of each call. Run it
+// with -benchtime 1x; one case takes about twelve seconds.
 func BenchmarkIdleNode(b *testing.B) {
 	cases := []struct{ nodes, upstreams int }{
 		{nodes: 3, upstreams: 10},
@@ -22,25 +22,25 @@
 	}
 	for _, c := range cases {
 		b.Run(fmt.Sprintf("nodes=%d/upstreams=%d", c.nodes, c.upstreams), func(b *testing.B) {
-			empty := heap()
-			r := newRig(b, c.nodes, c.upstreams)
+			baseHeap := heapBytes()
+			cluster := newTestCluster(b, c.nodes, c.upstreams)
 			for b.Loop() {
-				r.measure(b, empty)
+				cluster.measure(b, baseHeap)
 			}
 		})
 	}
 }
 
-func (r *rig) measure(b *testing.B, empty int64) {
-	list, cloud, reports := r.list.bytes.Load(), r.cloud.bytes.Load(), r.reports.bytes.Load()
-	asked, read, spent := r.asked.Load(), r.read.Load(), processorTime()
-	time.Sleep(window)
-	share := window.Seconds() * float64(len(r.nodes))
-	b.ReportMetric(100*(processorTime()-spent).Seconds()/share, "core-%/node")
-	b.ReportMetric(float64(r.list.bytes.Load()-list)/share, "list-B/s/node")
-	b.ReportMetric(float64(r.read.Load()-read)/window.Seconds(), "list-reads/s")
-	b.ReportMetric(float64(r.cloud.bytes.Load()-cloud)/share, "cloud-B/s/node")
-	b.ReportMetric(float64(r.reports.bytes.Load()-reports)/window.Seconds(), "report-B/s")
-	b.ReportMetric(float64(r.asked.Load()-asked)/window.Seconds(), "reports/s")
-	b.ReportMetric(float64(heap()-empty)/float64(len(r.nodes))/(1<<20), "heap-MiB/node")
+func (c *testCluster) measure(b *testing.B, baseHeap int64) {
+	list, cloud, reports := c.listListener.bytes.Load(), c.cloudListener.bytes.Load(), c.engineListener.bytes.Load()
+	requests, reads, used := c.engineRequests.Load(), c.listReads.Load(), processorTime()
+	time.Sleep(measureWindow)
+	nodeSeconds := measureWindow.Seconds() * float64(len(c.nodes))
+	b.ReportMetric(100*(processorTime()-used).Seconds()/nodeSeconds, "core-%/node")
+	b.ReportMetric(float64(c.listListener.bytes.Load()-list)/nodeSeconds, "list-B/s/node")
+	b.ReportMetric(float64(c.listReads.Load()-reads)/measureWindow.Seconds(), "list-reads/s")
+	b.ReportMetric(float64(c.cloudListener.bytes.Load()-cloud)/nodeSeconds, "cloud-B/s/node")
+	b.ReportMetric(float64(c.engineListener.bytes.Load()-reports)/measureWindow.Seconds(), "report-B/s")
+	b.ReportMetric(float64(c.engineRequests.Load()-requests)/measureWindow.Seconds(), "reports/s")
+	b.ReportMetric(float64(heapBytes()-baseHeap)/float64(len(c.nodes))/(1<<20), "heap-MiB/node")
 }
--- a/capacitypage/poll_test.go
+++ b/capacitypage/poll_test.go
@@ -11,11 +11,11 @@
 	standin "zinniamast/standin/engine"
 )
 
-// BenchmarkPoll measures the bytes of one poll of an engine as routing makes
-// it, a load report and the cache events since the last one, and the bytes of
-// one event, HTTP included.
+// BenchmarkPoll measures the bytes, including HTTP, of one poll of an engine and
+// of one cache event. A poll, as package routing makes it, reads a load report and
+// the cache events since the previous poll.
 func BenchmarkPoll(b *testing.B) {
-	url, wire := serve(b, standin.New(standin.Config{}))
+	url, wire := serveCounted(b, standin.New(standin.Config{}))
 	client := engine.New(engine.Config{
 		ID:        "engine-0",
 		Address:   url,
@@ -36,7 +36,7 @@
 	}
 	events, err := client.CacheEvents(b.Context(), 0)
 	if err != nil || len(events) == 0 {
-		b.Fatal("no cache events", err)
+		b.Fatal("engine returned no cache events", err)
 	}
 	last := events[len(events)-1].Sequence
 	poll := func(after uint64) int64 {
--- a/capacitypage/size_test.go
+++ b/capacitypage/size_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// BenchmarkListSize reports the size of a list of 5,700 entries, as it is and
-// compressed. Real IDs and addresses vary more than these and pack less well.
+// BenchmarkListSize reports the size of a list of 5,700 entries, plain and
+// compressed. Real IDs and addresses vary more than these and compress less well.
 func BenchmarkListSize(b *testing.B) {
 	for b.Loop() {
-		packed := listing("http://10.20.30.40:8000", 5700)
+		packed := compressedInstanceList("http://10.20.30.40:8000", 5700)
 		unpacked, err := gzip.NewReader(bytes.NewReader(packed))
 		if err != nil {
 			b.Fatal(err)
@@ -29,8 +29,8 @@
 }
 
 // BenchmarkConfigurationSize reports the size of a configuration of 500
-// organisations with a key each, as it is and as rollout packs it. Hashes of
-// keys hardly pack, so they decide what a push costs.
+// organisations with a key each, plain and compressed as in package rollout. Key
+// hashes hardly compress, so they dominate the cost of a push.
 func BenchmarkConfigurationSize(b *testing.B) {
 	for b.Loop() {
 		organisations := make([]string, 500)
--- a/capacitypage/stream_test.go
+++ b/capacitypage/stream_test.go
@@ -17,9 +17,9 @@
 
 const openStreams = 200
 
-// BenchmarkOpenStream measures what a node holds for one open stream beside
-// its prompt: the heap and stacks of streams through the node less those of
-// the same streams directly at the engine. Run it with -benchtime 1x.
+// BenchmarkOpenStream measures the memory that a node uses for one open stream in
+// addition to its prompt: the heap and stacks of streams through the node minus
+// those of the same streams directly to the engine. Run it with -benchtime 1x.
 func BenchmarkOpenStream(b *testing.B) {
 	for _, prompt := range []int{200, 120_000} {
 		b.Run(fmt.Sprintf("prompt=%d", prompt), func(b *testing.B) {
@@ -36,21 +36,21 @@
 			}
 			b.Cleanup(d.Stop)
 			for b.Loop() {
-				direct := held(b, d.StandinURLs()[0], prompt)
-				through := held(b, d.URL(), prompt)
+				direct := openStreamBytes(b, d.StandinURLs()[0], prompt)
+				through := openStreamBytes(b, d.URL(), prompt)
 				b.ReportMetric(float64(through-direct)/openStreams/1024, "KiB/stream")
 			}
 		})
 	}
 }
 
-// held returns what the process holds more while streams are open.
-func held(b *testing.B, base string, prompt int) int64 {
+// openStreamBytes returns the additional memory of the process while streams are open.
+func openStreamBytes(b *testing.B, base string, prompt int) int64 {
 	b.Helper()
 	client := &http.Client{
 		Transport: &http.Transport{},
 	}
-	before := memory()
+	before := heapAndStackBytes()
 	var open []io.Closer
 	for i := range openStreams {
 		body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":100000,"messages":[{"role":"user","content":"%d %s"}]}`,
@@ -70,7 +70,7 @@
 			b.Fatal(response.StatusCode, line, err)
 		}
 	}
-	after := memory()
+	after := heapAndStackBytes()
 	for _, each := range open {
 		each.Close()
 	}
@@ -79,9 +79,9 @@
 	return after - before
 }
 
-// memory returns heap and stacks in use after a collection.
-func memory() int64 {
-	sum := heap()
+// heapAndStackBytes returns the heap and stack bytes in use after a garbage collection.
+func heapAndStackBytes() int64 {
+	sum := heapBytes()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return sum + int64(stats.StackInuse)
