--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -25,7 +25,7 @@
 // figure in docs/MEASURES.md.
 func TestRoutingBounds(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short runs look for data races, and the experiment runs in one goroutine")
+		t.Skip("short runs look for data races; the experiment in virtual time has none")
 	}
 	for _, bound := range []struct {
 		scenario   string
@@ -124,7 +124,7 @@
 // and the first tokens of quick requests are late.
 func TestFloodOfLongRequestsKeepsQuickFirstTokens(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short runs look for data races, and the experiment runs in one goroutine")
+		t.Skip("short runs look for data races; the experiment in virtual time has none")
 	}
 	is := is.New(t)
 	flooded := scenario(t, "bulk_flood")
