--- a/command/experiment.go
+++ b/command/experiment.go
@@ -31,7 +31,7 @@
 		fmt.Fprintln(errOut, "zinniamast experiment:", err)
 		return exitUsage
 	}
-	err = experiment.Write(out, chosen, compared, *seed)
+	err = experiment.WriteOutcomes(out, chosen, compared, *seed)
 	if err == nil && *cheapest {
 		fmt.Fprintln(out)
 		err = experiment.WriteCheapest(out, chosen, compared, *seed)
--- a/command/load.go
+++ b/command/load.go
@@ -88,7 +88,7 @@
 		Standins: splitList(*standins),
 		Keys:     splitList(*keys),
 		Rate:     *rate,
-		For:      *duration,
+		Duration: *duration,
 		Seed:     *seed,
 		Mix:      weights,
 		Model:    *model,
--- a/experiment/table.go
+++ b/experiment/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Write runs every policy on every scenario and writes a table in Markdown.
-func Write(out io.Writer, scenarios []Scenario, policies []Policy, seed uint64) error {
+// WriteOutcomes runs every policy on every scenario and writes a table in Markdown.
+func WriteOutcomes(out io.Writer, scenarios []Scenario, policies []Policy, seed uint64) error {
 	table := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(table, "| scenario\t| policy\t| replicas\t| requests\t| on time %\t| cost per 1,000 on time\t| computed tokens\t| recomputed tokens\t| quick p95 first token ms\t| between tokens p95 ms\t| attempts\t| refused %\t| worst organisation %\t| news bytes/s\t|")
 	fmt.Fprintln(table, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
--- a/load/config.go
+++ b/load/config.go
@@ -19,8 +19,8 @@
 	Keys []string
 	// Rate is the number of requests started per second.
 	Rate float64
-	// For is how long requests are started.
-	For time.Duration
+	// Duration is how long requests are started.
+	Duration time.Duration
 	// Seed determines the traffic.
 	Seed uint64
 	// Mix holds the weights of the kinds of traffic.
@@ -35,9 +35,9 @@
 	// Answer returns the complete answer of a model; nil means that of the
 	// stand-in engine.
 	Answer func(messages []byte, maxTokens int) string
-	// Patience is how long a caller waits for the next bytes of a try before it
+	// IdleTimeout is how long a caller waits for the next bytes of a try before it
 	// cancels the try and retries on another node.
-	Patience time.Duration
+	IdleTimeout time.Duration
 	// InFlight bounds the in-flight requests; further ones are delayed.
 	InFlight int
 }
@@ -51,12 +51,12 @@
 
 // Defaults for fields left zero.
 const (
-	defaultDeadline = 30 * time.Second
-	defaultMargin   = 2 * time.Second
-	defaultPatience = 10 * time.Second
-	defaultInFlight = 512
-	defaultModel    = "contract-summary"
-	defaultService  = "booking"
+	defaultDeadline    = 30 * time.Second
+	defaultMargin      = 2 * time.Second
+	defaultIdleTimeout = 10 * time.Second
+	defaultInFlight    = 512
+	defaultModel       = "contract-summary"
+	defaultService     = "booking"
 )
 
 // withDefaults sets the zero fields to their defaults and checks the result.
@@ -67,8 +67,8 @@
 	if c.Margin == 0 {
 		c.Margin = defaultMargin
 	}
-	if c.Patience == 0 {
-		c.Patience = defaultPatience
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
 	if c.InFlight == 0 {
 		c.InFlight = defaultInFlight
@@ -109,8 +109,8 @@
 	if c.Rate <= 0 || c.Rate > maxRate {
 		return fmt.Errorf("load: rate %v is not above 0 and up to %d a second", c.Rate, maxRate)
 	}
-	if c.For <= 0 || c.For > maxFor {
-		return fmt.Errorf("load: time %v is not above 0 and up to %v", c.For, maxFor)
+	if c.Duration <= 0 || c.Duration > maxFor {
+		return fmt.Errorf("load: time %v is not above 0 and up to %v", c.Duration, maxFor)
 	}
 	if c.InFlight < 1 || c.InFlight > maxInFlight {
 		return fmt.Errorf("load: %d in flight is not between 1 and %d", c.InFlight, maxInFlight)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -26,17 +26,17 @@
 	weights, err := load.ParseMix(mix)
 	is.NoErr(err)
 	report, err := load.Run(context.Background(), load.Config{
-		Targets:  []string{server.URL},
-		Standins: []string{server.URL},
-		Keys:     []string{"one", "two"},
-		Rate:     60,
-		For:      300 * time.Millisecond,
-		Seed:     7,
-		Mix:      weights,
-		Deadline: 3 * time.Second,
-		Margin:   time.Second,
-		Patience: 300 * time.Millisecond,
-		Answer:   fakeAnswer,
+		Targets:     []string{server.URL},
+		Standins:    []string{server.URL},
+		Keys:        []string{"one", "two"},
+		Rate:        60,
+		Duration:    300 * time.Millisecond,
+		Seed:        7,
+		Mix:         weights,
+		Deadline:    3 * time.Second,
+		Margin:      time.Second,
+		IdleTimeout: 300 * time.Millisecond,
+		Answer:      fakeAnswer,
 	})
 	is.NoErr(err)
 	return report
@@ -163,7 +163,7 @@
 		Targets:  []string{"http://127.0.0.1:1"},
 		Keys:     []string{"one"},
 		Rate:     20,
-		For:      200 * time.Millisecond,
+		Duration: 200 * time.Millisecond,
 		Deadline: 200 * time.Millisecond,
 		Margin:   100 * time.Millisecond,
 		Answer:   fakeAnswer,
--- a/load/run.go
+++ b/load/run.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	transport, err := newBalancer(c.Targets, c.InFlight, c.Patience)
+	transport, err := newBalancer(c.Targets, c.InFlight, c.IdleTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 func (r *runner) drive(ctx context.Context) error {
 	plan := newPlanner(r.config)
 	slots := make(chan struct{}, r.config.InFlight)
-	total := int(r.config.Rate * r.config.For.Seconds())
+	total := int(r.config.Rate * r.config.Duration.Seconds())
 	begin := time.Now()
 	var callers sync.WaitGroup
 	defer callers.Wait()
--- a/processtest/external_test.go
+++ b/processtest/external_test.go
@@ -22,14 +22,14 @@
 func TestPlatformOutage(t *testing.T) {
 	fleet := startFleet(t, processtest.FleetConfig{})
 	modelRun := fleet.StartLoad(load.Config{
-		Rate: 25,
-		For:  4 * time.Second,
-		Seed: 6,
-		Mix:  modelMix,
+		Rate:     25,
+		Duration: 4 * time.Second,
+		Seed:     6,
+		Mix:      modelMix,
 	})
 	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     25,
-		For:      4 * time.Second,
+		Duration: 4 * time.Second,
 		Seed:     7,
 		Mix:      serviceMix,
 		Deadline: 10 * time.Second,
@@ -53,16 +53,16 @@
 func TestUpstreamsReclaimed(t *testing.T) {
 	fleet := startFleet(t, processtest.FleetConfig{})
 	modelRun := fleet.StartLoad(load.Config{
-		Rate: 25,
-		For:  5 * time.Second,
-		Seed: 8,
-		Mix:  modelMix,
+		Rate:     25,
+		Duration: 5 * time.Second,
+		Seed:     8,
+		Mix:      modelMix,
 	})
 	serviceRun := fleet.StartLoad(load.Config{
-		Rate: 15,
-		For:  5 * time.Second,
-		Seed: 9,
-		Mix:  serviceMix,
+		Rate:     15,
+		Duration: 5 * time.Second,
+		Seed:     9,
+		Mix:      serviceMix,
 	})
 	time.Sleep(500 * time.Millisecond)
 	fleet.Reclaim(fleet.Upstreams[0], 2*time.Second)
@@ -78,10 +78,10 @@
 func TestEngineFailureWithoutNotice(t *testing.T) {
 	fleet := startFleet(t, processtest.FleetConfig{})
 	loadRun := fleet.StartLoad(load.Config{
-		Rate: 25,
-		For:  3 * time.Second,
-		Seed: 10,
-		Mix:  modelMix,
+		Rate:     25,
+		Duration: 3 * time.Second,
+		Seed:     10,
+		Mix:      modelMix,
 	})
 	time.Sleep(time.Second)
 	for _, u := range fleet.Upstreams {
--- a/processtest/keys_test.go
+++ b/processtest/keys_test.go
@@ -44,7 +44,7 @@
 	}
 	loadRun := fleet.StartLoad(load.Config{
 		Rate:     15,
-		For:      12 * time.Second,
+		Duration: 12 * time.Second,
 		Seed:     21,
 		Deadline: 30 * time.Second,
 		Mix: load.Mix{
--- a/processtest/links_test.go
+++ b/processtest/links_test.go
@@ -22,14 +22,14 @@
 func TestSlowLinks(t *testing.T) {
 	fleet := startFleet(t, processtest.FleetConfig{})
 	modelRun := fleet.StartLoad(load.Config{
-		Rate: 20,
-		For:  3 * time.Second,
-		Seed: 12,
-		Mix:  modelMix,
+		Rate:     20,
+		Duration: 3 * time.Second,
+		Seed:     12,
+		Mix:      modelMix,
 	})
 	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     15,
-		For:      3 * time.Second,
+		Duration: 3 * time.Second,
 		Seed:     13,
 		Mix:      serviceMix,
 		Deadline: 10 * time.Second,
--- a/processtest/load.go
+++ b/processtest/load.go
@@ -52,8 +52,8 @@
 	c.Keys = []string{Key}
 	c.Model = Model
 	c.Service = Service
-	if c.Patience == 0 {
-		c.Patience = 2 * time.Second
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = 2 * time.Second
 	}
 	if c.Deadline == 0 {
 		c.Deadline = 20 * time.Second
--- a/processtest/nodes_test.go
+++ b/processtest/nodes_test.go
@@ -20,9 +20,9 @@
 func TestGracefulStop(t *testing.T) {
 	fleet := startFleet(t, processtest.FleetConfig{})
 	loadRun := fleet.StartLoad(load.Config{
-		Rate: 30,
-		For:  3 * time.Second,
-		Seed: 1,
+		Rate:     30,
+		Duration: 3 * time.Second,
+		Seed:     1,
 	})
 	time.Sleep(time.Second)
 	fleet.Nodes[0].Terminate()
@@ -57,10 +57,10 @@
 		},
 	})
 	loadRun := fleet.StartLoad(load.Config{
-		Rate: 20,
-		For:  1500 * time.Millisecond,
-		Seed: 2,
-		Mix:  load.Mix{checker.KindSummary: 1},
+		Rate:     20,
+		Duration: 1500 * time.Millisecond,
+		Seed:     2,
+		Mix:      load.Mix{checker.KindSummary: 1},
 	})
 	time.Sleep(1500 * time.Millisecond)
 	fleet.Nodes[1].Terminate()
@@ -82,10 +82,10 @@
 		},
 	})
 	loadRun := fleet.StartLoad(load.Config{
-		Rate: 20,
-		For:  4 * time.Second,
-		Seed: 11,
-		Mix:  modelMix,
+		Rate:     20,
+		Duration: 4 * time.Second,
+		Seed:     11,
+		Mix:      modelMix,
 	})
 	time.Sleep(time.Second)
 	fleet.ReclaimNode(fleet.Nodes[0], 3*time.Second)
@@ -102,14 +102,14 @@
 		Work: 100 * time.Millisecond,
 	})
 	modelRun := fleet.StartLoad(load.Config{
-		Rate: 25,
-		For:  3 * time.Second,
-		Seed: 3,
-		Mix:  modelMix,
+		Rate:     25,
+		Duration: 3 * time.Second,
+		Seed:     3,
+		Mix:      modelMix,
 	})
 	serviceRun := fleet.StartLoad(load.Config{
 		Rate:     25,
-		For:      3 * time.Second,
+		Duration: 3 * time.Second,
 		Seed:     4,
 		Mix:      serviceMix,
 		Deadline: 8 * time.Second,
@@ -129,12 +129,12 @@
 		Work: 50 * time.Millisecond,
 	})
 	loadRun := fleet.StartLoad(load.Config{
-		Rate:     40,
-		For:      6 * time.Second,
-		Seed:     5,
-		Mix:      serviceMix,
-		Patience: time.Second,
-		Deadline: 15 * time.Second,
+		Rate:        40,
+		Duration:    6 * time.Second,
+		Seed:        5,
+		Mix:         serviceMix,
+		IdleTimeout: time.Second,
+		Deadline:    15 * time.Second,
 	})
 	time.Sleep(time.Second)
 	fleet.Nodes[0].Pause()
