--- a/attempt/move.go
+++ b/attempt/move.go
@@ -105,10 +105,10 @@
 
 // findTarget returns another replica that can accept a stream, or nil if there is none.
 func (r *Runner) findTarget(f *flight) *blackboard.Upstream {
-	need := *f.need
-	need.Produced, _, _ = f.request.Progress()
-	need.Avoid = append(slices.Clone(need.Avoid), f.upstream.Instance.ID)
-	choice, err := r.config.Router.Route(&need)
+	routeRequest := *f.routeRequest
+	routeRequest.Produced, _, _ = f.request.Progress()
+	routeRequest.Avoid = append(slices.Clone(routeRequest.Avoid), f.upstream.Instance.ID)
+	choice, err := r.config.Router.Route(&routeRequest)
 	if err != nil {
 		return nil
 	}
--- a/attempt/retry.go
+++ b/attempt/retry.go
@@ -151,9 +151,9 @@
 	if p.retries+1 >= p.policy.MaxAttempts {
 		return false
 	}
-	need := r.need(p, false)
-	need.Avoid = append(slices.Clone(need.Avoid), upstream.Instance.ID)
-	if _, err := r.config.Router.Route(need); err != nil {
+	routeRequest := r.routeRequest(p, false)
+	routeRequest.Avoid = append(slices.Clone(routeRequest.Avoid), upstream.Instance.ID)
+	if _, err := r.config.Router.Route(routeRequest); err != nil {
 		return false
 	}
 	return r.chargeRetry(p, p.retries+1, zinniamast.FailureTimeout) == nil
--- a/attempt/runner.go
+++ b/attempt/runner.go
@@ -57,8 +57,8 @@
 	request  *request.Request
 	upstream *blackboard.Upstream
 	attempt  string
-	// need is the routing request that is used when the attempt is moved.
-	need          *zinniamast.RouteRequest
+	// routeRequest is the routing request that is used when the attempt is moved.
+	routeRequest  *zinniamast.RouteRequest
 	started       time.Time
 	betweenTokens time.Duration
 	cancel        context.CancelCauseFunc
@@ -203,7 +203,7 @@
 		}
 		p.order = nil
 	}
-	choice, err := r.config.Router.Route(r.need(p, alone))
+	choice, err := r.config.Router.Route(r.routeRequest(p, alone))
 	if err != nil {
 		return nil, choice, err
 	}
@@ -214,7 +214,7 @@
 	return upstream, choice, nil
 }
 
-func (r *Runner) need(p *progress, alone bool) *zinniamast.RouteRequest {
+func (r *Runner) routeRequest(p *progress, alone bool) *zinniamast.RouteRequest {
 	call := &p.request.Call
 	produced, _, _ := p.request.Progress()
 	return &zinniamast.RouteRequest{
--- a/attempt/stream.go
+++ b/attempt/stream.go
@@ -30,7 +30,7 @@
 		request:       p.request,
 		upstream:      upstream,
 		attempt:       attempt,
-		need:          r.need(p, false),
+		routeRequest:  r.routeRequest(p, false),
 		started:       time.Now(),
 		betweenTokens: choice.BetweenTokens,
 		cancel:        stop,
@@ -90,7 +90,7 @@
 		Priority:     f.request.Call.Class.Priority(),
 		Upstream:     f.upstream.Instance.ID,
 		PromptTokens: f.request.Call.PromptTokens + f.tokensBefore,
-		Prefix:       f.need.Prefix,
+		Prefix:       f.routeRequest.Prefix,
 	})
 }
 
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -83,11 +83,11 @@
 }
 
 // Route implements zinniamast.Router.
-func (r fetchRouter) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+func (r fetchRouter) Route(request *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	if r.fixture.onRoute != nil {
 		r.fixture.onRoute()
 	}
-	choice, err := r.Router.Route(need)
+	choice, err := r.Router.Route(request)
 	choice.FetchFrom = r.fixture.fetchFrom
 	return choice, err
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// need returns what the router takes into account when it chooses a replica.
-func (h *Handler) need(c *call, avoid []string) *zinniamast.RouteRequest {
+// routeRequest returns what the router takes into account when it chooses a replica.
+func (h *Handler) routeRequest(c *call, avoid []string) *zinniamast.RouteRequest {
 	return &zinniamast.RouteRequest{
 		Request:             c.metadata.ID,
 		Service:             c.service,
@@ -97,7 +97,7 @@
 
 // choose asks the router for the next replica.
 func (h *Handler) choose(c *call) (*blackboard.Upstream, *zinniamast.Refusal) {
-	choice, err := h.config.Router.Route(h.need(c, h.avoided(c)))
+	choice, err := h.config.Router.Route(h.routeRequest(c, h.avoided(c)))
 	if err != nil {
 		return nil, zinniamast.AsRefusal(err)
 	}
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -56,7 +56,7 @@
 	if c.sends+1 >= c.route.MaxAttempts || c.arrivals+1 >= maxArrivals {
 		return false
 	}
-	choice, err := h.config.Router.Route(h.need(c, append(slices.Clone(h.avoided(c)), id)))
+	choice, err := h.config.Router.Route(h.routeRequest(c, append(slices.Clone(h.avoided(c)), id)))
 	if err != nil || choice.FirstToken > min(silenceTimeoutsOf(c).first, time.Until(c.deadline)) {
 		return false
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -44,7 +44,7 @@
 // Predictor forecasts the wait and completion time of a request that starts now.
 type Predictor interface {
 	// Forecast returns the forecast for the replica that routing would choose.
-	Forecast(need *zinniamast.RouteRequest) Forecast
+	Forecast(request *zinniamast.RouteRequest) Forecast
 }
 
 // Forecast is the predicted cost and timing of a request.
--- a/limits/share_test.go
+++ b/limits/share_test.go
@@ -28,9 +28,9 @@
 
 func (q *queue) Now() time.Time { return q.now }
 
-func (q *queue) Forecast(need *zinniamast.RouteRequest) limits.Forecast {
+func (q *queue) Forecast(request *zinniamast.RouteRequest) limits.Forecast {
 	ahead := 0.0
-	for priority := 0; priority <= need.Priority; priority++ {
+	for priority := 0; priority <= request.Priority; priority++ {
 		ahead += q.backlog[priority]
 	}
 	wait := time.Duration(ahead / q.capacity * float64(time.Second))
--- a/nearest/nearest.go
+++ b/nearest/nearest.go
@@ -58,17 +58,17 @@
 }
 
 // Route implements zinniamast.Router.
-func (r *Router) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+func (r *Router) Route(request *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	best, ejected := r.leastLoaded(need, now)
+	best, ejected := r.leastLoaded(request, now)
 	if best == nil {
 		best = ejected
 	}
 	if best == nil {
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
-			"no replica of %s takes work", need.Service).WithRetryAfter(noReplicaRetryAfter)
+			"no replica of %s takes work", request.Service).WithRetryAfter(noReplicaRetryAfter)
 	}
 	if h := r.health[best.Instance.ID]; h != nil && h.failures >= ejectAfterFailures {
 		// One request probes an ejected replica. Others avoid it until the probe succeeds
@@ -83,8 +83,8 @@
 // leastLoaded returns the least loaded replica and the least loaded ejected one.
 // The latter is used if there is no other, so that a service never becomes
 // unavailable because all of its replicas are ejected.
-func (r *Router) leastLoaded(need *zinniamast.RouteRequest, now time.Time) (best, ejected *blackboard.Upstream) {
-	all := r.config.Upstreams.Of(need.Service)
+func (r *Router) leastLoaded(request *zinniamast.RouteRequest, now time.Time) (best, ejected *blackboard.Upstream) {
+	all := r.config.Upstreams.Of(request.Service)
 	if len(all) == 0 {
 		return nil, nil
 	}
@@ -92,7 +92,7 @@
 	start := rand.IntN(len(all))
 	for i := range all {
 		u := all[(start+i)%len(all)]
-		if u.Leaving() || slices.Contains(need.Avoid, u.Instance.ID) {
+		if u.Leaving() || slices.Contains(request.Avoid, u.Instance.ID) {
 			continue
 		}
 		load := r.load(u)
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -59,7 +59,7 @@
 	return prefix.Hashes(nil, text)
 }
 
-func newNeed(now time.Time) *zinniamast.RouteRequest {
+func newRouteRequest(now time.Time) *zinniamast.RouteRequest {
 	return &zinniamast.RouteRequest{
 		Request:             "r1",
 		Service:             "assistant",
@@ -76,9 +76,9 @@
 }
 
 // warmUp gives the router some attempts in progress and some history.
-func warmUp(router *routing.Router, need *zinniamast.RouteRequest) {
+func warmUp(router *routing.Router, request *zinniamast.RouteRequest) {
 	for i := range 64 {
-		choice, err := router.Route(need)
+		choice, err := router.Route(request)
 		if err != nil {
 			panic(err)
 		}
@@ -118,11 +118,11 @@
 		for face, config := range interfaceConfigs(replicas) {
 			b.Run(fmt.Sprintf("face=%s/replicas=%d", face, replicas), func(b *testing.B) {
 				router := routing.New(config)
-				need := newNeed(time.Now())
-				warmUp(router, need)
+				request := newRouteRequest(time.Now())
+				warmUp(router, request)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := router.Route(need); err != nil {
+					if _, err := router.Route(request); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -143,14 +143,14 @@
 				Seed:          1,
 				Now:           func() time.Time { return now },
 			})
-			need := newNeed(now)
+			request := newRouteRequest(now)
 			for i := 0; b.Loop(); i++ {
 				b.StopTimer()
 				board.Upstreams.Remove(fmt.Sprintf("extra-%d", i-1))
 				board.Upstreams.Add(newUpstream(fmt.Sprintf("extra-%d", i), domains[0]))
 				now = now.Add(time.Second)
 				b.StartTimer()
-				if _, err := router.Route(need); err != nil {
+				if _, err := router.Route(request); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -165,10 +165,10 @@
 	for _, replicas := range []int{12, 400, 5700} {
 		for _, config := range interfaceConfigs(replicas) {
 			router := routing.New(config)
-			need := newNeed(time.Now())
-			warmUp(router, need)
+			request := newRouteRequest(time.Now())
+			warmUp(router, request)
 			allocations := testing.AllocsPerRun(200, func() {
-				if _, err := router.Route(need); err != nil {
+				if _, err := router.Route(request); err != nil {
 					t.Fatal(err)
 				}
 			})
@@ -183,7 +183,7 @@
 	for _, replicas := range []int{100, 1000, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			board := newBoard(replicas)
-			need := newNeed(time.Now())
+			request := newRouteRequest(time.Now())
 			for b.Loop() {
 				before := heapBytes()
 				router := routing.New(routing.Config{
@@ -192,11 +192,11 @@
 					Seed:          1,
 				})
 				empty := heapBytes()
-				if _, err := router.Route(need); err != nil {
+				if _, err := router.Route(request); err != nil {
 					b.Fatal(err)
 				}
 				for i := range replicas / 2 {
-					startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+					startAttempt(router, request, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 				}
 				full := heapBytes()
 				b.ReportMetric(float64(empty-before), "B/router")
@@ -221,7 +221,7 @@
 	for _, replicas := range []int{12, 400, 5700} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			router := newRouter(newFakeClock(), newBoard(replicas), newBus(), "n1")
-			if _, err := router.Route(newNeed(time.Now())); err != nil {
+			if _, err := router.Route(newRouteRequest(time.Now())); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
@@ -235,12 +235,12 @@
 func BenchmarkObserve(b *testing.B) {
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(400), newBus(), "n1")
-	need := newNeed(clock.now)
-	if _, err := router.Route(need); err != nil {
+	request := newRouteRequest(clock.now)
+	if _, err := router.Route(request); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		completeAttempt(clock, router, need, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
+		completeAttempt(clock, router, request, "engine-0001", "attempt", time.Second, 20*time.Millisecond)
 	}
 }
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -52,39 +52,39 @@
 )
 
 // gatherCandidates fills r.candidates for one decision.
-func (r *Router) gatherCandidates(f *fleet, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) gatherCandidates(f *fleet, request *zinniamast.RouteRequest, now time.Time) {
 	r.candidates = r.candidates[:0]
-	r.lookup.reset(r.history, need.Prefix)
-	r.pickCandidates(f, need, now)
-	r.planFetches(need, now)
+	r.lookup.reset(r.history, request.Prefix)
+	r.pickCandidates(f, request, now)
+	r.planFetches(request, now)
 }
 
 // pickCandidates considers replicas that probably have the prefix cached, the
 // prefix's homes, and a random sample.
-func (r *Router) pickCandidates(f *fleet, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) pickCandidates(f *fleet, request *zinniamast.RouteRequest, now time.Time) {
 	if len(f.replicas) <= smallFleetSize {
 		for _, p := range f.replicas {
-			r.consider(p, need, now)
+			r.consider(p, request, now)
 		}
-		r.markHomes(f, need, now)
+		r.markHomes(f, request, now)
 		return
 	}
-	if need.Alone {
-		r.considerIdle(f, need, now)
+	if request.Alone {
+		r.considerIdle(f, request, now)
 		return
 	}
-	r.considerHolders(need, now)
-	r.markHomes(f, need, now)
-	r.sample(f.replicas[:f.nearCount], sampleSize, need, now)
-	r.sample(f.replicas[f.nearCount:], 1, need, now)
-	if isLongPrompt(need) {
-		r.sample(f.longPromptReplicas, longPromptSampleSize, need, now)
+	r.considerHolders(request, now)
+	r.markHomes(f, request, now)
+	r.sample(f.replicas[:f.nearCount], sampleSize, request, now)
+	r.sample(f.replicas[f.nearCount:], 1, request, now)
+	if isLongPrompt(request) {
+		r.sample(f.longPromptReplicas, longPromptSampleSize, request, now)
 	}
 	if !r.anyMeetsTarget() {
-		r.sample(f.replicas, resampleSize, need, now)
+		r.sample(f.replicas, resampleSize, request, now)
 	}
 	if len(r.candidates) == 0 {
-		r.considerAny(f, need, now)
+		r.considerAny(f, request, now)
 	}
 }
 
@@ -100,20 +100,20 @@
 // considerIdle searches the whole fleet for the replicas with the fewest
 // sequences: suspect requests are rare, and a replica that they crash must not be
 // running others.
-func (r *Router) considerIdle(f *fleet, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) considerIdle(f *fleet, request *zinniamast.RouteRequest, now time.Time) {
 	start := r.random.IntN(len(f.replicas))
 	least := -1.0
 	for i := range f.replicas {
 		p := f.replicas[(start+i)%len(f.replicas)]
-		running := p.load(need.Priority, now).running
-		if !p.usable(need) || least >= 0 && running >= least {
+		running := p.load(request.Priority, now).running
+		if !p.usable(request) || least >= 0 && running >= least {
 			continue
 		}
 		least = running
 		if len(r.candidates) == maxCandidates {
 			r.candidates = r.candidates[:maxCandidates-1]
 		}
-		r.consider(p, need, now)
+		r.consider(p, request, now)
 		if least == 0 {
 			return
 		}
@@ -121,9 +121,9 @@
 }
 
 // considerAny considers the first usable replicas of a fleet of which most are leaving.
-func (r *Router) considerAny(f *fleet, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) considerAny(f *fleet, request *zinniamast.RouteRequest, now time.Time) {
 	for _, p := range f.replicas {
-		r.consider(p, need, now)
+		r.consider(p, request, now)
 		if len(r.candidates) == smallFleetSize {
 			return
 		}
@@ -132,24 +132,24 @@
 
 // considerHolders considers the replicas that were sent the longest recorded
 // prefix, and those that were sent half of it.
-func (r *Router) considerHolders(need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) considerHolders(request *zinniamast.RouteRequest, now time.Time) {
 	longest := r.lookup.longest()
 	if longest < 0 {
 		return
 	}
-	r.considerEntryHolders(r.lookup.entry(longest), need, now)
+	r.considerEntryHolders(r.lookup.entry(longest), request, now)
 	if half := longest / 2; half < longest {
-		r.considerEntryHolders(r.lookup.entry(half), need, now)
+		r.considerEntryHolders(r.lookup.entry(half), request, now)
 	}
 }
 
-func (r *Router) considerEntryHolders(e *entry, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) considerEntryHolders(e *entry, request *zinniamast.RouteRequest, now time.Time) {
 	if e == nil {
 		return
 	}
 	for _, h := range e.holders {
 		if p, ok := r.bySerial[h.serial]; ok {
-			r.consider(p, need, now)
+			r.consider(p, request, now)
 		}
 	}
 }
@@ -160,11 +160,11 @@
 var anchors = [...]int{13, 7, 1}
 
 // isLongPrompt reports whether a prompt is long enough to flush a cache.
-func isLongPrompt(need *zinniamast.RouteRequest) bool { return len(need.Prefix) > anchors[0] }
+func isLongPrompt(request *zinniamast.RouteRequest) bool { return len(request.Prefix) > anchors[0] }
 
 // homes returns the homes of the prompt's two longest anchors; nil for a missing one.
-func (r *Router) homes(f *fleet, need *zinniamast.RouteRequest) (found [2]*replica) {
-	usable := func(p *replica) bool { return p.usable(need) }
+func (r *Router) homes(f *fleet, request *zinniamast.RouteRequest) (found [2]*replica) {
+	usable := func(p *replica) bool { return p.usable(request) }
 	next := 0
 	for _, anchor := range anchors {
 		if anchor >= len(r.lookup.hashes) || next == len(found) {
@@ -177,22 +177,22 @@
 }
 
 // markHomes considers the homes of the prompt and marks their candidates.
-func (r *Router) markHomes(f *fleet, need *zinniamast.RouteRequest, now time.Time) {
-	homes := r.homes(f, need)
+func (r *Router) markHomes(f *fleet, request *zinniamast.RouteRequest, now time.Time) {
+	homes := r.homes(f, request)
 	r.longestAnchorHome = homes[0]
 	for _, home := range homes {
 		if home == nil {
 			continue
 		}
-		if c := r.consider(home, need, now); c != nil && !c.isHome {
+		if c := r.consider(home, request, now); c != nil && !c.isHome {
 			c.isHome = true
-			r.expectHomeHits(c, need, now)
+			r.expectHomeHits(c, request, now)
 		}
 	}
 }
 
-// unrestrictedNeed excludes no replica.
-var unrestrictedNeed = &zinniamast.RouteRequest{}
+// unrestrictedRequest excludes no replica.
+var unrestrictedRequest = &zinniamast.RouteRequest{}
 
 // isHome reports whether a replica is a home of the prompt in r.lookup.
 func (r *Router) isHome(p *replica) bool {
@@ -200,29 +200,29 @@
 	if !ok {
 		return false
 	}
-	found := r.homes(f, unrestrictedNeed)
+	found := r.homes(f, unrestrictedRequest)
 	return found[0] == p || found[1] == p
 }
 
 // sample considers replicas chosen at random.
-func (r *Router) sample(from []*replica, count int, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) sample(from []*replica, count int, request *zinniamast.RouteRequest, now time.Time) {
 	if len(from) == 0 {
 		return
 	}
 	for range count {
-		r.consider(from[r.random.IntN(len(from))], need, now)
+		r.consider(from[r.random.IntN(len(from))], request, now)
 	}
 }
 
 // consider returns the candidate of a replica with its predictions; nil if the replica
 // is not usable or there are too many candidates.
-func (r *Router) consider(p *replica, need *zinniamast.RouteRequest, now time.Time) *candidate {
+func (r *Router) consider(p *replica, request *zinniamast.RouteRequest, now time.Time) *candidate {
 	for i := range r.candidates {
 		if r.candidates[i].replica == p {
 			return &r.candidates[i]
 		}
 	}
-	if len(r.candidates) == maxCandidates || !p.usable(need) {
+	if len(r.candidates) == maxCandidates || !p.usable(request) {
 		return nil
 	}
 	r.candidates = append(r.candidates, candidate{
@@ -230,7 +230,7 @@
 	})
 	c := &r.candidates[len(r.candidates)-1]
 	known := r.matchHistory(p)
-	c.cachedTokens = p.cache.cachedTokens(known, need.PromptTokens)
-	r.predict(c, need, now)
+	c.cachedTokens = p.cache.cachedTokens(known, request.PromptTokens)
+	r.predict(c, request, now)
 	return c
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -34,11 +34,11 @@
 // choose returns the index of the best candidate, or -1, and the reason. It applies
 // the criteria one after the other, so that a choice can be explained in a sentence:
 // the rank, the cost, the prefix's home and the completion time.
-func choose(candidates []candidate, need *zinniamast.RouteRequest, homeCost float64) (best int, reason string) {
+func choose(candidates []candidate, request *zinniamast.RouteRequest, homeCost float64) (best int, reason string) {
 	if len(candidates) == 0 {
 		return -1, choiceNone
 	}
-	if need.Alone {
+	if request.Alone {
 		return leastLoaded(candidates), choiceAlone
 	}
 	bestRank := candidates[0].rank
@@ -51,7 +51,7 @@
 	case rankCircuitOpen:
 		return oldestOpenCircuit(candidates), choiceProbe
 	default:
-		return soonest(candidates, bestRank, isLongPrompt(need)), choiceNoTarget
+		return soonest(candidates, bestRank, isLongPrompt(request)), choiceNoTarget
 	}
 }
 
--- a/routing/circuit_test.go
+++ b/routing/circuit_test.go
@@ -18,14 +18,14 @@
 	check := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, twoReplicaBoard(64), newBus(), "node")
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:      "service",
 		PromptTokens: 500,
 	}
-	first, err := router.Route(need)
+	first, err := router.Route(request)
 	check.NoErr(err)
 	for i := range 8 {
-		startAttempt(router, need, first.Upstream, fmt.Sprint(i))
+		startAttempt(router, request, first.Upstream, fmt.Sprint(i))
 	}
 	for i := range 8 {
 		clock.advance(10 * time.Millisecond)
@@ -36,11 +36,11 @@
 			Failure:  zinniamast.FailureDial,
 		})
 	}
-	choice, err := router.Route(need)
+	choice, err := router.Route(request)
 	check.NoErr(err)
 	check.True(choice.Upstream != first.Upstream)
 	clock.advance(1100 * time.Millisecond)
-	choice, err = router.Route(need)
+	choice, err = router.Route(request)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, first.Upstream)
 }
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -60,14 +60,14 @@
 }
 
 // record overwrites the oldest decision with a new one.
-func (e *decisionRing) record(need *zinniamast.RouteRequest, now time.Time, candidates []candidate, best int, reason string) {
-	if need.Request == "" {
+func (e *decisionRing) record(request *zinniamast.RouteRequest, now time.Time, candidates []candidate, best int, reason string) {
+	if request.Request == "" {
 		return
 	}
 	d := &e.ring[e.next%len(e.ring)]
 	e.next++
-	d.request = need.Request
-	d.service = need.Service
+	d.request = request.Request
+	d.service = request.Service
 	d.at = now
 	d.reason = reason
 	d.chosen = newSnapshot(&candidates[best])
@@ -148,11 +148,11 @@
 	text.WriteString("\n")
 }
 
-func (r *Router) logChoice(need *zinniamast.RouteRequest, c *candidate, reason string) {
+func (r *Router) logChoice(request *zinniamast.RouteRequest, c *candidate, reason string) {
 	if !r.config.Logger.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	r.config.Logger.Debug("route chosen", "request", need.Request, "service", need.Service,
+	r.config.Logger.Debug("route chosen", "request", request.Request, "service", request.Service,
 		"upstream", c.replica.id, "reason", reason, "rank", rankNames[c.rank],
 		"first_token", c.firstToken.String(), "between_tokens", c.betweenTokens.String(),
 		"cached_tokens", c.cachedTokens, "uncached_tokens", c.uncachedTokens)
--- a/routing/fetch.go
+++ b/routing/fetch.go
@@ -25,8 +25,8 @@
 // The requests of a session share the first thousands of tokens of their prompts.
 // Without fetching, a replica that receives a request because the home is busy
 // recomputes them, which came to a tenth of all prefill tokens.
-func (r *Router) planFetches(need *zinniamast.RouteRequest, now time.Time) {
-	perToken, ok := r.fetchTimePerToken(need)
+func (r *Router) planFetches(request *zinniamast.RouteRequest, now time.Time) {
+	perToken, ok := r.fetchTimePerToken(request)
 	if !ok {
 		return
 	}
@@ -49,7 +49,7 @@
 		c.fetchSource = r.candidates[source].replica
 		c.fetchedTokens = missing
 		c.fetchTime = fetchSetupTime + time.Duration(missing)*perToken
-		r.predict(c, need, now)
+		r.predict(c, request, now)
 	}
 }
 
@@ -57,11 +57,11 @@
 // source is named even if the candidate is assumed to have the prefix cached, since
 // it may have been evicted or never been there; if the candidate has all that the
 // source has, nothing is transferred.
-func (r *Router) fetchSource(chosen *candidate, need *zinniamast.RouteRequest) *replica {
+func (r *Router) fetchSource(chosen *candidate, request *zinniamast.RouteRequest) *replica {
 	if chosen.fetchSource != nil {
 		return chosen.fetchSource
 	}
-	if _, ok := r.fetchTimePerToken(need); !ok {
+	if _, ok := r.fetchTimePerToken(request); !ok {
 		return nil
 	}
 	var best *candidate
@@ -82,11 +82,11 @@
 
 // fetchTimePerToken returns the transfer time per token of the prompt's prefix; false
 // if the prefix is not worth a transfer.
-func (r *Router) fetchTimePerToken(need *zinniamast.RouteRequest) (time.Duration, bool) {
+func (r *Router) fetchTimePerToken(request *zinniamast.RouteRequest) (time.Duration, bool) {
 	blocks := len(r.lookup.hashes)
 	if blocks == 0 || r.config.FetchTimePerToken == nil || r.config.BlockTokens(blocks-1) < minFetchTokens {
 		return 0, false
 	}
-	perToken := r.config.FetchTimePerToken(need.Service)
+	perToken := r.config.FetchTimePerToken(request.Service)
 	return perToken, perToken > 0 && perToken <= maxFetchTimePerToken
 }
--- a/routing/fetch_test.go
+++ b/routing/fetch_test.go
@@ -19,7 +19,7 @@
 	check := is.New(t)
 	clock := newFakeClock()
 	board := eightReplicaBoard()
-	need := func(shared int) *zinniamast.RouteRequest {
+	newRequest := func(shared int) *zinniamast.RouteRequest {
 		return &zinniamast.RouteRequest{
 			Service:      "service",
 			PromptTokens: 12_000,
@@ -53,7 +53,7 @@
 			Running: 16,
 		})
 	}
-	long := need(10_000)
+	long := newRequest(10_000)
 	fetching, reading := node(500*time.Nanosecond), node(0)
 	home := route(fetching, long).Upstream
 	check.Equal(route(reading, long).Upstream, home)
@@ -67,7 +67,7 @@
 	check.Equal(without.FetchFrom, "")
 	check.True(with.FirstToken < without.FirstToken)
 
-	check.Equal(route(fetching, need(600)).FetchFrom, "")
+	check.Equal(route(fetching, newRequest(600)).FetchFrom, "")
 	slow := node(20 * time.Microsecond) // the prefill takes half of that
 	check.Equal(route(slow, long).Upstream, home)
 	fill(slow, home)
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -15,12 +15,12 @@
 // Forecast implements limits.Predictor. It returns the earliest completion that any
 // candidate offers now and the wait there. This need not be the chosen candidate,
 // which may be later, within the target, because it is cheaper.
-func (r *Router) Forecast(need *zinniamast.RouteRequest) limits.Forecast {
+func (r *Router) Forecast(request *zinniamast.RouteRequest) limits.Forecast {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gatherCandidates(r.fleet(need.Service, now), need, now)
-	best, _ := choose(r.candidates, need, r.config.HomeCostRatio)
+	r.gatherCandidates(r.fleet(request.Service, now), request, now)
+	best, _ := choose(r.candidates, request, r.config.HomeCostRatio)
 	if best < 0 {
 		return limits.Forecast{}
 	}
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -39,7 +39,7 @@
 	check := is.New(t)
 	clock := newFakeClock()
 	board := eightReplicaBoard()
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:      "service",
 		PromptTokens: 6000,
 		Prefix: prefix.HashParts([]prefix.Part{
@@ -72,21 +72,21 @@
 			Running:      5,
 			QueuedTokens: 1500,
 		})
-		choice, err := router.Route(need)
+		choice, err := router.Route(request)
 		check.NoErr(err)
 		return choice.Upstream
 	}
 	first := node("first", 0.7)
-	home, err := first.Route(need)
+	home, err := first.Route(request)
 	check.NoErr(err)
 	check.Equal(routeWithBusyHome(first, home.Upstream), home.Upstream)
 	other := node("another", 0.7)
-	_, err = other.Route(need)
+	_, err = other.Route(request)
 	check.NoErr(err)
 	check.Equal(routeWithBusyHome(other, home.Upstream), home.Upstream)
 
 	without := node("without", 0)
-	_, err = without.Route(need)
+	_, err = without.Route(request)
 	check.NoErr(err)
 	check.True(routeWithBusyHome(without, home.Upstream) != home.Upstream)
 
@@ -96,7 +96,7 @@
 		At:      clock.Now(),
 		Running: 16,
 	})
-	choice, err := first.Route(need)
+	choice, err := first.Route(request)
 	check.NoErr(err)
 	check.True(choice.Upstream != home.Upstream)
 }
--- a/routing/learning_test.go
+++ b/routing/learning_test.go
@@ -13,8 +13,8 @@
 )
 
 // completeAttempt observes one attempt from start to end with the given times.
-func completeAttempt(clock *fakeClock, router *routing.Router, need *zinniamast.RouteRequest, upstream, attempt string, first, between time.Duration) {
-	startAttempt(router, need, upstream, attempt)
+func completeAttempt(clock *fakeClock, router *routing.Router, request *zinniamast.RouteRequest, upstream, attempt string, first, between time.Duration) {
+	startAttempt(router, request, upstream, attempt)
 	clock.advance(first)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
@@ -38,30 +38,30 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(2), newBus(), "n1")
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 1000
-	_, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 1000
+	_, err := router.Route(request)
 	is.NoErr(err)
 	for i := range 60 {
-		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
-		completeAttempt(clock, router, need, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
+		completeAttempt(clock, router, request, "engine-0000", fmt.Sprint("fast", i), 100*time.Millisecond, 20*time.Millisecond)
+		completeAttempt(clock, router, request, "engine-0001", fmt.Sprint("slow", i), 400*time.Millisecond, 80*time.Millisecond)
 	}
-	startAttempt(router, need, "engine-0000", "running")
+	startAttempt(router, request, "engine-0000", "running")
 	clock.advance(time.Second)
 	router.Observe(zinniamast.Observation{
 		Kind:     zinniamast.ObservedFirstToken,
 		Attempt:  "running",
 		Upstream: "engine-0000",
 	})
-	need.Deadline = clock.now.Add(time.Minute)
-	choice, err := router.Route(need)
+	request.Deadline = clock.now.Add(time.Minute)
+	choice, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
 	is.True(choice.BetweenTokens > 15*time.Millisecond)
 	is.True(choice.BetweenTokens < 40*time.Millisecond)
-	need.Avoid = []string{"engine-0000"}
-	choice, err = router.Route(need)
+	request.Avoid = []string{"engine-0000"}
+	choice, err = router.Route(request)
 	is.NoErr(err)
 	is.True(choice.BetweenTokens > 60*time.Millisecond)
 	is.True(choice.FirstToken > 300*time.Millisecond)
@@ -74,22 +74,22 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(1), newBus(), "n1")
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 100
-	_, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 100
+	_, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(router.Limit("engine-0000"), 32)
 	for i := range 12 {
-		startAttempt(router, need, "engine-0000", fmt.Sprint("other", i))
+		startAttempt(router, request, "engine-0000", fmt.Sprint("other", i))
 	}
 	for i := range 5 {
-		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
+		completeAttempt(clock, router, request, "engine-0000", fmt.Sprint(i), 100*time.Millisecond, 90*time.Millisecond)
 	}
 	lowered := router.Limit("engine-0000")
 	is.True(lowered < 12)
 	for i := range 40 {
-		completeAttempt(clock, router, need, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
+		completeAttempt(clock, router, request, "engine-0000", fmt.Sprint("better", i), 100*time.Millisecond, 10*time.Millisecond)
 	}
 	is.True(router.Limit("engine-0000") > lowered)
 }
@@ -115,14 +115,14 @@
 			Price:         1,
 		},
 	})
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 100
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 100
 	for i := range 5 {
-		choice, err := router.Route(need)
+		choice, err := router.Route(request)
 		is.NoErr(err)
 		is.Equal(choice.Upstream, "engine-0001")
-		startAttempt(router, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(router, request, choice.Upstream, fmt.Sprint(i))
 	}
 }
 
@@ -133,16 +133,16 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(400), newBus(), "n1")
-	need := newNeed(clock.now)
-	_, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	_, err := router.Route(request)
 	is.NoErr(err)
 	for i := range 400 {
 		if i != 321 {
-			startAttempt(router, need, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
+			startAttempt(router, request, fmt.Sprintf("engine-%04d", i), fmt.Sprint(i))
 		}
 	}
-	need.Alone = true
-	choice, err := router.Route(need)
+	request.Alone = true
+	choice, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0321")
 }
@@ -158,16 +158,16 @@
 	var group sync.WaitGroup
 	for worker := range 8 {
 		group.Go(func() {
-			need := newNeed(time.Now())
+			request := newRouteRequest(time.Now())
 			for i := range 100 {
-				choice, err := router.Route(need)
+				choice, err := router.Route(request)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				attempt := fmt.Sprint(worker, i)
-				startAttempt(router, need, choice.Upstream, attempt)
-				router.Forecast(need)
+				startAttempt(router, request, choice.Upstream, attempt)
+				router.Forecast(request)
 				router.RecordReport(choice.Upstream, zinniamast.LoadReport{At: time.Now()})
 				router.Observe(zinniamast.Observation{
 					Kind:     zinniamast.ObservedEnd,
--- a/routing/predict.go
+++ b/routing/predict.go
@@ -27,11 +27,11 @@
 )
 
 // predict fills in the candidate's predictions for the request.
-func (r *Router) predict(c *candidate, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) predict(c *candidate, request *zinniamast.RouteRequest, now time.Time) {
 	p := c.replica
-	l := p.load(need.Priority, now)
+	l := p.load(request.Priority, now)
 	c.running = l.running
-	c.uncachedTokens = max(0, need.PromptTokens+need.Produced-c.cachedTokens-c.fetchedTokens)
+	c.uncachedTokens = max(0, request.PromptTokens+request.Produced-c.cachedTokens-c.fetchedTokens)
 	work := l.tokensAhead + float64(c.uncachedTokens)
 	if p.servesCalls {
 		work = l.running
@@ -39,7 +39,7 @@
 	slowness := p.firstFactor.value()
 	first := p.speed.first.at(work) * slowness
 	between := p.speed.between.at(l.running+1) * p.betweenFactor.value()
-	remaining := float64(max(1, r.expectedAnswerTokens(need)-need.Produced))
+	remaining := float64(max(1, r.expectedAnswerTokens(request)-request.Produced))
 	if p.servesCalls {
 		between, remaining = 0, 0
 		l.tokensAhead = max(0, l.running-1)
@@ -58,7 +58,7 @@
 		c.typicalWorkSeconds = p.speed.first.at(0)
 	}
 	c.cost = p.pricePerSecond * c.workSeconds
-	c.rank = r.rank(c, need, now)
+	c.rank = r.rank(c, request, now)
 }
 
 // typicalWorkSeconds returns the instance time that a prompt takes at a replica of its
@@ -86,7 +86,7 @@
 	return excess * answerSeconds / p.limit.current
 }
 
-func (r *Router) rank(c *candidate, need *zinniamast.RouteRequest, now time.Time) rank {
+func (r *Router) rank(c *candidate, request *zinniamast.RouteRequest, now time.Time) rank {
 	p := c.replica
 	end := now.Add(c.completion)
 	switch {
@@ -98,9 +98,9 @@
 		return rankUnfit
 	case p.leavesBefore(end):
 		return rankUnfit
-	case !need.Deadline.IsZero() && end.After(need.Deadline):
+	case !request.Deadline.IsZero() && end.After(request.Deadline):
 		return rankLate
-	case exceeds(c.firstToken, need.FirstTokenTarget) || exceeds(c.betweenTokens, need.BetweenTokensTarget):
+	case exceeds(c.firstToken, request.FirstTokenTarget) || exceeds(c.betweenTokens, request.BetweenTokensTarget):
 		return rankWithinDeadline
 	case c.running+1 > p.limit.current:
 		return rankWithinDeadline
@@ -127,32 +127,32 @@
 
 // expectHomeHits adds the tokens that are probably cached at a home because other nodes
 // sent them there.
-func (r *Router) expectHomeHits(c *candidate, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) expectHomeHits(c *candidate, request *zinniamast.RouteRequest, now time.Time) {
 	if r.config.HomeCachedShare > 0 {
-		r.expectHomePrefix(c, need, now)
+		r.expectHomePrefix(c, request, now)
 		return
 	}
 	hits, ok := r.homeHits[answerKey{
-		service:  need.Service,
-		priority: need.Priority,
+		service:  request.Service,
+		priority: request.Priority,
 	}]
 	if !ok || hits.count < minHomeHitsSamples {
 		return
 	}
-	c.cachedTokens += int(hits.value * float64(need.PromptTokens-c.cachedTokens))
-	r.predict(c, need, now)
+	c.cachedTokens += int(hits.value * float64(request.PromptTokens-c.cachedTokens))
+	r.predict(c, request, now)
 }
 
 // expectHomePrefix assumes that other nodes have sent the prefix to the home of its
 // longest anchor, and that the fraction HomeHolds of it is cached there.
-func (r *Router) expectHomePrefix(c *candidate, need *zinniamast.RouteRequest, now time.Time) {
+func (r *Router) expectHomePrefix(c *candidate, request *zinniamast.RouteRequest, now time.Time) {
 	if len(r.lookup.hashes) == 0 || c.replica != r.longestAnchorHome {
 		return
 	}
 	homeTokens := int(r.config.HomeCachedShare * float64(r.config.BlockTokens(len(r.lookup.hashes)-1)))
 	if homeTokens > c.cachedTokens {
-		c.cachedTokens = min(homeTokens, need.PromptTokens)
-		r.predict(c, need, now)
+		c.cachedTokens = min(homeTokens, request.PromptTokens)
+		r.predict(c, request, now)
 	}
 }
 
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -207,11 +207,11 @@
 const minSecondsPerToken = 1e-6
 
 // usable reports whether the replica may receive the request at all.
-func (p *replica) usable(need *zinniamast.RouteRequest) bool {
+func (p *replica) usable(request *zinniamast.RouteRequest) bool {
 	if p.upstream.Leaving() {
 		return false
 	}
-	for _, id := range need.Avoid {
+	for _, id := range request.Avoid {
 		if id == p.id {
 			return false
 		}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -31,7 +31,7 @@
 	Gossip zinniamast.Gossip
 	// RoundTrips are the round-trip times to other failure domains; 3 ms for those not listed.
 	RoundTrips map[string]time.Duration
-	// BlockTokens returns the length in tokens of the prefix at an index of Need.Prefix;
+	// BlockTokens returns the length in tokens of the prefix at an index of RouteRequest.Prefix;
 	// nil means prefix.Tokens.
 	BlockTokens func(index int) int
 	// HistoryBlocks bounds the number of prefixes in the history, 48 bytes each;
@@ -181,21 +181,21 @@
 const noUpstreamRetryAfter = 5 * time.Second
 
 // Route implements zinniamast.Router.
-func (r *Router) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+func (r *Router) Route(request *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	now := r.config.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.fleet(need.Service, now)
-	r.gatherCandidates(f, need, now)
-	best, reason := choose(r.candidates, need, r.config.HomeCostRatio)
+	f := r.fleet(request.Service, now)
+	r.gatherCandidates(f, request, now)
+	best, reason := choose(r.candidates, request, r.config.HomeCostRatio)
 	if best < 0 {
 		r.metrics.choices.WithLabelValues(choiceNone).Inc()
 		return zinniamast.Choice{}, zinniamast.Refuse(zinniamast.ReasonNoUpstream,
-			"no replica of %s takes work", need.Service).WithRetryAfter(noUpstreamRetryAfter)
+			"no replica of %s takes work", request.Service).WithRetryAfter(noUpstreamRetryAfter)
 	}
 	r.metrics.countChoice(reason)
-	r.recentDecisions.record(need, now, r.candidates, best, reason)
-	r.logChoice(need, &r.candidates[best], reason)
+	r.recentDecisions.record(request, now, r.candidates, best, reason)
+	r.logChoice(request, &r.candidates[best], reason)
 	c := &r.candidates[best]
 	choice := zinniamast.Choice{
 		Upstream:      c.replica.id,
@@ -204,7 +204,7 @@
 		CachedTokens:  c.cachedTokens + c.fetchedTokens,
 		Work:          seconds(c.typicalWorkSeconds),
 	}
-	if source := r.fetchSource(c, need); source != nil {
+	if source := r.fetchSource(c, request); source != nil {
 		choice.FetchFrom = source.id
 	}
 	return choice, nil
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -62,14 +62,14 @@
 	})
 }
 
-func startAttempt(router *routing.Router, need *zinniamast.RouteRequest, upstream, attempt string) {
+func startAttempt(router *routing.Router, request *zinniamast.RouteRequest, upstream, attempt string) {
 	router.Observe(zinniamast.Observation{
 		Kind:         zinniamast.ObservedStart,
 		Attempt:      attempt,
 		Upstream:     upstream,
-		Priority:     need.Priority,
-		PromptTokens: need.PromptTokens,
-		Prefix:       need.Prefix,
+		Priority:     request.Priority,
+		PromptTokens: request.PromptTokens,
+		Prefix:       request.Prefix,
 	})
 }
 
@@ -102,22 +102,22 @@
 			clock := newFakeClock()
 			board := newBoard(replicas)
 			router := newRouter(clock, board, newBus(), "n1")
-			need := newNeed(clock.now)
-			warmUp(router, need)
+			request := newRouteRequest(clock.now)
+			warmUp(router, request)
 			for _, upstream := range board.Upstreams.All() {
 				if upstream.Instance.FailureDomain == domains[0] {
 					board.Upstreams.MarkLeaving(upstream.Instance.ID, clock.now.Add(5*time.Second))
 				}
 			}
-			need.Avoid = nil
+			request.Avoid = nil
 			for range 8 {
-				choice, err := router.Route(need)
+				choice, err := router.Route(request)
 				is.NoErr(err)
 				is.True(!board.Upstreams.Get(choice.Upstream).Leaving())
-				for _, id := range need.Avoid {
+				for _, id := range request.Avoid {
 					is.True(choice.Upstream != id)
 				}
-				need.Avoid = append(need.Avoid, choice.Upstream)
+				request.Avoid = append(request.Avoid, choice.Upstream)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, blackboard.New(), newBus(), "n1")
-	_, err := router.Route(newNeed(clock.now))
+	_, err := router.Route(newRouteRequest(clock.now))
 	refusal := zinniamast.AsRefusal(err)
 	is.Equal(refusal.Reason, zinniamast.ReasonNoUpstream)
 	is.Equal(refusal.Ran, zinniamast.NotRun)
@@ -143,19 +143,19 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(400), newBus(), "n1")
-	need := newNeed(clock.now)
-	choice, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	choice, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(choice.CachedTokens, 0)
-	startAttempt(router, need, choice.Upstream, "a1")
+	startAttempt(router, request, choice.Upstream, "a1")
 	finishAttempt(clock, router, "a1", choice.Upstream, 0, "")
-	again, err := router.Route(need)
+	again, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(again.Upstream, choice.Upstream)
 	is.True(again.CachedTokens > 27_000)
 	evict := func(sequence uint64) {
 		var events []zinniamast.CacheEvent
-		for i, hash := range need.Prefix {
+		for i, hash := range request.Prefix {
 			events = append(events, zinniamast.CacheEvent{
 				Sequence: sequence + uint64(i),
 				Prefix:   hash,
@@ -165,15 +165,15 @@
 		router.RecordCacheEvents(choice.Upstream, events)
 	}
 	evict(1)
-	again, err = router.Route(need)
+	again, err = router.Route(request)
 	is.NoErr(err)
 	is.True(again.CachedTokens > 27_000)
-	other := *need
+	other := *request
 	other.Prefix = promptPrefix(30_000, 'b')
 	startAttempt(router, &other, choice.Upstream, "a2")
 	finishAttempt(clock, router, "a2", choice.Upstream, 0, "")
 	evict(1000)
-	again, err = router.Route(need)
+	again, err = router.Route(request)
 	is.NoErr(err)
 	is.Equal(again.CachedTokens, 0)
 }
@@ -189,18 +189,18 @@
 	board := newBoard(12)
 	broken := newRouter(clock, board, b, "n1")
 	healthy := newRouter(clock, board, b, "n2")
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 100
-	_, err := healthy.Route(need)
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 100
+	_, err := healthy.Route(request)
 	is.NoErr(err)
 	tried := map[string]bool{}
 	for i := range 60 {
-		choice, err := broken.Route(need)
+		choice, err := broken.Route(request)
 		is.NoErr(err)
 		tried[choice.Upstream] = true
 		attempt := fmt.Sprint(i)
-		startAttempt(broken, need, choice.Upstream, attempt)
+		startAttempt(broken, request, choice.Upstream, attempt)
 		broken.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedEnd,
 			Attempt:  attempt,
@@ -213,9 +213,9 @@
 	is.True(len(tried) > 6)
 	used := map[string]bool{}
 	for i := range 200 {
-		choice, err := healthy.Route(need)
+		choice, err := healthy.Route(request)
 		is.NoErr(err)
-		startAttempt(healthy, need, choice.Upstream, fmt.Sprint(i))
+		startAttempt(healthy, request, choice.Upstream, fmt.Sprint(i))
 		used[choice.Upstream] = true
 	}
 	is.Equal(len(used), 12)
@@ -240,15 +240,15 @@
 			Now:           clock.Now,
 		}))
 	}
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 100
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 100
 	at := map[string]int{}
 	for round := range 10 {
 		for i, node := range nodes {
-			choice, err := node.Route(need)
+			choice, err := node.Route(request)
 			is.NoErr(err)
-			startAttempt(node, need, choice.Upstream, fmt.Sprint(round, i))
+			startAttempt(node, request, choice.Upstream, fmt.Sprint(round, i))
 			at[choice.Upstream]++
 		}
 		clock.advance(time.Second)
@@ -272,15 +272,15 @@
 	clock := newFakeClock()
 	board := newBoard(2)
 	router := newRouter(clock, board, newBus(), "n1")
-	need := newNeed(clock.now)
-	need.Prefix = nil
-	need.PromptTokens = 4000
-	_, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	request.Prefix = nil
+	request.PromptTokens = 4000
+	_, err := router.Route(request)
 	is.NoErr(err)
 	taken := clock.now
 	clock.advance(4 * time.Second)
 	for i := range 6 {
-		startAttempt(router, need, "engine-0000", fmt.Sprint(i))
+		startAttempt(router, request, "engine-0000", fmt.Sprint(i))
 	}
 	clock.advance(time.Second)
 	router.RecordReport("engine-0000", zinniamast.LoadReport{At: taken})
@@ -289,7 +289,7 @@
 		Running:      2,
 		QueuedTokens: 4000,
 	})
-	choice, err := router.Route(need)
+	choice, err := router.Route(request)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0001")
 	before := choice.FirstToken
@@ -303,7 +303,7 @@
 		Running:      40,
 		QueuedTokens: 100_000,
 	})
-	choice, err = router.Route(need)
+	choice, err = router.Route(request)
 	is.NoErr(err)
 	is.Equal(choice.Upstream, "engine-0000")
 	// Seven prompts are ahead of the first token instead of one; thirteen if counted twice.
@@ -315,8 +315,8 @@
 	is := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, newBoard(12), newBus(), "n1")
-	need := newNeed(clock.now)
-	choice, err := router.Route(need)
+	request := newRouteRequest(clock.now)
+	choice, err := router.Route(request)
 	is.NoErr(err)
 	text := router.Explain("r1")
 	is.True(strings.Contains(text, "went to "+choice.Upstream))
--- a/routing/silent_test.go
+++ b/routing/silent_test.go
@@ -38,7 +38,7 @@
 		SilentAfter:   time.Second,
 		Now:           clock.Now,
 	})
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:      "service",
 		PromptTokens: 500,
 	}
@@ -48,7 +48,7 @@
 			Running: running,
 		})
 	}
-	_, err := router.Route(need)
+	_, err := router.Route(request)
 	check.NoErr(err)
 	report("dark", 0)
 	for range 4 {
@@ -56,16 +56,16 @@
 		report("well", 8)
 	}
 	for range 20 {
-		choice, err := router.Route(need)
+		choice, err := router.Route(request)
 		check.NoErr(err)
 		check.Equal(choice.Upstream, "well")
 	}
 	report("dark", 0)
-	choice, err := router.Route(need)
+	choice, err := router.Route(request)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
 	clock.advance(5 * time.Second)
-	choice, err = router.Route(need)
+	choice, err = router.Route(request)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "dark")
 }
--- a/routing/slots_test.go
+++ b/routing/slots_test.go
@@ -48,16 +48,16 @@
 	check := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, twoReplicaBoard(4), newBus(), "node")
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:          "service",
 		PromptTokens:     500,
 		FirstTokenTarget: 800 * time.Millisecond,
 	}
-	_, err := router.Route(need)
+	_, err := router.Route(request)
 	check.NoErr(err)
 	for i := range 4 {
 		attempt := fmt.Sprint(i)
-		startAttempt(router, need, "near", attempt)
+		startAttempt(router, request, "near", attempt)
 		router.Observe(zinniamast.Observation{
 			Kind:     zinniamast.ObservedFirstToken,
 			Attempt:  attempt,
@@ -65,8 +65,8 @@
 		})
 	}
 	// The prefill of this prompt is still to do, which makes far the slower replica.
-	startAttempt(router, need, "far", "long")
-	choice, err := router.Route(need)
+	startAttempt(router, request, "far", "long")
+	choice, err := router.Route(request)
 	check.NoErr(err)
 	check.Equal(choice.Upstream, "far")
 	check.Equal(router.Limit("near"), 4)
@@ -86,17 +86,17 @@
 		Seed:          5,
 		Now:           clock.Now,
 	})
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:          "service",
 		FirstTokenTarget: 150 * time.Millisecond,
 		Avoid:            []string{"far"},
 	}
-	alone, err := router.Route(need)
+	alone, err := router.Route(request)
 	check.NoErr(err)
 	for i := range 4 {
-		startAttempt(router, need, "near", fmt.Sprint(i))
+		startAttempt(router, request, "near", fmt.Sprint(i))
 	}
-	fifth, err := router.Route(need)
+	fifth, err := router.Route(request)
 	check.NoErr(err)
 	check.True(fifth.FirstToken > alone.FirstToken)
 }
@@ -108,11 +108,11 @@
 	check := is.New(t)
 	clock := newFakeClock()
 	router := newRouter(clock, twoReplicaBoard(16), newBus(), "node")
-	need := &zinniamast.RouteRequest{
+	request := &zinniamast.RouteRequest{
 		Service:      "service",
 		PromptTokens: 500,
 	}
-	_, err := router.Route(need)
+	_, err := router.Route(request)
 	check.NoErr(err)
 	for i := range 30 {
 		attempt := fmt.Sprint(i)
@@ -120,7 +120,7 @@
 			Kind:                zinniamast.ObservedStart,
 			Attempt:             attempt,
 			Upstream:            "near",
-			PromptTokens:        need.PromptTokens,
+			PromptTokens:        request.PromptTokens,
 			BetweenTokensTarget: 250 * time.Millisecond,
 		})
 		router.Observe(zinniamast.Observation{
--- a/routing/speed.go
+++ b/routing/speed.go
@@ -69,17 +69,17 @@
 )
 
 // expectedAnswerTokens returns a length that a whole answer will probably not exceed.
-func (r *Router) expectedAnswerTokens(need *zinniamast.RouteRequest) int {
+func (r *Router) expectedAnswerTokens(request *zinniamast.RouteRequest) int {
 	expected := float64(defaultAnswerTokens)
 	known, ok := r.answers[answerKey{
-		service:  need.Service,
-		priority: need.Priority,
+		service:  request.Service,
+		priority: request.Priority,
 	}]
 	if ok {
 		expected = answerMargin * known.value
 	}
-	if need.MaxTokens > 0 {
-		expected = min(expected, float64(need.MaxTokens))
+	if request.MaxTokens > 0 {
+		expected = min(expected, float64(request.MaxTokens))
 	}
 	return max(1, int(expected))
 }
--- a/services/hedge_test.go
+++ b/services/hedge_test.go
@@ -86,9 +86,9 @@
 }
 
 // Route chooses uniformly among the replicas that are not to be avoided.
-func (l *lookupFleet) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+func (l *lookupFleet) Route(request *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	if l.learningRouter != nil {
-		return l.learningRouter.Route(need)
+		return l.learningRouter.Route(request)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 	var candidates []string
 	for i := range 4 {
-		if id := fmt.Sprintf("booking-%d", i); !slices.Contains(need.Avoid, id) {
+		if id := fmt.Sprintf("booking-%d", i); !slices.Contains(request.Avoid, id) {
 			candidates = append(candidates, id)
 		}
 	}
--- a/services/services_test.go
+++ b/services/services_test.go
@@ -32,11 +32,11 @@
 // firstRouter routes each attempt to the first replica that is not to be avoided.
 type firstRouter struct{ board *blackboard.Board }
 
-func (r firstRouter) Route(need *zinniamast.RouteRequest) (zinniamast.Choice, error) {
+func (r firstRouter) Route(request *zinniamast.RouteRequest) (zinniamast.Choice, error) {
 	for i := range 4 {
-		id := fmt.Sprintf("%s-%d", need.Service, i)
+		id := fmt.Sprintf("%s-%d", request.Service, i)
 		avoided := false
-		for _, avoid := range need.Avoid {
+		for _, avoid := range request.Avoid {
 			avoided = avoided || avoid == id
 		}
 		if r.board.Upstreams.Get(id) != nil && !avoided {
