--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -170,9 +170,9 @@
 }
 
 // receive stores another node's rates or a domain's sum.
-func (m *Meter) receive(news zinniamast.GossipItem) {
+func (m *Meter) receive(item zinniamast.GossipItem) {
 	var rates map[string]float64
-	if json.Unmarshal(news.Value, &rates) != nil {
+	if json.Unmarshal(item.Value, &rates) != nil {
 		return
 	}
 	now := time.Now()
@@ -181,14 +181,14 @@
 	h := receivedRates{
 		rates:      rates,
 		receivedAt: now,
-		expires:    news.Expires,
+		expires:    item.Expires,
 	}
-	if domain, ok := strings.CutPrefix(news.Key, sumKey+"/"); ok {
+	if domain, ok := strings.CutPrefix(item.Key, sumKey+"/"); ok {
 		m.domains[domain] = h
 		return
 	}
-	if news.Key == nodeKey && news.Origin != m.config.Node {
-		m.nodes[news.Origin] = h
+	if item.Key == nodeKey && item.Origin != m.config.Node {
+		m.nodes[item.Origin] = h
 	}
 }
 
--- a/capacity/meter_test.go
+++ b/capacity/meter_test.go
@@ -38,16 +38,16 @@
 
 func (e *busEndpoint) Subscribe(_ zinniamast.Topic, f func(zinniamast.GossipItem)) { e.receive = f }
 
-func (e *busEndpoint) Publish(news zinniamast.GossipItem) {
+func (e *busEndpoint) Publish(item zinniamast.GossipItem) {
 	e.bus.mu.Lock()
 	defer e.bus.mu.Unlock()
-	news.Origin = e.node
+	item.Origin = e.node
 	for _, other := range e.bus.endpoints {
 		sameDomain := other.domain == e.domain
-		if other.receive == nil || !sameDomain && (!news.AllDomains || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
+		if other.receive == nil || !sameDomain && (!item.AllDomains || e.domain == e.bus.isolated || other.domain == e.bus.isolated) {
 			continue
 		}
-		other.receive(news)
+		other.receive(item)
 	}
 }
 
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -26,8 +26,8 @@
 	// more join at once, the fleet is starting or a partition has ended; none
 	// are published then, and each node finds them in its own list.
 	maxJoinsPublished = 20
-	// newsTTL is how long a report is repeated to nodes that missed it.
-	newsTTL = 5 * time.Minute
+	// gossipTTL is how long a report is repeated to nodes that missed it.
+	gossipTTL = 5 * time.Minute
 )
 
 // TopicJoined announces an upstream found in an instance list; the key is its
@@ -105,8 +105,8 @@
 		reportedByPeers: map[string]bool{},
 		absences:        map[string]absence{},
 	}
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(news zinniamast.GossipItem) { c.receiveLeaving(news, false) })
-	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(news zinniamast.GossipItem) { c.receiveLeaving(news, true) })
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamLeaving, func(item zinniamast.GossipItem) { c.receiveLeaving(item, false) })
+	config.Gossip.Subscribe(zinniamast.TopicUpstreamGone, func(item zinniamast.GossipItem) { c.receiveLeaving(item, true) })
 	config.Gossip.Subscribe(TopicJoined, c.receiveJoined)
 	// The request path marks an upstream that refuses requests because it is
 	// leaving; the first node to see that informs the others.
@@ -283,7 +283,7 @@
 		Topic:      topic,
 		Key:        upstream,
 		Value:      value,
-		Expires:    time.Now().Add(newsTTL),
+		Expires:    time.Now().Add(gossipTTL),
 		AllDomains: true,
 	})
 }
@@ -291,22 +291,22 @@
 // receiveLeaving handles a report from another node. It bars the reported start
 // of the instance even if the instance is not known here yet, because a lagging
 // list may still show it as running.
-func (c *Controller) receiveLeaving(news zinniamast.GossipItem, gone bool) {
+func (c *Controller) receiveLeaving(item zinniamast.GossipItem, gone bool) {
 	var report leavingReport
-	if err := json.Unmarshal(news.Value, &report); err != nil {
-		c.config.Logger.Warn("sign_not_read", "upstream", news.Key, "origin", news.Origin, "error", err)
+	if err := json.Unmarshal(item.Value, &report); err != nil {
+		c.config.Logger.Warn("sign_not_read", "upstream", item.Key, "origin", item.Origin, "error", err)
 		return
 	}
-	known := c.config.Upstreams.Get(news.Key)
+	known := c.config.Upstreams.Get(item.Key)
 	if known != nil && known.Instance.Started.After(report.Started) {
 		return
 	}
 	c.mu.Lock()
-	c.reportedByPeers[news.Key] = true
+	c.reportedByPeers[item.Key] = true
 	c.mu.Unlock()
-	c.config.Upstreams.Bar(news.Key, report.Started)
-	c.config.Upstreams.MarkLeaving(news.Key, report.LeavesAt)
+	c.config.Upstreams.Bar(item.Key, report.Started)
+	c.config.Upstreams.MarkLeaving(item.Key, report.LeavesAt)
 	if gone {
-		c.config.Upstreams.Remove(news.Key)
+		c.config.Upstreams.Remove(item.Key)
 	}
 }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -45,11 +45,11 @@
 	published   int
 }
 
-func (g *gossipStub) Publish(news zinniamast.GossipItem) {
+func (g *gossipStub) Publish(item zinniamast.GossipItem) {
 	g.published++
 	for _, peer := range *g.peers {
-		if f := peer.subscribers[news.Topic]; peer != g && f != nil {
-			f(news)
+		if f := peer.subscribers[item.Topic]; peer != g && f != nil {
+			f(item)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 // others are minutes away. They must add it from a report published once. A
 // replica barred after leaving must not be added, and a node that starts must
 // not publish the fleet that it finds.
-func TestJoinsAreSharedByNews(t *testing.T) {
+func TestJoinsAreSharedByGossip(t *testing.T) {
 	check := is.New(t)
 	nodes := newFixtures(3)
 	start := time.Unix(1000, 0)
--- a/limits/gossip.go
+++ b/limits/gossip.go
@@ -89,25 +89,25 @@
 }
 
 // receiveUsage replaces the usage previously received from the same origin.
-func (l *Limiter) receiveUsage(news zinniamast.GossipItem) {
-	if news.Origin == l.config.Node {
+func (l *Limiter) receiveUsage(gossipItem zinniamast.GossipItem) {
+	if gossipItem.Origin == l.config.Node {
 		return
 	}
-	domain, items, ok := decodeUsage(news.Value)
+	domain, items, ok := decodeUsage(gossipItem.Value)
 	if !ok {
 		return
 	}
 	report := receivedUsage{
 		items:   items,
-		expires: news.Expires,
+		expires: gossipItem.Expires,
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sameDomain := domain == l.config.FailureDomain
 	switch {
-	case news.Key == keyNode && sameDomain:
-		l.usage.remote.nodes[news.Origin] = report
-	case news.Key == keyDomain && !sameDomain:
+	case gossipItem.Key == keyNode && sameDomain:
+		l.usage.remote.nodes[gossipItem.Origin] = report
+	case gossipItem.Key == keyDomain && !sameDomain:
 		l.usage.remote.domains[domain] = report
 	}
 }
--- a/limits/share_test.go
+++ b/limits/share_test.go
@@ -70,19 +70,19 @@
 	clock   func() time.Time
 }
 
-func (p *port) Publish(news zinniamast.GossipItem) {
-	news.Origin = p.node
+func (p *port) Publish(item zinniamast.GossipItem) {
+	item.Origin = p.node
 	due := p.clock().Add(300 * time.Millisecond)
 	for _, other := range p.bus.ports {
-		if other == p || other.domain != p.domain && !news.AllDomains {
+		if other == p || other.domain != p.domain && !item.AllDomains {
 			continue
 		}
-		p.bus.bytes += len(news.Value)
+		p.bus.bytes += len(item.Value)
 		p.bus.pending = append(p.bus.pending, func() bool {
 			if p.clock().Before(due) {
 				return false
 			}
-			other.receive(news)
+			other.receive(item)
 			return true
 		})
 	}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -46,22 +46,22 @@
 func (t *gossipTable) sequence(key gossipKey) uint64 { return t.items[key].Sequence }
 
 // put stores an item if it is newer than the known one and there is room.
-func (t *gossipTable) put(key gossipKey, news zinniamast.GossipItem) bool {
+func (t *gossipTable) put(key gossipKey, item zinniamast.GossipItem) bool {
 	known, ok := t.items[key]
-	if ok && news.Sequence <= known.Sequence {
+	if ok && item.Sequence <= known.Sequence {
 		return false
 	}
 	if !ok && len(t.items) >= maxGossipItems {
 		t.dropped++
 		return false
 	}
-	t.items[key] = news
+	t.items[key] = item
 	return true
 }
 
 func (t *gossipTable) expire(now time.Time) {
-	for key, news := range t.items {
-		if now.After(news.Expires) {
+	for key, item := range t.items {
+		if now.After(item.Expires) {
 			delete(t.items, key)
 			delete(t.ownKeys, key)
 		}
@@ -70,41 +70,41 @@
 
 // wireItem returns the wire form of an item that has not expired.
 func (t *gossipTable) wireItem(key gossipKey, now time.Time) (Item, bool) {
-	news, ok := t.items[key]
-	if !ok || now.After(news.Expires) {
+	item, ok := t.items[key]
+	if !ok || now.After(item.Expires) {
 		return Item{}, false
 	}
 	return Item{
-		Topic:    string(news.Topic),
-		Key:      news.Key,
-		Value:    news.Value,
-		Origin:   news.Origin,
-		Sequence: news.Sequence,
-		Millis:   news.Expires.Sub(now).Milliseconds(),
-		Wide:     news.AllDomains,
+		Topic:    string(item.Topic),
+		Key:      item.Key,
+		Value:    item.Value,
+		Origin:   item.Origin,
+		Sequence: item.Sequence,
+		Millis:   item.Expires.Sub(now).Milliseconds(),
+		Wide:     item.AllDomains,
 	}, true
 }
 
 // Publish implements zinniamast.Gossip. It drops and logs an item whose value is larger
-// than MaxNews.
-func (m *Membership) Publish(news zinniamast.GossipItem) {
-	if len(news.Value) > zinniamast.MaxGossipValueBytes {
-		m.config.Logger.Error("news_too_large", "topic", news.Topic, "key", news.Key, "bytes", len(news.Value))
+// than MaxGossipValueBytes.
+func (m *Membership) Publish(item zinniamast.GossipItem) {
+	if len(item.Value) > zinniamast.MaxGossipValueBytes {
+		m.config.Logger.Error("news_too_large", "topic", item.Topic, "key", item.Key, "bytes", len(item.Value))
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gossip.lastSequence++
-	news.Origin = m.config.ID
-	news.Sequence = m.gossip.lastSequence
+	item.Origin = m.config.ID
+	item.Sequence = m.gossip.lastSequence
 	key := gossipKey{
-		topic:  news.Topic,
-		key:    news.Key,
-		origin: news.Origin,
+		topic:  item.Topic,
+		key:    item.Key,
+		origin: item.Origin,
 	}
-	if m.gossip.put(key, news) {
+	if m.gossip.put(key, item) {
 		m.gossip.ownKeys[key] = true
-		m.broadcastGossip(key, news, "")
+		m.broadcastGossip(key, item, "")
 	}
 }
 
@@ -118,14 +118,14 @@
 // broadcastGossip queues an item for the broadcast targets, except the node it came from
 // and its origin, and for the other failure domains if this node is a representative;
 // the caller holds the lock.
-func (m *Membership) broadcastGossip(key gossipKey, news zinniamast.GossipItem, from string) {
-	urgent := urgentTopics[news.Topic]
+func (m *Membership) broadcastGossip(key gossipKey, item zinniamast.GossipItem, from string) {
+	urgent := urgentTopics[item.Topic]
 	for _, p := range m.broadcastTargets() {
-		if p.record.ID != from && p.record.ID != news.Origin {
+		if p.record.ID != from && p.record.ID != item.Origin {
 			p.outbox.addGossip(key, urgent)
 		}
 	}
-	m.queueForDomains(key, news)
+	m.queueForDomains(key, item)
 	if urgent {
 		m.wakeLoop()
 	}
@@ -133,13 +133,13 @@
 
 // queueForDomains queues a wide item of this failure domain for the other domains if
 // this node is a representative; the caller holds the lock.
-func (m *Membership) queueForDomains(key gossipKey, news zinniamast.GossipItem) {
-	_, isOwn := m.recordOf(news.Origin)
-	if !news.AllDomains || !isOwn || !m.isRepresentative() {
+func (m *Membership) queueForDomains(key gossipKey, item zinniamast.GossipItem) {
+	_, isOwn := m.recordOf(item.Origin)
+	if !item.AllDomains || !isOwn || !m.isRepresentative() {
 		return
 	}
 	for _, d := range m.domains {
-		d.outbox.addGossip(key, urgentTopics[news.Topic])
+		d.outbox.addGossip(key, urgentTopics[item.Topic])
 	}
 }
 
@@ -148,51 +148,51 @@
 func (m *Membership) receiveGossip(items []Item, from string, otherDomain bool) []func() {
 	now := time.Now()
 	var callbacks []func()
-	for _, item := range items {
-		news := zinniamast.GossipItem{
-			Topic:      zinniamast.Topic(item.Topic),
-			Key:        item.Key,
-			Value:      item.Value,
-			Origin:     item.Origin,
-			Sequence:   item.Sequence,
-			Expires:    now.Add(time.Duration(item.Millis) * time.Millisecond),
-			AllDomains: item.Wide,
+	for _, wire := range items {
+		item := zinniamast.GossipItem{
+			Topic:      zinniamast.Topic(wire.Topic),
+			Key:        wire.Key,
+			Value:      wire.Value,
+			Origin:     wire.Origin,
+			Sequence:   wire.Sequence,
+			Expires:    now.Add(time.Duration(wire.Millis) * time.Millisecond),
+			AllDomains: wire.Wide,
 		}
 		key := gossipKey{
-			topic:  news.Topic,
-			key:    news.Key,
-			origin: news.Origin,
+			topic:  item.Topic,
+			key:    item.Key,
+			origin: item.Origin,
 		}
-		if news.Origin == m.config.ID || len(news.Value) > zinniamast.MaxGossipValueBytes || !m.gossip.put(key, news) {
+		if item.Origin == m.config.ID || len(item.Value) > zinniamast.MaxGossipValueBytes || !m.gossip.put(key, item) {
 			continue
 		}
 		// In the full mesh the origin sends each item to all members. It may die
 		// halfway, so urgent items are also relayed, and some arrive twice.
 		switch {
 		case otherDomain || m.needsRelay():
-			m.broadcastGossip(key, news, from)
-		case urgentTopics[news.Topic]:
-			m.relayUrgent(key, news, from)
+			m.broadcastGossip(key, item, from)
+		case urgentTopics[item.Topic]:
+			m.relayUrgent(key, item, from)
 		default:
-			m.queueForDomains(key, news)
+			m.queueForDomains(key, item)
 		}
-		for _, f := range m.gossip.subscribers[news.Topic] {
-			callbacks = append(callbacks, func() { f(news) })
+		for _, f := range m.gossip.subscribers[item.Topic] {
+			callbacks = append(callbacks, func() { f(item) })
 		}
-		if news.Topic == topicSummary {
-			m.mergeEncodedSummary(news.Value)
+		if item.Topic == topicSummary {
+			m.mergeEncodedSummary(item.Value)
 		}
 	}
 	return callbacks
 }
 
 // relayUrgent queues an urgent item for the next two members on the ring.
-func (m *Membership) relayUrgent(key gossipKey, news zinniamast.GossipItem, from string) {
+func (m *Membership) relayUrgent(key gossipKey, item zinniamast.GossipItem, from string) {
 	ring := m.ring()
 	for _, p := range ring[:min(len(ring), monitoredSuccessors)] {
-		if p.record.ID != from && p.record.ID != news.Origin {
+		if p.record.ID != from && p.record.ID != item.Origin {
 			p.outbox.addGossip(key, false)
 		}
 	}
-	m.queueForDomains(key, news)
+	m.queueForDomains(key, item)
 }
--- a/membership/outbox.go
+++ b/membership/outbox.go
@@ -49,12 +49,12 @@
 	clear(o.records)
 	o.urgent = false
 	for key, urgent := range o.gossip {
-		news, known := table.items[key]
+		item, known := table.items[key]
 		if !known {
 			delete(o.gossip, key)
 			continue
 		}
-		size := len(news.Key) + len(news.Value) + itemOverheadBytes
+		size := len(item.Key) + len(item.Value) + itemOverheadBytes
 		if len(taken.gossip) >= maxGossipPerMessage || !urgent && size > *bulkBytes {
 			o.urgent = o.urgent || urgent
 			continue
@@ -63,7 +63,7 @@
 			*bulkBytes -= size
 		}
 		taken.gossip = append(taken.gossip, key)
-		taken.sequences = append(taken.sequences, news.Sequence)
+		taken.sequences = append(taken.sequences, item.Sequence)
 		delete(o.gossip, key)
 	}
 	slices.Sort(taken.records)
--- a/membership/summary.go
+++ b/membership/summary.go
@@ -262,7 +262,7 @@
 		return
 	}
 	m.gossip.lastSequence++
-	news := zinniamast.GossipItem{
+	item := zinniamast.GossipItem{
 		Topic:    topicSummary,
 		Key:      d.summary.Domain,
 		Value:    value,
@@ -272,12 +272,12 @@
 	}
 	key := gossipKey{
 		topic:  topicSummary,
-		key:    news.Key,
-		origin: news.Origin,
+		key:    item.Key,
+		origin: item.Origin,
 	}
-	if m.gossip.put(key, news) {
+	if m.gossip.put(key, item) {
 		m.gossip.ownKeys[key] = true
-		m.broadcastGossip(key, news, "")
+		m.broadcastGossip(key, item, "")
 	}
 }
 
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -24,8 +24,8 @@
 	minReadInterval = 500 * time.Millisecond
 	maxReadInterval = 10 * time.Second
 	readTimeout     = 2 * time.Second
-	// newsTTL is how long a notice is repeated to nodes that missed it.
-	newsTTL = 2 * time.Minute
+	// gossipTTL is how long a notice is repeated to nodes that missed it.
+	gossipTTL = 2 * time.Minute
 )
 
 // TopicNotice announces that an instance is to be reclaimed; the key is its ID.
@@ -115,7 +115,7 @@
 			Topic:      TopicNotice,
 			Key:        n.Instance,
 			Value:      value,
-			Expires:    time.Now().Add(newsTTL),
+			Expires:    time.Now().Add(gossipTTL),
 			AllDomains: true,
 		})
 	}
@@ -131,10 +131,10 @@
 }
 
 // receive handles a notice from a peer.
-func (c *Controller) receive(news zinniamast.GossipItem) {
+func (c *Controller) receive(item zinniamast.GossipItem) {
 	var n zinniamast.Notice
-	if err := json.Unmarshal(news.Value, &n); err != nil {
-		c.config.Logger.Warn("failed to decode reclaim notice", "origin", news.Origin, "cause", err)
+	if err := json.Unmarshal(item.Value, &n); err != nil {
+		c.config.Logger.Warn("failed to decode reclaim notice", "origin", item.Origin, "cause", err)
 		return
 	}
 	c.record(n)
@@ -177,11 +177,11 @@
 	}
 }
 
-// dropExpired removes notices whose time has passed by more than newsTTL; the
+// dropExpired removes notices whose time has passed by more than gossipTTL; the
 // caller holds the lock.
 func (c *Controller) dropExpired() {
 	for id, at := range c.announced {
-		if time.Since(at) > newsTTL {
+		if time.Since(at) > gossipTTL {
 			delete(c.announced, id)
 		}
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -17,7 +17,7 @@
 	"zinniamast/notice"
 )
 
-// bus delivers news at once to all subscribers on other nodes.
+// bus delivers gossip items at once to all subscribers on other nodes.
 type bus struct {
 	mu          sync.Mutex
 	subscribers map[string][]func(zinniamast.GossipItem)
@@ -29,14 +29,14 @@
 	node string
 }
 
-func (p busClient) Publish(news zinniamast.GossipItem) {
+func (p busClient) Publish(item zinniamast.GossipItem) {
 	p.bus.mu.Lock()
 	defer p.bus.mu.Unlock()
 	p.bus.published++
 	for name, subscribers := range p.bus.subscribers {
 		for _, f := range subscribers {
 			if name != p.node {
-				f(news)
+				f(item)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		newsBus := &bus{subscribers: map[string][]func(zinniamast.GossipItem){}}
+		gossipBus := &bus{subscribers: map[string][]func(zinniamast.GossipItem){}}
 		at := time.Now().Add(30 * time.Second)
 		online := &cloud{notices: []zinniamast.Notice{{Instance: "engine", At: at}, {Instance: "offline", At: at}, {Instance: "late", At: at}}}
 		offline := &cloud{down: true}
@@ -90,7 +90,7 @@
 				Cloud:             c,
 				Upstreams:         board.Upstreams,
 				Members:           board.Members,
-				Gossip:            busClient{bus: newsBus, node: name},
+				Gossip:            busClient{bus: gossipBus, node: name},
 				Instance:          name,
 				FailureDomain:     "a",
 				OnInstanceReclaim: func(time.Time) { reclaimed.Add(1) },
@@ -122,7 +122,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		is.Equal(reclaimed.Load(), int32(1))
-		is.Equal(newsBus.published, 3) // each notice is published once
+		is.Equal(gossipBus.published, 3) // each notice is published once
 		cancel()
 		synctest.Wait()
 	})
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -95,21 +95,21 @@
 }
 
 // receiveLoad replaces another node's last load report.
-func (r *Router) receiveLoad(news zinniamast.GossipItem) {
-	if news.Origin == r.config.Node || len(news.Value)%loadItemBytes != 0 {
+func (r *Router) receiveLoad(gossipItem zinniamast.GossipItem) {
+	if gossipItem.Origin == r.config.Node || len(gossipItem.Value)%loadItemBytes != 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.peerLoads[news.Origin]
+	known, ok := r.peerLoads[gossipItem.Origin]
 	if !ok {
 		known = &peerLoad{}
-		r.peerLoads[news.Origin] = known
+		r.peerLoads[gossipItem.Origin] = known
 	}
 	now := r.config.Now()
 	known.withdraw()
-	known.expires = news.Expires
-	for rest := news.Value; len(rest) > 0; rest = rest[loadItemBytes:] {
+	known.expires = gossipItem.Expires
+	for rest := gossipItem.Value; len(rest) > 0; rest = rest[loadItemBytes:] {
 		p, ok := r.byHash[binary.BigEndian.Uint32(rest)]
 		if !ok {
 			continue
@@ -171,11 +171,11 @@
 // publishCircuitReports publishes the queued reports without holding the lock.
 func (r *Router) publishCircuitReports() {
 	r.mu.Lock()
-	news := r.pendingCircuitReports
+	reports := r.pendingCircuitReports
 	r.pendingCircuitReports = nil
 	r.mu.Unlock()
-	for _, item := range news {
-		r.config.Gossip.Publish(item)
+	for _, report := range reports {
+		r.config.Gossip.Publish(report)
 	}
 }
 
@@ -183,14 +183,14 @@
 // lowers the threshold, so that one local failure opens the circuit, but does not
 // open it by itself: a node with a broken network could otherwise make a service
 // unavailable to all nodes.
-func (r *Router) receiveCircuitReport(news zinniamast.GossipItem) {
-	if news.Origin == r.config.Node {
+func (r *Router) receiveCircuitReport(gossipItem zinniamast.GossipItem) {
+	if gossipItem.Origin == r.config.Node {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p, ok := r.replicas[news.Key]; ok {
-		p.circuit.peerReportExpires = news.Expires
+	if p, ok := r.replicas[gossipItem.Key]; ok {
+		p.circuit.peerReportExpires = gossipItem.Expires
 		r.metrics.circuits.WithLabelValues(circuitPeerReport).Inc()
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,7 +24,7 @@
 
 func (c *fakeClock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-// bus delivers news to all subscribers synchronously.
+// bus delivers gossip items to all subscribers synchronously.
 type bus struct {
 	subscribers map[zinniamast.Topic][]func(zinniamast.GossipItem)
 	sequence    uint64
@@ -38,12 +38,12 @@
 	node string
 }
 
-func (p busEndpoint) Publish(news zinniamast.GossipItem) {
+func (p busEndpoint) Publish(item zinniamast.GossipItem) {
 	p.bus.sequence++
-	news.Origin = p.node
-	news.Sequence = p.bus.sequence
-	for _, f := range p.bus.subscribers[news.Topic] {
-		f(news)
+	item.Origin = p.node
+	item.Sequence = p.bus.sequence
+	for _, f := range p.bus.subscribers[item.Topic] {
+		f(item)
 	}
 }
 
