--- a/limits/share_test.go
+++ b/limits/share_test.go
@@ -28,9 +28,9 @@
 
 func (q *queue) Now() time.Time { return q.now }
 
-func (q *queue) Forecast(need *zinniamast.RouteRequest) limits.Forecast {
+func (q *queue) Forecast(request *zinniamast.RouteRequest) limits.Forecast {
 	ahead := 0.0
-	for priority := 0; priority <= need.Priority; priority++ {
+	for priority := 0; priority <= request.Priority; priority++ {
 		ahead += q.backlog[priority]
 	}
 	wait := time.Duration(ahead / q.capacity * float64(time.Second))
@@ -70,19 +70,19 @@
 	clock   func() time.Time
 }
 
-func (p *port) Publish(news zinniamast.GossipItem) {
-	news.Origin = p.node
+func (p *port) Publish(item zinniamast.GossipItem) {
+	item.Origin = p.node
 	due := p.clock().Add(300 * time.Millisecond)
 	for _, other := range p.bus.ports {
-		if other == p || other.domain != p.domain && !news.AllDomains {
+		if other == p || other.domain != p.domain && !item.AllDomains {
 			continue
 		}
-		p.bus.bytes += len(news.Value)
+		p.bus.bytes += len(item.Value)
 		p.bus.pending = append(p.bus.pending, func() bool {
 			if p.clock().Before(due) {
 				return false
 			}
-			other.receive(news)
+			other.receive(item)
 			return true
 		})
 	}
