--- a/blackboard/members.go
+++ b/blackboard/members.go
@@ -25,9 +25,9 @@
 	Weight float64
 	// Leaving means that it takes no new requests.
 	Leaving bool
-	// Dead means that no sign of life was received for the failure timeout.
+	// Dead means that nothing was received from it for the failure timeout.
 	Dead bool
-	// Heard is the time at which this node last received news of it.
+	// Heard is the time at which this node last received a report about it.
 	Heard time.Time
 	// ConfigVersion is the configuration version it last reported.
 	ConfigVersion uint64
@@ -59,9 +59,9 @@
 	return member, ok
 }
 
-// TurnInterval returns the time until a node's next turn at periodic work that the live
-// nodes of its failure domain share. With apart as the time between two turns of
-// the whole domain, a node's interval grows with the number of live nodes, between
+// TurnInterval returns the time until a node's next turn at periodic work that the
+// live nodes of its failure domain do in turns. The domain as a whole has a turn
+// every apart, so a node's interval is apart times the number of live nodes, within
 // the bounds shortest and longest. Jitter is added so that turns are spread.
 func (m *Members) TurnInterval(failureDomain string, apart, shortest, longest time.Duration) time.Duration {
 	nodes := 0
--- a/blackboard/upstreams.go
+++ b/blackboard/upstreams.go
@@ -45,10 +45,10 @@
 // Inflight returns the number of this node's in-flight attempts on the replica.
 func (u *Upstream) Inflight() int64 { return u.inflight.Load() }
 
-// BeginAttempt adds an in-flight attempt; Exit removes it.
+// BeginAttempt adds an in-flight attempt; EndAttempt removes it.
 func (u *Upstream) BeginAttempt() { u.inflight.Add(1) }
 
-// EndAttempt removes an in-flight attempt that Enter added.
+// EndAttempt removes an in-flight attempt that BeginAttempt added.
 func (u *Upstream) EndAttempt() { u.inflight.Add(-1) }
 
 // Upstreams is the table of replicas. Readers of a service's replicas do not block.
--- a/claims/claim.go
+++ b/claims/claim.go
@@ -178,7 +178,7 @@
 }
 
 // awaitOutcome waits for the outcome of another request's claim on this node.
-func (l *Claim) awaitOutcome(ctx context.Context, first bool) (Record, error) {
+func (l *Claim) awaitOutcome(ctx context.Context, firstSending bool) (Record, error) {
 	select {
 	case <-l.ended:
 	case <-ctx.Done():
@@ -199,7 +199,7 @@
 	// The release may have taken effect although the table's response was lost,
 	// and another node may have run a call under the key since, so this node
 	// cannot confirm that the key is free.
-	return Record{}, unavailable(first)
+	return Record{}, unavailable(firstSending)
 }
 
 // InProgress returns the refusal of a request whose key another request holds.
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -59,9 +59,9 @@
 	defaultMaxObjectBytes = 16 << 20
 	defaultObjectTimeout  = 5 * time.Second
 	defaultRetention      = 24 * time.Hour
-	defaultPatience       = 2 * time.Second
+	defaultAcquireTimeout = 2 * time.Second
 	defaultCallTimeout    = time.Second
-	defaultSettle         = 30 * time.Second
+	defaultSettleDelay    = 30 * time.Second
 	defaultMaxAnswer      = 128 << 10
 	defaultMaxUnsaved     = 10_000
 )
@@ -71,13 +71,13 @@
 		c.Retention = defaultRetention
 	}
 	if c.AcquireTimeout == 0 {
-		c.AcquireTimeout = defaultPatience
+		c.AcquireTimeout = defaultAcquireTimeout
 	}
 	if c.CallTimeout == 0 {
 		c.CallTimeout = defaultCallTimeout
 	}
 	if c.SettleDelay == 0 {
-		c.SettleDelay = defaultSettle
+		c.SettleDelay = defaultSettleDelay
 	}
 	if c.MaxAnswer == 0 {
 		c.MaxAnswer = defaultMaxAnswer
--- a/claims/metrics.go
+++ b/claims/metrics.go
@@ -15,7 +15,8 @@
 
 // Results of acquiring a claim, as metric label values.
 const (
-	begunOwned       = "owned"
+	begunOwned = "owned"
+	// begunRecognised means that the write took effect although its response was lost.
 	begunRecognised  = "recognised"
 	begunTaken       = "taken"
 	begunConflict    = "key_conflict"
@@ -25,15 +26,19 @@
 // Results of writing, reading and deleting answers above MaxAnswer, as metric
 // label values.
 const (
-	objectKept      = "kept"
+	objectKept = "kept"
+	// objectBusy means that the write budget was used up.
 	objectBusy      = "busy"
 	objectOversized = "oversized"
 	objectFailed    = "failed"
 	objectDeleted   = "deleted"
-	objectOrphaned  = "orphaned"
-	objectRead      = "read"
-	objectMissed    = "missed"
-	objectForeign   = "foreign"
+	// objectOrphaned means that an object to which no record refers was not deleted.
+	objectOrphaned = "orphaned"
+	objectRead     = "read"
+	// objectMissed means that the object could not be read.
+	objectMissed = "missed"
+	// objectForeign means that the object does not match its record.
+	objectForeign = "foreign"
 )
 
 var objectResults = []string{objectKept, objectBusy, objectOversized, objectFailed, objectDeleted,
--- a/gossip.go
+++ b/gossip.go
@@ -29,7 +29,7 @@
 // and repeats each with every heartbeat until it expires.
 type Gossip interface {
 	// Publish sends an item to the nodes of the failure domain, or to all nodes if
-	// Wide is set.
+	// AllDomains is set.
 	Publish(item GossipItem)
 	// Subscribe calls f for each received item that is newer than the last one of
 	// the same topic, key and origin. f must not block.
@@ -40,7 +40,7 @@
 type GossipItem struct {
 	Topic Topic
 	Key   string
-	// Value is the content, at most MaxNews bytes.
+	// Value is the content, at most MaxGossipValueBytes bytes.
 	Value []byte
 	// Origin is the node that published the item. Publish sets it.
 	Origin string
--- a/handoff/locate.go
+++ b/handoff/locate.go
@@ -50,7 +50,7 @@
 	}
 	// A node that has handed a request over may still register itself because the
 	// request lost its caller. If that late entry replaced the new holder's, the
-	// caller would be directed to a node that is gone and would receive
+	// caller would be directed to a node that has left and would receive
 	// request_lost for a request that runs.
 	if ok && existing.ID == args.Entry.ID && existing.Hops > args.Entry.Hops {
 		return nil
--- a/handoff/relay.go
+++ b/handoff/relay.go
@@ -15,7 +15,7 @@
 var (
 	// ErrLost means that the peer cannot continue the answer.
 	ErrLost = merry.Sentinel("peer does not hold the answer")
-	// ErrUnreachable means that the peer has not answered for relayPatience.
+	// ErrUnreachable means that the peer has not answered for relaySilenceTimeout.
 	ErrUnreachable = merry.Sentinel("peer holding the answer is unreachable")
 )
 
--- a/handoff/take.go
+++ b/handoff/take.go
@@ -79,7 +79,7 @@
 	return int64(bytes) <= x.config.MemoryCap
 }
 
-// StartArgs tells a node to start a held request, with the tokens produced since
+// StartArgs asks a node to start a held request, with the tokens produced since
 // the Hold call.
 type StartArgs struct {
 	// From is the number of tokens in the held snapshot.
--- a/httplimit/client.go
+++ b/httplimit/client.go
@@ -51,7 +51,7 @@
 //
 // If a call is cancelled while its data waits for a network cut to end, the kernel
 // continues to send the data after an ordinary close. Seconds later the peer would
-// run a request whose caller was told that it failed, or accept an order from a node
+// run a request whose caller has received an error, or accept an order from a node
 // that no longer holds the duty. A reset discards data that was not sent.
 func DialAbortive(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, network, address)
--- a/policy.go
+++ b/policy.go
@@ -168,8 +168,8 @@
 	// ReplicasToAvoid returns the replicas that a suspect request should avoid, so that its
 	// next run distinguishes it from the other suspects.
 	ReplicasToAvoid(fingerprint uint64, replicas []string) []string
-	// AttemptStarted reports that a request starts running on a replica, and Ended that it
-	// has ended there.
+	// AttemptStarted reports that a request starts running on a replica, and
+	// AttemptEnded that it has ended there.
 	AttemptStarted(upstream string, fingerprint uint64)
 	AttemptEnded(upstream string, fingerprint uint64)
 	// ReplicaCrashed reports that a replica crashed while it ran requests.
--- a/registry/follower.go
+++ b/registry/follower.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// applySeed applies the replicas passed to Bring, if there are any.
+// applySeed applies the replicas passed to Seed, if there are any.
 func (f *Follower) applySeed() {
 	select {
 	case changes := <-f.seeds:
@@ -273,9 +273,9 @@
 	return wait
 }
 
-// applyReplicas applies changes. With whole they are a full list, and replicas that
-// it lacks are removed. With afterOutage some changes may date from an outage of
-// the store.
+// applyReplicas applies changes. If whole is set, they are a full list, and replicas
+// that it lacks are removed. If afterOutage is set, some of the changes may date
+// from an outage of the store.
 func (f *Follower) applyReplicas(changes ReplicaChanges, whole, afterOutage bool) {
 	listed := map[string]bool{}
 	// If an entry lapsed and came back in one answer, its last change counts.
--- a/registry/peer_feed.go
+++ b/registry/peer_feed.go
@@ -15,7 +15,7 @@
 // answer.
 //
 // If only the reader is disconnected from the store, its whole failure domain
-// receives no news of leaving replicas until the reader reports ErrStale. With
+// does not learn of leaving replicas until the reader reports ErrStale. With
 // this limit and one call to the store the other nodes learn of a leaving replica
 // within the two seconds that the platform allows.
 const staleAfter = feedSpacing + feedWait + 300*time.Millisecond
@@ -130,8 +130,8 @@
 	}
 }
 
-// ReplicasAfter answers a peer as the store's feed would. ErrHistoryGone means
-// that the peer is too far behind, ErrStale that this node has no recent answer
+// ReplicasAfter answers a peer as the store's feed would. ErrHistoryDropped
+// means that the peer is too far behind, ErrStale that this node has no recent answer
 // from the store.
 func (f *Follower) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error) {
 	p := &f.peerFeed
--- a/registry/relayed.go
+++ b/registry/relayed.go
@@ -72,8 +72,8 @@
 	return r.config.Reader()
 }
 
-// recordReaderFailure records a peer's failure. ErrHistoryGone is not a failure of
-// the peer: it only lacks the history from the requested position.
+// recordReaderFailure records a peer's failure. ErrHistoryDropped is not a failure
+// of the peer: it only lacks the history from the requested position.
 func (l *loopState) recordReaderFailure(err error) {
 	if !errors.Is(err, ErrHistoryDropped) {
 		l.readerBackoffUntil = time.Now().Add(readerBackoff)
--- a/reports/reports_test.go
+++ b/reports/reports_test.go
@@ -81,12 +81,12 @@
 var errDead = errors.New("no answer")
 
 // FetchReports implements reports.Peer.
-func (n *node) FetchReports(ctx context.Context, ask reports.Query) (reports.Answer, error) {
+func (n *node) FetchReports(ctx context.Context, query reports.Query) (reports.Answer, error) {
 	if n.dead.Load() {
 		<-ctx.Done()
 		return reports.Answer{}, errDead
 	}
-	return n.sharer.Answer(ctx, ask), nil
+	return n.sharer.Answer(ctx, query), nil
 }
 
 // firstAlive returns the first living node of a failure domain.
--- a/reports/share.go
+++ b/reports/share.go
@@ -30,7 +30,7 @@
 
 // Peer fetches reports from another node.
 type Peer interface {
-	FetchReports(ctx context.Context, ask Query) (Answer, error)
+	FetchReports(ctx context.Context, query Query) (Answer, error)
 }
 
 // Config configures a Sharer.
@@ -82,12 +82,12 @@
 }
 
 // Answer answers the query of another node.
-func (s *Sharer) Answer(ctx context.Context, ask Query) Answer {
-	if ask.Node != "" {
-		s.config.Demand.ReceiveNode(ask.Node, ask.Loads)
+func (s *Sharer) Answer(ctx context.Context, query Query) Answer {
+	if query.Node != "" {
+		s.config.Demand.ReceiveNode(query.Node, query.Loads)
 	}
-	answer := s.board.Since(ctx, ask.FailureDomain, ask.Position, min(ask.Wait, maxQueryWait))
-	answer.Demand = s.config.Demand.Domains(ask.FailureDomain)
+	answer := s.board.Since(ctx, query.FailureDomain, query.Position, min(query.Wait, maxQueryWait))
+	answer.Demand = s.config.Demand.Domains(query.FailureDomain)
 	return answer
 }
 
@@ -159,13 +159,13 @@
 // query stores the answer of a peer and returns the position to continue from. A
 // position that another peer gave is harmless: the answer holds too much or,
 // once, nothing new.
-func (s *Sharer) query(ctx context.Context, peer Peer, ask Query) uint64 {
+func (s *Sharer) query(ctx context.Context, peer Peer, query Query) uint64 {
 	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	ask.Wait = queryWait
-	answer, err := peer.FetchReports(queryCtx, ask)
+	query.Wait = queryWait
+	answer, err := peer.FetchReports(queryCtx, query)
 	if err != nil {
-		s.config.Logger.Debug("fetching load reports from another node failed", "failure_domain", ask.FailureDomain, "cause", err)
+		s.config.Logger.Debug("fetching load reports from another node failed", "failure_domain", query.FailureDomain, "cause", err)
 		pause(ctx, retryDelay)
 		return 0
 	}
@@ -176,7 +176,7 @@
 	return answer.Position
 }
 
-// apply stores reports on the board and passes the new ones to Hear.
+// apply stores reports on the board and passes the new ones to Config.OnReport.
 func (s *Sharer) apply(reports []Report) {
 	now := time.Now()
 	for _, r := range s.board.Put(reports) {
--- a/retry/hedge.go
+++ b/retry/hedge.go
@@ -16,16 +16,16 @@
 // that are not idempotent are never hedged, because both copies would run. A hedge
 // counts against the retry budget like a retry but cannot use the reserve, so that
 // hedges neither add to an overload nor use up retries that failures may need.
-func (p *Policy) Hedge(ask HedgeRequest) bool {
-	if !ask.Idempotent {
+func (p *Policy) Hedge(request HedgeRequest) bool {
+	if !request.Idempotent {
 		p.decisions.WithLabelValues(decisionHedgeDenied).Inc()
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	state := p.serviceState(ask.Service, now)
-	if !state.effect.retriesHelp() || !p.spend(p.organisationBudget(ask.Organisation, ask.Service, now), state, ask.Ratio, 0) {
+	state := p.serviceState(request.Service, now)
+	if !state.effect.retriesHelp() || !p.spend(p.organisationBudget(request.Organisation, request.Service, now), state, request.Ratio, 0) {
 		p.decisions.WithLabelValues(decisionHedgeDenied).Inc()
 		return false
 	}
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -7,8 +7,9 @@
 
 // Values of the metric label "decision".
 const (
-	decisionAllowed     = "allowed"
-	decisionFree        = "free"
+	decisionAllowed = "allowed"
+	// decisionFailover counts failovers, which are allowed beyond the budget.
+	decisionFailover    = "free"
 	decisionRefused     = "refused"
 	decisionHedged      = "hedged"
 	decisionHedgeDenied = "hedge_denied"
@@ -20,7 +21,7 @@
 		Name: "zinniamast_retry_decisions_total",
 		Help: "Decisions about retries and hedges.",
 	}, []string{"decision"})
-	for _, decision := range []string{decisionAllowed, decisionFree, decisionRefused, decisionHedged, decisionHedgeDenied} {
+	for _, decision := range []string{decisionAllowed, decisionFailover, decisionRefused, decisionHedged, decisionHedgeDenied} {
 		decisions.WithLabelValues(decision)
 	}
 	return decisions
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -145,7 +145,7 @@
 }
 
 const (
-	// maxFailovers is the number of retries per request that GoOn allows beyond
+	// maxFailovers is the number of retries per request that Failover allows beyond
 	// the budget.
 	maxFailovers = 2
 	// successWindow is the maximum age of a service's last success for the service to
@@ -175,7 +175,7 @@
 		p.organisationBudget(organisation, service, now).countRetried()
 		wait := p.backoff(retry)
 		p.mu.Unlock()
-		p.decisions.WithLabelValues(decisionFree).Inc()
+		p.decisions.WithLabelValues(decisionFailover).Inc()
 		return wait, nil
 	}
 	p.mu.Unlock()
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -64,7 +64,7 @@
 
 // One of three replicas crashes while it runs 40 streams. None of them is refused:
 // each continues on another replica, because the other replicas answer. Then all
-// replicas crash, and GoOn is limited by the budget like any retry.
+// replicas crash, and Failover is limited by the budget like any retry.
 func TestStreamsOfCrashedReplicaAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	c := newFakeClock()
@@ -206,17 +206,17 @@
 	is := is.New(t)
 	c := newFakeClock()
 	policy := retry.New(retry.Config{Now: c.Now})
-	ask := retry.HedgeRequest{
+	request := retry.HedgeRequest{
 		Organisation: "atlas",
 		Service:      "stock",
 		Ratio:        ratio,
 	}
-	is.True(!policy.Hedge(ask))
-	ask.Idempotent = true
+	is.True(!policy.Hedge(request))
+	request.Idempotent = true
 	hedged := 0
 	for range 100 {
 		policy.Started("atlas", "stock")
-		if policy.Hedge(ask) {
+		if policy.Hedge(request) {
 			hedged++
 		}
 	}
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,7 +10,7 @@
 	"zinniamast/retry"
 )
 
-// Every node sends again as often as Again allows, at any rate. Over all nodes and
+// Every node sends again as often as AllowRetry allows, at any rate. Over all nodes and
 // in every window, repeated sends stay within the ratio of the requests plus the
 // slack, although the nodes do not communicate.
 func TestWindowLimitsRepeatsOfAllNodes(t *testing.T) {
@@ -63,7 +63,7 @@
 	return count
 }
 
-// Again allows the node's share of the slack for a service without requests, and
+// AllowRetry allows the node's share of the slack for a service without requests, and
 // for one with requests a ratio of them in addition.
 func TestWindowAllowsRepeatsUpToLimit(t *testing.T) {
 	check := is.New(t)
--- a/scaling/controller.go
+++ b/scaling/controller.go
@@ -350,7 +350,7 @@
 	}
 	now := time.Now()
 	t := c.trackerOf(service)
-	t.recordNeed(s, c.isSettled(now), now)
+	t.recordNeed(s, c.isStartupOver(now), now)
 	s.Required = t.needs.Required(now)
 	s.Desired = t.needs.Desired(now)
 	s.Retained = t.retainedCount(s)
@@ -363,9 +363,9 @@
 	return s
 }
 
-// isSettled reports whether startupDelay is over, so that on-demand replicas may
+// isStartupOver reports whether startupDelay is over, so that on-demand replicas may
 // be ordered and the number of any replicas reduced.
-func (c *Controller) isSettled(now time.Time) bool { return now.Sub(c.startedAt) >= startupDelay }
+func (c *Controller) isStartupOver(now time.Time) bool { return now.Sub(c.startedAt) >= startupDelay }
 
 // order sends an order if it differs from the last one, if the last one was not
 // fulfilled, or if some of its replicas have left since. It reports whether the
@@ -380,7 +380,7 @@
 		place:   place,
 	}
 	now := time.Now()
-	settled := c.isSettled(now) && c.trackers[service].isListComplete(now)
+	settled := c.isStartupOver(now) && c.trackers[service].isListComplete(now)
 	if !settled && (place.Market == zinniamast.OnDemand || count < s.Present[place]) {
 		return false
 	}
--- a/silence/silence.go
+++ b/silence/silence.go
@@ -12,7 +12,7 @@
 // ErrSilent is the cancellation cause of an attempt that a watch ends.
 var ErrSilent = errors.New("the replica is silent")
 
-// recheckInterval is the time between two calls of Config.Leave while the request
+// recheckInterval is the time between two calls of Config.MayLeave while the request
 // may not leave its silent replica.
 const recheckInterval = 200 * time.Millisecond
 
@@ -80,7 +80,7 @@
 	w.config.Cancel(ErrSilent)
 }
 
-// Suspend suspends the watch until the next call of Heard. It is called while nothing
+// Suspend suspends the watch until the next call of Received. It is called while nothing
 // is read from the replica.
 func (w *Watch) Suspend() {
 	w.mu.Lock()
--- a/silence/silence_test.go
+++ b/silence/silence_test.go
@@ -12,12 +12,12 @@
 	"zinniamast/silence"
 )
 
-// fixture is a watch with its attempt's context and a count of the calls of Leave.
+// fixture is a watch with its attempt's context and a count of the calls of MayLeave.
 type fixture struct {
-	watch      *silence.Watch
-	ctx        context.Context
-	leaveCalls atomic.Int64
-	mayLeave   atomic.Bool
+	watch         *silence.Watch
+	ctx           context.Context
+	mayLeaveCalls atomic.Int64
+	mayLeave      atomic.Bool
 }
 
 func newFixture(first, pause time.Duration) *fixture {
@@ -29,7 +29,7 @@
 		First: first,
 		Pause: pause,
 		MayLeave: func() bool {
-			f.leaveCalls.Add(1)
+			f.mayLeaveCalls.Add(1)
 			return f.mayLeave.Load()
 		},
 		Cancel: cancel,
@@ -45,7 +45,7 @@
 		time.Sleep(1900 * time.Millisecond)
 		synctest.Wait()
 		check.NoErr(f.ctx.Err())
-		check.Equal(f.leaveCalls.Load(), int64(5))
+		check.Equal(f.mayLeaveCalls.Load(), int64(5))
 		f.mayLeave.Store(true)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
@@ -55,7 +55,7 @@
 }
 
 // Guards against a wait that is measured from before the last data of the replica.
-func TestHeardRestartsTheWait(t *testing.T) {
+func TestReceivedDataRestartsTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		f := newFixture(time.Second, 500*time.Millisecond)
@@ -79,10 +79,10 @@
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
 		check.True(!f.watch.Stop())
-		calls := f.leaveCalls.Load()
+		calls := f.mayLeaveCalls.Load()
 		f.watch.Received()
 		time.Sleep(time.Minute)
-		check.Equal(f.leaveCalls.Load(), calls)
+		check.Equal(f.mayLeaveCalls.Load(), calls)
 	})
 }
 
