--- a/claims/throughput_test.go
+++ b/claims/throughput_test.go
@@ -37,17 +37,17 @@
 			WritesASecond: 300,
 		})
 		var all []*claims.Claims
-		var paths []*tablebudget.Client
+		var clients []*tablebudget.Client
 		for n := range nodes {
-			path := tablebudget.New(tablebudget.Config{
+			client := tablebudget.New(tablebudget.Config{
 				Table:           p.Table,
 				WritesPerSecond: 290.0 / nodes,
 				ReadsPerSecond:  2000.0 / nodes,
 				MaxBatch:        maxBatch,
 			})
-			paths = append(paths, path)
+			clients = append(clients, client)
 			all = append(all, claims.New(claims.Config{
-				Table: path,
+				Table: client,
 				Node:  fmt.Sprint("node-", n),
 			}))
 		}
@@ -87,7 +87,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			m.unsaved += node.Close(ctx)
 			cancel()
-			paths[i].Close()
+			clients[i].Close()
 		}
 		slices.Sort(waits)
 		m.p50 = waits[len(waits)/2]
--- a/demand/demand.go
+++ b/demand/demand.go
@@ -21,9 +21,9 @@
 	// runningWindow is the time constant of the average of in-flight requests.
 	//
 	// An organisation may send six times its usual load from one moment to the next.
-	// With an average over three seconds, the last of the replicas that this needs
-	// are ordered after 3 s and serve 4 s later still. Orders keep the maximum of the
-	// last eight seconds, so a short average does not make them flap.
+	// With an average over three seconds, the last of the replicas that this load
+	// needs are ordered after 3 s and serve another 4 s later. Orders keep the
+	// maximum of the last eight seconds, so a short average does not make them flap.
 	runningWindow = time.Second
 )
 
--- a/handoff/read.go
+++ b/handoff/read.go
@@ -76,7 +76,7 @@
 		// The held requests are checked first. A request is added to the running
 		// ones before it is removed from the held ones, so this order always finds
 		// it in one of them. In the opposite order a request that started between
-		// the two checks was found in neither and reported as lost.
+		// the two checks would be found in neither and reported as lost.
 		held := x.isHeld(wanted.ID)
 		q := x.config.Board.Requests.Get(wanted.ID)
 		if q == nil && held {
--- a/platform.go
+++ b/platform.go
@@ -130,7 +130,7 @@
 	// Start buys an instance. Repeating the call with the same token returns the
 	// same instance. The role may include the service, as in "engine/draft".
 	Start(ctx context.Context, token string, offer Offer, role string) (Instance, error)
-	// Stop gives an instance back. Stopping a missing one is not an error.
+	// Stop returns an instance to the cloud. Stopping a missing one is not an error.
 	Stop(ctx context.Context, id string) error
 	// Notices lists the announced reclaims that have not happened yet.
 	Notices(ctx context.Context) ([]Notice, error)
--- a/policy.go
+++ b/policy.go
@@ -155,8 +155,9 @@
 	Succeeded(service string)
 	// Failover is like Retry, for an attempt that adds no load beyond the request's
 	// own: either nothing of the previous attempt was sent, or its replica failed
-	// and the part of the answer already produced remains valid. Such an attempt
-	// is refused only while the service does not answer other requests.
+	// and the part of the answer already produced remains valid. The budget
+	// applies to the first such attempts of a request only while the service does
+	// not answer other requests.
 	Failover(organisation, service string, retry int, ratio float64) (time.Duration, error)
 }
 
--- a/registry/follower.go
+++ b/registry/follower.go
@@ -375,8 +375,8 @@
 
 // lapsedFraction is the fraction of a service's replicas that must disappear
 // together during a loss of the store to count as lapsed entries. It is above the
-// part that a reclaim of a failure domain takes, which is a quarter or a half of
-// them.
+// fraction that is lost when a failure domain is reclaimed, which is a quarter or a
+// half.
 const lapsedFraction = 0.6
 
 // handleMissing handles entries that are no longer in the table.
--- a/reports/board.go
+++ b/reports/board.go
@@ -50,8 +50,8 @@
 	changed chan struct{}
 }
 
-// reportExpiry is the age from which a report is meaningless: its replica is
-// gone, or no node reaches it.
+// reportExpiry is the age from which a report is meaningless: its replica no
+// longer exists, or no node can reach it.
 const reportExpiry = 5 * time.Second
 
 // NewBoard returns an empty board. Its positions start at the current time, so
--- a/roster/retire.go
+++ b/roster/retire.go
@@ -9,8 +9,8 @@
 )
 
 // retireAfter is how long an instance must have been silent before its entry is
-// removed. It is ten times as long as failure domains are partitioned or as the
-// replacement of an instance takes.
+// removed. It is ten times the usual length of a partition between failure
+// domains or of the replacement of an instance.
 const retireAfter = 15 * time.Minute
 
 // Retire removes the entries of this failure domain whose instances have been
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -131,8 +131,8 @@
 //
 // Reclaimable replicas that were refused are ordered again some seconds later,
 // and each such plan counts on them. If they took up a failure domain's limit, or
-// if on-demand ones were given back at that moment, replicas ordered four seconds
-// before would be stopped before they serve: at a peak that needs 24 replicas,
+// if on-demand ones were stopped at that moment, replicas ordered four seconds
+// before would be lost before they serve: at a peak that needs 24 replicas,
 // only eight are then present for ten seconds.
 func retainedOnDemand(domains []string, s State) map[string]int {
 	missing := max(s.Required, s.Retained)
@@ -193,7 +193,7 @@
 }
 
 // desiredReplicas returns how many replicas the demand needs where they are
-// cheap: as many as leave the required ones when a failure domain is lost, and
+// cheap: so many that the required ones remain when a failure domain is lost, and
 // more where the price is low.
 //
 // An organisation's load may rise to several times its usual within a moment, or
@@ -225,9 +225,9 @@
 	return (s.Service.Scaling.Min + s.Service.Scaling.Max) * len(s.Domains) / 2
 }
 
-// withSpareDomain returns how many replicas leave the required ones when one
-// failure domain's part of them is lost and no others are available for some ten
-// seconds.
+// withSpareDomain returns how many replicas are ordered so that the required ones
+// remain when one failure domain's part is lost and no others are available for
+// some ten seconds.
 func withSpareDomain(required, domains int) int {
 	if domains < 2 {
 		return required
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -46,7 +46,7 @@
 }
 
 // Without refusals all replicas are reclaimable ones, spread evenly. On-demand
-// replicas are given back once the reclaimable ones are present, not before.
+// replicas are stopped once the reclaimable ones are present, not before.
 func TestReclaimableReplicasAreSpreadEvenly(t *testing.T) {
 	check := is.New(t)
 	present := map[scaling.Place]int{}
@@ -130,7 +130,7 @@
 }
 
 // Reclaimable replicas that were refused are ordered again, and the plan counts
-// on them. If it gave the on-demand replica back before the refusal arrives, the
+// on them. If it stopped the on-demand replica before the refusal arrives, the
 // only replica of a failure domain would stop every four seconds and another
 // would take four to start, with an empty cache.
 func TestOnDemandReplicaStaysUntilTheReclaimableOneIsPresent(t *testing.T) {
@@ -204,7 +204,7 @@
 
 // All failure domains are at their limit with on-demand replicas that start in
 // place of reclaimed ones. Reclaimable replicas are ordered again and would fill
-// the limit alone. If the starting replicas were given back for them, a third of
+// the limit alone. If the starting replicas were stopped for them, a third of
 // the needed replicas would serve the peak.
 func TestStartingReplicasStayAtTheLimit(t *testing.T) {
 	check := is.New(t)
