--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -176,7 +176,7 @@
 		o.nodes = append(o.nodes, newNode(p, seed+uint64(len(o.nodes)), chance, &late, &running))
 	}
 	starts := uint64(0)
-	// restart stops a node regularly and starts another one on its instance.
+	// restart shuts a node down and starts another one on its instance.
 	restart := func(at int) {
 		starts++
 		old := o.nodes[at]
--- a/lease/run.go
+++ b/lease/run.go
@@ -148,8 +148,8 @@
 	return l.record.Session != l.session
 }
 
-// writeWithTimeout writes a record with a timeout of a part of the term, so that a table that
-// does not answer leaves time for a retry.
+// writeWithTimeout writes a record with a timeout that is a fraction of the term, so
+// that time for a retry remains if the table does not answer.
 func (l *Lease) writeWithTimeout(ctx context.Context, r record) error {
 	ctx, cancel := context.WithTimeout(ctx, l.config.Term/renewDivisor)
 	defer cancel()
--- a/registry/peer_feed.go
+++ b/registry/peer_feed.go
@@ -131,8 +131,8 @@
 }
 
 // ReplicasAfter answers a peer as the store's feed would. ErrHistoryDropped
-// means that the peer is too far behind, ErrStale that this node has no recent answer
-// from the store.
+// means that the peer is too far behind, ErrStale that this node has no recent
+// answer from the store.
 func (f *Follower) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (ReplicaChanges, error) {
 	p := &f.peerFeed
 	p.wait(ctx, &p.replicas, position, wait)
--- a/reports/reports_test.go
+++ b/reports/reports_test.go
@@ -182,7 +182,7 @@
 		}
 		d.replicas.mu.Lock()
 		defer d.replicas.mu.Unlock()
-		check.True(d.replicas.readings["replica-burnaby-a"] <= 13) // 3.5 s at one each 0.3 s
+		check.True(d.replicas.readings["replica-burnaby-a"] <= 13) // one reading every 0.3 s in 3.5 s
 	})
 }
 
--- a/reports/share.go
+++ b/reports/share.go
@@ -93,11 +93,11 @@
 
 const (
 	// queryWait is how long another node may wait for a report before it answers;
-	// while replicas live there is one every readInterval.
+	// while replicas run there is one every readInterval.
 	queryWait = time.Second
 	// maxQueryWait bounds the wait that other nodes may ask for.
 	maxQueryWait = 2 * time.Second
-	// queryTimeout is when an unanswered query has failed.
+	// queryTimeout is the time after which an unanswered query counts as failed.
 	queryTimeout = 1300 * time.Millisecond
 	// retryDelay is the pause after a failed query, or while there is no node to
 	// query.
@@ -157,8 +157,8 @@
 }
 
 // query stores the answer of a peer and returns the position to continue from. A
-// position that another peer gave is harmless: the answer holds too much or,
-// once, nothing new.
+// position that came from another peer is harmless: the answer contains reports
+// that are known already or, once, no new ones.
 func (s *Sharer) query(ctx context.Context, peer Peer, query Query) uint64 {
 	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -135,8 +135,8 @@
 	e.updated = now
 }
 
-// retriesHelp reports whether retries help. The share of failed retries is taken
-// of at least effectMinRetries, so that a few failures at low traffic do not make
+// retriesHelp reports whether retries help. The share of failed retries is computed
+// over at least effectMinRetries, so that a few failures at low traffic do not make
 // the reserve unavailable.
 func (e *retryEffect) retriesHelp() bool {
 	return e.failed < effectMaxFailedShare*max(e.allowed, effectMinRetries)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -109,22 +109,22 @@
 		Seed: 7,
 		Now:  c.Now,
 	})
-	const step, fails, length = 100 * time.Millisecond, 50, 600
+	const step, stepsToFail, length = 100 * time.Millisecond, 50, 600
 	for range 600 {
 		policy.Started("cedarline", "booking")
 		c.now = c.now.Add(step)
 	}
 	attempts := 0
-	// failing holds, by the step at which they fail, attempts by their number.
+	// failing maps each step to the numbers of the attempts that fail in it.
 	failing := map[int][]int{}
 	for i := range length {
 		policy.Started("cedarline", "booking")
 		attempts++
-		failing[i+fails] = append(failing[i+fails], 1)
+		failing[i+stepsToFail] = append(failing[i+stepsToFail], 1)
 		for _, n := range failing[i] {
 			if _, err := policy.Retry("cedarline", "booking", n, ratio); err == nil {
 				attempts++
-				failing[i+fails] = append(failing[i+fails], n+1)
+				failing[i+stepsToFail] = append(failing[i+stepsToFail], n+1)
 			}
 		}
 		c.now = c.now.Add(step)
--- a/retry/state.go
+++ b/retry/state.go
@@ -4,31 +4,31 @@
 
 // organisationBudget returns an organisation's budget at a service, decayed to now.
 func (p *Policy) organisationBudget(organisation, service string, now time.Time) *budget {
-	name := budgetKey{
+	key := budgetKey{
 		organisation: organisation,
 		service:      service,
 	}
-	found, ok := p.budgets[name]
+	b, ok := p.budgets[key]
 	if !ok {
-		found = newBudget(now)
-		p.budgets[name] = found
+		b = newBudget(now)
+		p.budgets[key] = b
 	}
-	found.decay(now)
-	return found
+	b.decay(now)
+	return b
 }
 
 // serviceState returns a service's state, decayed to now.
 func (p *Policy) serviceState(name string, now time.Time) *serviceState {
-	found, ok := p.services[name]
+	state, ok := p.services[name]
 	if !ok {
-		found = &serviceState{
+		state = &serviceState{
 			budget: newBudget(now),
 		}
-		p.services[name] = found
+		p.services[name] = state
 	}
-	found.budget.decay(now)
-	found.effect.decay(now)
-	return found
+	state.budget.decay(now)
+	state.effect.decay(now)
+	return state
 }
 
 // sweepInterval is the interval at which entries without recent attempts are removed.
@@ -41,13 +41,13 @@
 		return
 	}
 	p.lastSweep = now
-	for name, found := range p.budgets {
-		if now.Sub(found.long.updated) > sweepInterval {
-			delete(p.budgets, name)
+	for key, b := range p.budgets {
+		if now.Sub(b.long.updated) > sweepInterval {
+			delete(p.budgets, key)
 		}
 	}
-	for name, found := range p.services {
-		if now.Sub(found.budget.long.updated) > sweepInterval {
+	for name, state := range p.services {
+		if now.Sub(state.budget.long.updated) > sweepInterval {
 			delete(p.services, name)
 		}
 	}
--- a/scaling/demand_test.go
+++ b/scaling/demand_test.go
@@ -207,7 +207,7 @@
 // Long prompts, few at a time, go to engines with many slots and slow prefill: 40
 // a second of 150 ms keep six replicas busy, though they fill a twentieth of
 // their slots. Sized by slots, four replicas would be ordered, and each prompt
-// would wait for seconds of others.
+// would wait several seconds for others.
 func TestLongPromptsAreSizedByTheirWork(t *testing.T) {
 	check := is.New(t)
 	runWithRequests(t, 128, 40, constantWork(150*time.Millisecond), func(m *market) {
