--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// targetBusyFraction and targetSlotFraction are the fractions of its time and of
-	// its slots for which a replica is ordered to be in use. The rest is headroom,
-	// since requests arrive unevenly over time and over replicas.
+	// targetBusyFraction and targetSlotFraction are the fractions of a replica's time
+	// and slots that are planned to be in use. The rest is headroom, since requests
+	// arrive unevenly over time and over replicas.
 	targetBusyFraction = 0.6
 	targetSlotFraction = 0.5
 	// linearSurplusReplicas is the number of busy replicas up to which the surplus of
-	// reclaimable ones grows linearly, by their price alone.
+	// reclaimable ones is proportional to it, with a factor that depends only on the
+	// price.
 	linearSurplusReplicas = 4
 	// defaultSlots applies to a service whose configuration does not state how many
 	// requests a replica runs at once.
