--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -64,7 +64,7 @@
 
 // One of three replicas crashes while it runs 40 streams. None of them is refused:
 // each continues on another replica, because the other replicas answer. Then all
-// replicas crash, and GoOn is limited by the budget like any retry.
+// replicas crash, and Failover is limited by the budget like any retry.
 func TestStreamsOfCrashedReplicaAreNotRefused(t *testing.T) {
 	is := is.New(t)
 	c := newFakeClock()
@@ -109,22 +109,22 @@
 		Seed: 7,
 		Now:  c.Now,
 	})
-	const step, fails, length = 100 * time.Millisecond, 50, 600
+	const step, stepsToFail, length = 100 * time.Millisecond, 50, 600
 	for range 600 {
 		policy.Started("cedarline", "booking")
 		c.now = c.now.Add(step)
 	}
 	attempts := 0
-	// failing holds, by the step at which they fail, attempts by their number.
+	// failing maps each step to the numbers of the attempts that fail in it.
 	failing := map[int][]int{}
 	for i := range length {
 		policy.Started("cedarline", "booking")
 		attempts++
-		failing[i+fails] = append(failing[i+fails], 1)
+		failing[i+stepsToFail] = append(failing[i+stepsToFail], 1)
 		for _, n := range failing[i] {
 			if _, err := policy.Retry("cedarline", "booking", n, ratio); err == nil {
 				attempts++
-				failing[i+fails] = append(failing[i+fails], n+1)
+				failing[i+stepsToFail] = append(failing[i+stepsToFail], n+1)
 			}
 		}
 		c.now = c.now.Add(step)
@@ -206,17 +206,17 @@
 	is := is.New(t)
 	c := newFakeClock()
 	policy := retry.New(retry.Config{Now: c.Now})
-	ask := retry.HedgeRequest{
+	request := retry.HedgeRequest{
 		Organisation: "atlas",
 		Service:      "stock",
 		Ratio:        ratio,
 	}
-	is.True(!policy.Hedge(ask))
-	ask.Idempotent = true
+	is.True(!policy.Hedge(request))
+	request.Idempotent = true
 	hedged := 0
 	for range 100 {
 		policy.Started("atlas", "stock")
-		if policy.Hedge(ask) {
+		if policy.Hedge(request) {
 			hedged++
 		}
 	}
