--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -35,7 +35,7 @@
 	routes    *routes.Table
 	upstreams *blackboard.Upstreams
 	replicas  []*replica.Replica
-	// started counts the calls of Began.
+	// started counts the calls of CountStarted.
 	started atomic.Int64
 	closing atomic.Bool
 	// refusalWait is the wait that Take returns, in nanoseconds; zero grants all requests.
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -44,7 +44,7 @@
 
 // Demand records the load of requests that this node receives.
 type Demand interface {
-	// RequestStarted counts a request for a service that starts, and Left one that ends.
+	// RequestStarted counts a request for a service that starts, and RequestEnded one that ends.
 	RequestStarted(service string, promptTokens int)
 	RequestEnded(service string)
 	// AddWork adds the predicted compute time of a request on its replica; zero if it
--- a/limits/allowance.go
+++ b/limits/allowance.go
@@ -46,7 +46,7 @@
 	Take func(ctx context.Context, address string, ask PoolRequest) (PoolAnswer, error)
 	// Renew renews this node's loans to another node's pools.
 	Renew func(ctx context.Context, address string, renewal PoolRenewal) error
-	// NotSent reports whether an error of Ask or Renew proves that the call did not
+	// NotSent reports whether an error of Take or Renew proves that the call did not
 	// arrive; nil means that no error does.
 	NotSent func(err error) bool
 	// Organisations returns the organisations with an allowance.
--- a/limits/pool_ask.go
+++ b/limits/pool_request.go
@@ -58,7 +58,7 @@
 	Starts       time.Duration
 }
 
-// PoolAnswer is a pool's answer to a PoolAsk.
+// PoolAnswer is a pool's answer to a PoolRequest.
 type PoolAnswer struct {
 	Granted bool
 	// Wait is the time until the amount is expected to be available.
--- a/policy.go
+++ b/policy.go
@@ -5,7 +5,7 @@
 // Router chooses the upstream of each attempt.
 type Router interface {
 	// Route chooses an upstream. Errors are of type *Refusal.
-	Route(need *RouteRequest) (Choice, error)
+	Route(request *RouteRequest) (Choice, error)
 	// Observe reports the progress of an attempt. It is safe for concurrent use.
 	Observe(observation Observation)
 	// Explain describes in a few lines why a recent request was routed to its upstream.
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -33,7 +33,7 @@
 // Guards against a repeated prefill of a session's shared prefix at one replica after the
 // other. Ninety nodes send the session's requests and each has a history of only its own.
 // If engines do not report the contents of their caches, the home of a prefix looks no
-// better than any replica with slightly less load. With HomeHolds it is assumed to have
+// better than any replica with slightly less load. With HomeCachedShare it is assumed to have
 // most of the prefix cached, and every node chooses it while it meets the target.
 func TestNodesWithoutHistoryAgreeOnAHome(t *testing.T) {
 	check := is.New(t)
--- a/routing/predict.go
+++ b/routing/predict.go
@@ -144,7 +144,7 @@
 }
 
 // expectHomePrefix assumes that other nodes have sent the prefix to the home of its
-// longest anchor, and that the fraction HomeHolds of it is cached there.
+// longest anchor, and that the fraction HomeCachedShare of it is cached there.
 func (r *Router) expectHomePrefix(c *candidate, request *zinniamast.RouteRequest, now time.Time) {
 	if len(r.lookup.hashes) == 0 || c.replica != r.longestAnchorHome {
 		return
