--- a/caller/chat.go
+++ b/caller/chat.go
@@ -177,8 +177,8 @@
 
 // handleOrphan announces to peers that the request has lost its caller. If the
 // request has no idempotency key and no caller attaches again, it is cancelled
-// after a delay, so that a caller who has pressed stop does not keep a replica
-// busy until the end of the answer.
+// after a delay, so that a user who stops an answer does not keep a replica
+// busy until its end.
 func (s *Server) handleOrphan(a *parsedRequest) {
 	q := s.config.Board.Requests.Get(a.call.ID)
 	if q == nil {
--- a/caller/server.go
+++ b/caller/server.go
@@ -147,7 +147,7 @@
 //
 // The answer to a booking may be lost and the caller may retry with the same key at
 // a node that refuses because it has just started. The retry did not run, but the
-// first request may have: a caller that is told "not run" and sends the booking
+// first request may have: a caller that receives "not run" and sends the booking
 // under a new key would book twice.
 func ranBeforeLookup(q *http.Request) zinniamast.Ran {
 	service := strings.HasPrefix(q.URL.Path, servicesPath)
--- a/capacitypage/cluster_test.go
+++ b/capacitypage/cluster_test.go
@@ -110,7 +110,7 @@
 }
 
 // compressedInstanceList returns the instance list as the platform sends it. It
-// is compressed once, so that the stand-in uses little processor time.
+// is compressed once, so that the stand-in uses little CPU time.
 func compressedInstanceList(engines string, upstreams int) []byte {
 	instances := make([]zinniamast.Instance, upstreams)
 	for i := range instances {
@@ -225,8 +225,8 @@
 	return true
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
--- a/capacitypage/node_test.go
+++ b/capacitypage/node_test.go
@@ -33,10 +33,10 @@
 
 func (c *testCluster) measure(b *testing.B, baseHeap int64) {
 	list, cloud, reports := c.listListener.bytes.Load(), c.cloudListener.bytes.Load(), c.engineListener.bytes.Load()
-	requests, reads, used := c.engineRequests.Load(), c.listReads.Load(), processorTime()
+	requests, reads, used := c.engineRequests.Load(), c.listReads.Load(), cpuTime()
 	time.Sleep(measureWindow)
 	nodeSeconds := measureWindow.Seconds() * float64(len(c.nodes))
-	b.ReportMetric(100*(processorTime()-used).Seconds()/nodeSeconds, "core-%/node")
+	b.ReportMetric(100*(cpuTime()-used).Seconds()/nodeSeconds, "core-%/node")
 	b.ReportMetric(float64(c.listListener.bytes.Load()-list)/nodeSeconds, "list-B/s/node")
 	b.ReportMetric(float64(c.listReads.Load()-reads)/measureWindow.Seconds(), "list-reads/s")
 	b.ReportMetric(float64(c.cloudListener.bytes.Load()-cloud)/nodeSeconds, "cloud-B/s/node")
--- a/config/capacity.go
+++ b/config/capacity.go
@@ -5,7 +5,7 @@
 // Capacity configures which instances may be bought. Without it, no instance is
 // bought or returned.
 type Capacity struct {
-	// Classes are the machine classes that may be bought for models.
+	// Classes are the instance classes that may be bought for models.
 	Classes []InstanceClass `json:"classes"`
 	// Headroom is the ratio of capacity to demand; 1.1 if left out.
 	Headroom *float64 `json:"headroom,omitempty"`
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -126,7 +126,7 @@
 
 // connectionError classifies the error of a connection that ended before the end
 // mark. Without the mark the answer is not whole, even if it looks complete: the
-// caller could otherwise take the first part of a contract summary for all of it.
+// caller could otherwise treat the first part of a contract summary as the whole.
 func (s *stream) connectionError(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return s.upstreamError(zinniamast.FailureStopped, err)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -62,9 +62,9 @@
 )
 
 const (
-	// headerTimeout and idleTimeout bound the connections of callers. net/http
-	// cannot change them while it serves, but the configuration, which has 3 s and
-	// 15 s, may change its own. Callers reuse a connection for up to four fifths of
+	// headerTimeout and idleTimeout bound the connections of callers. The
+	// configuration has its own bounds, 3 s and 15 s, which may change while the
+	// node runs, but net/http cannot change them while it serves. Callers reuse a connection for up to four fifths of
 	// the configured idle time, and a request sent on a connection that is closed
 	// earlier is lost. These bounds are therefore well above any configured ones, at
 	// the price of some idle connections.
--- a/entry/peerclient.go
+++ b/entry/peerclient.go
@@ -26,37 +26,37 @@
 )
 
 // ReplicasAfter implements registry.Peer.
-func (n peerClient) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
+func (c peerClient) ReplicasAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ReplicaChanges, error) {
 	query := RelayQuery{
 		Position: position,
 		Wait:     wait,
 	}
 	var answer ReplicasAnswer
-	err := n.entry.longPollPool.Call(ctx, n.address, relayName+".Replicas", query, &answer)
+	err := c.entry.longPollPool.Call(ctx, c.address, relayName+".Replicas", query, &answer)
 	return answer.Changes, errors.Join(err, answer.Refused.err())
 }
 
 // ConfigAfter implements registry.Peer.
-func (n peerClient) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
+func (c peerClient) ConfigAfter(ctx context.Context, position uint64, wait time.Duration) (registry.ConfigChange, error) {
 	query := RelayQuery{
 		Position: position,
 		Wait:     wait,
 	}
 	var answer ConfigAnswer
-	err := n.entry.longPollPool.Call(ctx, n.address, relayName+".Config", query, &answer)
+	err := c.entry.longPollPool.Call(ctx, c.address, relayName+".Config", query, &answer)
 	return answer.Change, errors.Join(err, answer.Refused.err())
 }
 
 // FetchReports implements reports.Peer.
-func (n peerClient) FetchReports(ctx context.Context, query reports.Query) (reports.Answer, error) {
+func (c peerClient) FetchReports(ctx context.Context, query reports.Query) (reports.Answer, error) {
 	var answer reports.Answer
-	err := n.entry.longPollPool.Call(ctx, n.address, reportsName+".Since", query, &answer)
+	err := c.entry.longPollPool.Call(ctx, c.address, reportsName+".Since", query, &answer)
 	return answer, err
 }
 
 // Collect implements usage.Collector.
-func (n peerClient) Collect(ctx context.Context, counts usage.Counts) error {
-	return n.entry.peerPool.Call(ctx, n.address, usageName+".Collect", counts, &struct{}{})
+func (c peerClient) Collect(ctx context.Context, counts usage.Counts) error {
+	return c.entry.peerPool.Call(ctx, c.address, usageName+".Collect", counts, &struct{}{})
 }
 
 // reader returns the node that follows the store on behalf of this failure domain:
@@ -81,24 +81,24 @@
 
 // storeReader returns the reader as a registry.Peer; nil means this node.
 func (e *Entry) storeReader() registry.Peer {
-	if n, ok := e.reader(); ok {
-		return n
+	if reader, ok := e.reader(); ok {
+		return reader
 	}
 	return nil
 }
 
 // reportReader returns the reader as a reports.Peer; nil means this node.
 func (e *Entry) reportReader() reports.Peer {
-	if n, ok := e.reader(); ok {
-		return n
+	if reader, ok := e.reader(); ok {
+		return reader
 	}
 	return nil
 }
 
 // usageWriter returns the reader as a usage.Collector; nil means this node.
 func (e *Entry) usageWriter() usage.Collector {
-	if n, ok := e.reader(); ok {
-		return n
+	if reader, ok := e.reader(); ok {
+		return reader
 	}
 	return nil
 }
--- a/entry/roster.go
+++ b/entry/roster.go
@@ -10,8 +10,8 @@
 // rosterInterval is how often the roster is read, and rosterStartInterval is the
 // interval of the first rosterStartRounds rounds, when all nodes may be starting at
 // once. One node of each failure domain reads the roster from the store and the
-// others query that node. If each of 91 nodes read the store every 45 s instead, the
-// number of calls would be the same and a new node would be noticed that much later.
+// others query that node. If instead each of 91 nodes read the store every 45 s, the
+// store would receive as many calls, but a new node would be noticed up to 45 s late.
 const (
 	rosterInterval      = 5 * time.Second
 	rosterStartInterval = time.Second
--- a/experiment/cache.go
+++ b/experiment/cache.go
@@ -21,9 +21,9 @@
 	now        func() time.Time
 }
 
-func newBlockCache(room int, now func() time.Time) *blockCache {
+func newBlockCache(capacityTokens int, now func() time.Time) *blockCache {
 	return &blockCache{
-		capacityTokens: room,
+		capacityTokens: capacityTokens,
 		now:            now,
 		lastUsed:       map[uint64]int{},
 		blockTokens:    map[uint64]int{},
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -100,7 +100,7 @@
 	return w
 }
 
-// drain runs on until every accepted request has ended or passed its deadline.
+// drain runs the events until every accepted request has ended or passed its deadline.
 func (w *world) drain() { w.runTo(w.now.Add(bulkDeadline)) }
 
 func (w *world) build(policy Policy, seed uint64) {
--- a/issuedkeys/issuer.go
+++ b/issuedkeys/issuer.go
@@ -47,7 +47,7 @@
 
 // Issuer issues keys and records the outcome of their use. A process has one
 // issuer. Its epoch is unique to the process and changes with a restart under the
-// same name, so no other process takes the key for one of its own.
+// same name, so no other process mistakes the key for one of its own.
 type Issuer struct {
 	config Config
 	epoch  string
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -5,14 +5,14 @@
 	"zinniamast/quarantine"
 )
 
-// maxHeldListed bounds the quarantined requests that one answer lists.
-const maxHeldListed = 100
+// maxQuarantinedListed bounds the quarantined requests that one answer lists.
+const maxQuarantinedListed = 100
 
-// heldRequests lists the quarantined requests, oldest first.
-func (n *Node) heldRequests() []operator.HeldRequest {
+// quarantinedRequests lists the quarantined requests, oldest first.
+func (n *Node) quarantinedRequests() []operator.HeldRequest {
 	all := n.quarantine.Held()
 	shown := make([]operator.HeldRequest, 0, len(all))
-	for _, h := range all[:min(len(all), maxHeldListed)] {
+	for _, h := range all[:min(len(all), maxQuarantinedListed)] {
 		shown = append(shown, operator.HeldRequest{
 			Fingerprint: h.Fingerprint.String(),
 			Since:       h.Since,
--- a/node/stop.go
+++ b/node/stop.go
@@ -56,7 +56,7 @@
 
 // stop stops the node gracefully. A planned stop lets requests finish on this node
 // and hands over the remaining ones near its deadline. After a reclaim notice all
-// requests are handed over at once: the process may die at any moment, and requests
+// requests are handed over at once: the process may be killed at any moment, and requests
 // that peers hold survive it.
 func (n *Node) stop(times stopTimes) error {
 	n.stopping.Store(true)
@@ -76,8 +76,8 @@
 }
 
 // drain waits for requests to finish on this node. A reclaim that is announced during
-// a planned stop shortens the drain; otherwise the process would die with its running
-// requests.
+// a planned stop shortens the drain; otherwise the process would be killed with its
+// requests still running.
 func (n *Node) drain(times stopTimes) stopTimes {
 	for n.runningCount() > 0 && time.Now().Before(times.drain) {
 		select {
@@ -119,9 +119,9 @@
 			remaining := n.exchange.HandOff(ctx, deadline.Add(-startReserve))
 			n.config.Logger.Info("handed requests over to peers", "left", remaining)
 		}
-		// Held is checked before running: a request that starts in between is counted
-		// as running before it is removed from the held ones, so one of the checks
-		// sees it.
+		// HeldCount is checked before runningCount: a held request that starts in between
+		// is counted as running before it is removed from the held ones, so one of the
+		// two checks counts it.
 		if n.exchange.HeldCount() == 0 && n.runningCount() == 0 && n.openCallers.Load() == 0 {
 			return
 		}
--- a/node/table.go
+++ b/node/table.go
@@ -19,8 +19,8 @@
 	roleLease    = "lease"
 )
 
-// leaseCapacity is the name of the lease whose holder buys instances and orders engines.
-const leaseCapacity = "capacity"
+// capacityLease is the name of the lease whose holder buys instances and orders engines.
+const capacityLease = "capacity"
 
 // openTable wraps the platform's table in the call budget that all parts of the node
 // share.
@@ -66,7 +66,7 @@
 	})
 	n.lease = lease.New(lease.Config{
 		Table:  n.table.WithRole(roleLease),
-		Name:   leaseCapacity,
+		Name:   capacityLease,
 		Holder: s.Instance,
 		Logger: n.config.Logger,
 	})
@@ -117,7 +117,7 @@
 		Members:       n.members,
 		Leases:        n.leases,
 		Unknowns:      n.unknowns,
-		Held:          n.heldRequests,
+		Held:          n.quarantinedRequests,
 		Free:          n.freeRequest,
 		Refusals:      n.refusals,
 		Resolve: func(ctx context.Context, d operator.ResolveArgs) error {
--- a/peer/link.go
+++ b/peer/link.go
@@ -126,8 +126,8 @@
 // call makes one call over the link. It returns retry if the connection was
 // already dead and nothing of the call was written. Only writeStarted shows
 // that: net/rpc returns the same error for calls that it never sent and for
-// calls that were in flight when the connection closed, and treating the
-// latter as the former would report a call that may run as not run.
+// calls that were in flight when the connection closed. If an in-flight call
+// were treated as never sent, it could be reported as not run although it ran.
 func (l *link) call(ctx context.Context, method string, args, reply any) (retry bool, err error) {
 	client, err := l.connect(ctx)
 	if err != nil {
--- a/plain/client.go
+++ b/plain/client.go
@@ -221,7 +221,7 @@
 }
 
 // isUnterminated reports whether the body ends only with the connection, so that a
-// truncated answer cannot be told from a complete one.
+// truncated answer cannot be distinguished from a complete one.
 func isUnterminated(method string, response *http.Response) bool {
 	bodiless := method == http.MethodHead ||
 		response.StatusCode == http.StatusNoContent ||
--- a/plain/conn.go
+++ b/plain/conn.go
@@ -27,7 +27,7 @@
 // If a connection breaks, the outcome is "not run" or "unknown", depending on whether
 // the request can have reached the service. The errors of net/http do not distinguish
 // the two. The first write and the decision that nothing was sent therefore compete
-// for one atomic state, so that after the decision nothing will be sent either.
+// for one atomic state: once it is decided that nothing was sent, a write fails.
 type conn struct {
 	net.Conn
 	state    atomic.Int32
@@ -67,7 +67,7 @@
 // TCP keep-alive probes are disabled. During a network partition they would make the
 // kernel close the connection of a waiting request, and this process could no longer
 // reset it: the request would reach the replica when the partition heals, seconds
-// after its caller was told that it had failed. Without probes the deadline of the
+// after its caller received a failure. Without probes the deadline of the
 // request closes the connection, and the reset discards undelivered data.
 func dialer(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{
@@ -101,28 +101,28 @@
 }
 
 // gotConn is called by net/http with each connection that it selects.
-func (o *sendGuard) gotConn(c net.Conn) {
+func (g *sendGuard) gotConn(c net.Conn) {
 	next, ok := c.(*conn)
 	if !ok {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.current != nil && !o.current.seal() {
-		o.replayed = true
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.current != nil && !g.current.seal() {
+		g.replayed = true
 		next.prepare(time.Time{})
 		next.seal()
-		o.cancel()
+		g.cancel()
 		return
 	}
-	next.prepare(o.deadline)
-	o.current = next
+	next.prepare(g.deadline)
+	g.current = next
 }
 
 // nothingSent reports whether no byte was written. If so, it seals the connection, so
 // that none will be.
-func (o *sendGuard) nothingSent() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.current == nil || o.current.seal()
+func (g *sendGuard) nothingSent() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.current == nil || g.current.seal()
 }
--- a/processtest/bench_test.go
+++ b/processtest/bench_test.go
@@ -37,10 +37,10 @@
 			total := 0
 			spent, elapsed := 0.0, time.Duration(0)
 			for b.Loop() {
-				before, begin := processorSeconds(b, node.DirectURL), time.Now()
+				before, begin := cpuSeconds(b, node.DirectURL), time.Now()
 				streamAll(b, node.DirectURL, streams, tokens)
 				elapsed += time.Since(begin)
-				spent += processorSeconds(b, node.DirectURL) - before
+				spent += cpuSeconds(b, node.DirectURL) - before
 				total += streams * tokens
 			}
 			b.ReportMetric(float64(total)/elapsed.Seconds(), "tokens/s")
@@ -84,8 +84,8 @@
 	}
 }
 
-// processorSeconds returns the CPU time of the node's process so far.
-func processorSeconds(b *testing.B, base string) float64 {
+// cpuSeconds returns the CPU time of the node's process so far.
+func cpuSeconds(b *testing.B, base string) float64 {
 	b.Helper()
 	response, err := http.Get(base + "/metrics")
 	if err != nil {
--- a/processtest/fleet.go
+++ b/processtest/fleet.go
@@ -33,7 +33,8 @@
 
 // FleetConfig configures a fleet.
 type FleetConfig struct {
-	// FailureDomains each get NodesEach nodes, EnginesEach engines and one service replica.
+	// FailureDomains each get NodesPerDomain nodes, EnginesPerDomain engines and one
+	// service replica.
 	FailureDomains []string
 	// NodesPerDomain is the number of nodes per failure domain; zero means 1.
 	NodesPerDomain int
--- a/processtest/load.go
+++ b/processtest/load.go
@@ -44,7 +44,7 @@
 }
 
 // StartLoad starts a load against the fleet. It sets the targets, simulated upstreams,
-// key, model and service, and the patience and deadline if they are zero.
+// key, model and service, and the margin and deadline if they are zero.
 func (f *Fleet) StartLoad(c load.Config) *LoadRun {
 	f.tb.Helper()
 	c.Targets = f.TargetURLs()
--- a/processtest/partition_test.go
+++ b/processtest/partition_test.go
@@ -17,8 +17,8 @@
 )
 
 // partition is one fault of the links between failure domains or to the platform,
-// with the expected results of calls at the affected node (here) and at another
-// (there).
+// with the expected results of calls at the affected node (called here) and at another
+// node (called there).
 type partition struct {
 	name          string
 	begin         func(f *processtest.Fleet) (end func())
--- a/soak/check.go
+++ b/soak/check.go
@@ -104,7 +104,7 @@
 
 // acceptableLossReason returns the reason that makes the loss of a request
 // acceptable. A stop, a reload, a new configuration, a store fault and a replica
-// that pauses or answers late are no acceptable reasons.
+// that pauses or answers late are not acceptable reasons.
 func (d *deployment) acceptableLossReason(o *outcome, w executions) lossReason {
 	elapsed := o.ended.Sub(o.sent)
 	switch {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -95,11 +95,11 @@
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 // newLimiter returns a limiter for a rate per second, or nil for no limit.
-func newLimiter(aSecond float64) *rate.Limiter {
-	if aSecond <= 0 {
+func newLimiter(perSecond float64) *rate.Limiter {
+	if perSecond <= 0 {
 		return nil
 	}
-	return rate.NewLimiter(rate.Limit(aSecond), max(1, int(aSecond/10)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
 // Counts are the numbers of calls and writes since the start.
--- a/tablebudget/bench_test.go
+++ b/tablebudget/bench_test.go
@@ -10,7 +10,7 @@
 	"zinniamast/tablebudget"
 )
 
-// BenchmarkWrite measures the overhead of the Path per write, with a table that
+// BenchmarkWrite measures the overhead of the Client per write, with a table that
 // answers immediately.
 func BenchmarkWrite(b *testing.B) {
 	path := tablebudget.New(tablebudget.Config{
--- a/tablebudget/breaker.go
+++ b/tablebudget/breaker.go
@@ -41,7 +41,7 @@
 // jittered and increasing intervals, so that 370 nodes together send at most
 // about 100 requests per second and do not all resume at the same moment.
 type breaker struct {
-	path *Client
+	client *Client
 
 	mu       sync.Mutex
 	machine  *fsm.FSM
@@ -50,7 +50,7 @@
 
 func newBreaker(p *Client) *breaker {
 	return &breaker{
-		path: p,
+		client: p,
 		machine: fsm.NewFSM(stateClosed, fsm.Events{
 			{
 				Name: eventTrip,
@@ -82,9 +82,9 @@
 	if !trip {
 		return
 	}
-	b.path.metrics.available.Set(0)
-	b.path.failQueued()
-	b.path.spawn(b.probe)
+	b.client.metrics.available.Set(0)
+	b.client.failQueued()
+	b.client.spawn(b.probe)
 }
 
 // probe reads from the table until it answers, and then closes the breaker.
@@ -94,7 +94,7 @@
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
 		case <-timer.C:
-		case <-b.path.stop.Done():
+		case <-b.client.stop.Done():
 			timer.Stop()
 			return
 		}
@@ -107,19 +107,19 @@
 }
 
 func (b *breaker) isTableAnswering() bool {
-	ctx, cancel := context.WithTimeout(b.path.stop, b.path.config.CallTimeout)
+	ctx, cancel := context.WithTimeout(b.client.stop, b.client.config.CallTimeout)
 	defer cancel()
-	b.path.metrics.reads.WithLabelValues("probe").Inc()
-	_, err := b.path.config.Table.Get(ctx, probeKey)
+	b.client.metrics.reads.WithLabelValues("probe").Inc()
+	_, err := b.client.config.Table.Get(ctx, probeKey)
 	return err == nil || errors.Is(err, zinniamast.ErrNotFound)
 }
 
 func (b *breaker) reset() {
-	drainBucket(b.path.reads)
-	drainBucket(b.path.writes)
+	drainBucket(b.client.reads)
+	drainBucket(b.client.writes)
 	b.mu.Lock()
 	b.failures = 0
 	_ = b.machine.Event(context.Background(), eventRecover)
 	b.mu.Unlock()
-	b.path.metrics.available.Set(1)
+	b.client.metrics.available.Set(1)
 }
--- a/tablebudget/path.go
+++ b/tablebudget/client.go
@@ -36,11 +36,11 @@
 	maxBatchBytes = 2 << 20
 )
 
-// Config configures a Path.
+// Config configures a Client.
 type Config struct {
 	// Table is the platform's table.
 	Table zinniamast.Table
-	// WritesPerSecond and ReadsASecond are this node's share of the fleet's
+	// WritesPerSecond and ReadsPerSecond are this node's share of the fleet's
 	// rate, in requests per second; zero means 1 and 5.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
@@ -86,7 +86,7 @@
 	queue []*writeCall
 }
 
-// New returns a Path that runs until Close.
+// New returns a Client that runs until Close.
 func New(c Config) *Client {
 	c = c.withDefaults()
 	stop, cancel := context.WithCancel(context.Background())
@@ -135,7 +135,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond*burstWindow.Seconds())))
 }
 
-// Close fails the queued calls and returns when all goroutines of the Path
+// Close fails the queued calls and returns when all goroutines of the Client
 // have ended.
 func (p *Client) Close() {
 	p.mu.Lock()
@@ -147,7 +147,7 @@
 }
 
 // spawn runs f in a goroutine that Close waits for. It returns false and does
-// not run f if the Path is closed.
+// not run f if the Client is closed.
 func (p *Client) spawn(f func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tablebudget/path_test.go
+++ b/tablebudget/client_test.go
@@ -77,8 +77,8 @@
 // Eight writers write concurrently to a few items while answers are lost,
 // requests are late, throttled or slow, or the table is down. A write that
 // succeeded must have taken effect, and one that returned a conflict, throttled
-// or unavailable must not: a claim wrongly taken for lost would run a booking
-// twice.
+// or unavailable must not: a claim wrongly considered lost would let a booking
+// run twice.
 func TestAnswersMatchTheTableUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
--- a/tablebudget/read.go
+++ b/tablebudget/read.go
@@ -25,11 +25,11 @@
 	return p.WithRole(RoleOther).Write(ctx, writes)
 }
 
-// WithRole returns a view of the Path whose requests are counted under the name.
+// WithRole returns a view of the Client whose requests are counted under the name.
 func (p *Client) WithRole(name string) zinniamast.Table {
 	return &roleView{
-		path: p,
-		name: name,
+		client: p,
+		name:   name,
 	}
 }
 
@@ -37,15 +37,15 @@
 const RoleOther = "other"
 
 type roleView struct {
-	path *Client
-	name string
+	client *Client
+	name   string
 }
 
 // Get implements zinniamast.Table.
 func (r *roleView) Get(ctx context.Context, key zinniamast.Key) (zinniamast.Item, error) {
 	var item zinniamast.Item
-	err := r.path.read(ctx, r.name, func(ctx context.Context) (err error) {
-		item, err = r.path.config.Table.Get(ctx, key)
+	err := r.client.read(ctx, r.name, func(ctx context.Context) (err error) {
+		item, err = r.client.config.Table.Get(ctx, key)
 		return err
 	})
 	return item, err
@@ -54,8 +54,8 @@
 // Query implements zinniamast.Table.
 func (r *roleView) Query(ctx context.Context, partition string, after string, limit int) ([]zinniamast.Item, error) {
 	var items []zinniamast.Item
-	err := r.path.read(ctx, r.name, func(ctx context.Context) (err error) {
-		items, err = r.path.config.Table.Query(ctx, partition, after, limit)
+	err := r.client.read(ctx, r.name, func(ctx context.Context) (err error) {
+		items, err = r.client.config.Table.Query(ctx, partition, after, limit)
 		return err
 	})
 	return items, err
@@ -63,7 +63,7 @@
 
 // Write implements zinniamast.Table.
 func (r *roleView) Write(ctx context.Context, writes []zinniamast.Write) error {
-	return r.path.write(ctx, r.name, writes)
+	return r.client.write(ctx, r.name, writes)
 }
 
 // read makes one rate-limited read.
--- a/tablebudget/write.go
+++ b/tablebudget/write.go
@@ -20,7 +20,7 @@
 	deadline time.Time
 	done     chan error
 
-	// Path.mu guards the following fields until the call is taken into a batch.
+	// Client.mu guards the following fields until the call is taken into a batch.
 
 	// sent means that the table may have received the writes.
 	sent bool
@@ -75,7 +75,7 @@
 	return c
 }
 
-// enqueue returns false if the queue is full or the Path is closed.
+// enqueue returns false if the queue is full or the Client is closed.
 func (p *Client) enqueue(c *writeCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,12 +102,12 @@
 		p.metrics.countRefusal(refusedBudget)
 		return zinniamast.ErrThrottled
 	}
-	return merry.Prepend(cause, "table: write open")
+	return merry.Prepend(cause, "table: write outcome unknown")
 }
 
 // dispatch sends a batch whenever calls are queued, a slot is free and the rate
 // limit allows it. Calls that arrive while it waits for one of these are sent
-// together; a single write on an idle Path is sent immediately.
+// together; a single write on an idle Client is sent immediately.
 func (p *Client) dispatch() {
 	for p.awaitQueue() {
 		select {
@@ -126,7 +126,7 @@
 	}
 }
 
-// awaitQueue waits until calls are queued; it returns false if the Path is closed.
+// awaitQueue waits until calls are queued; it returns false if the Client is closed.
 func (p *Client) awaitQueue() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +220,7 @@
 	}
 }
 
-// requeue puts calls back at the front of the queue, or fails them if the Path
+// requeue puts calls back at the front of the queue, or fails them if the Client
 // is closed or the breaker is open.
 func (p *Client) requeue(calls []*writeCall) {
 	p.mu.Lock()
@@ -241,7 +241,7 @@
 // abortError returns the error of a call that is given up.
 func (c *writeCall) abortError() error {
 	if c.outcomeUnknown {
-		return merry.New("table: write open: the answer was lost and the table is out")
+		return merry.New("table: write outcome unknown: the answer was lost and the table is unavailable")
 	}
 	return zinniamast.ErrUnavailable
 }
--- a/usage/counter.go
+++ b/usage/counter.go
@@ -34,8 +34,8 @@
 
 const (
 	// writeInterval is the time between two writes. A node that fails loses what
-	// it has counted since its last write, and a report may be off by a twentieth
-	// of five seconds.
+	// it has counted since its last write, and the report of a five-second window
+	// may be off by a twentieth.
 	writeInterval = time.Second
 	// writeDelay is the maximum random delay before a node sends or writes its
 	// counts, which keeps nodes from calling at the same time.
@@ -181,9 +181,9 @@
 // Collect accepts another node's counts, to be written with this node's own.
 //
 // It rejects them after a failed write, and the other nodes then write their own
-// counts. If a writer that alone is cut off from the store accepted counts, those
-// of its failure domain would be missing from the reports: a window was off by a
-// fifth.
+// counts. If a writer that is the only node cut off from the store accepted counts,
+// those of its failure domain would be missing from the reports, and a window would
+// be off by a fifth.
 func (c *Counter) Collect(counts Counts) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/usage/reporter.go
+++ b/usage/reporter.go
@@ -18,12 +18,12 @@
 	// settleTime is how long after the end of a window the nodes' counts are in the
 	// table; nodes write every second.
 	settleTime = 2500 * time.Millisecond
-	// missingCountsWaitFraction is the part of the time until a report is due for
-	// which the reporter waits for nodes that have not written. They may have
-	// failed or lost their connection.
+	// missingCountsWaitFraction is the fraction of the time until a report is due
+	// for which the reporter waits for nodes that have not written. Such nodes may
+	// have failed or lost their connection.
 	missingCountsWaitFraction = 0.65
 	// catchUpWindows is how many windows before the current one a new lease holder
-	// starts.
+	// starts reporting.
 	catchUpWindows = 6
 	// queryLimit is the maximum number of items that one query reads.
 	queryLimit = 2000
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -225,8 +225,8 @@
 	f.is.Equal(f.report(100).Report.Counts, map[string]int{"acme": 3})
 }
 
-// A writer alone is cut off from the store while the nodes of its failure domain
-// keep sending counts to it; a window's report then lacked the requests of that
+// Only the writer is cut off from the store, and the nodes of its failure domain
+// keep sending counts to it. A window's report would then lack the requests of that
 // failure domain, a fifth of all. The writer must reject the counts, so that the
 // nodes write them.
 func TestWriterWithoutStoreRejectsCounts(t *testing.T) {
