--- a/checker/verdict.go
+++ b/checker/verdict.go
@@ -49,7 +49,8 @@
 	return Verdict{RefusedByReason: map[string]int{}}
 }
 
-// OK reports whether there are no violations. A complete answer that is late is none.
+// OK reports whether there are no violations. A complete answer that is late
+// is not a violation.
 func (v *Verdict) OK() bool {
 	return v.ViolationCount() == 0
 }
--- a/experiment/baseline.go
+++ b/experiment/baseline.go
@@ -140,9 +140,9 @@
 	for _, id := range ids {
 		total += a.inFlight[id]
 	}
-	most := a.loadFactor * float64(total+1) / float64(len(ids))
+	maxInFlight := a.loadFactor * float64(total+1) / float64(len(ids))
 	for _, id := range ids {
-		if a.loadFactor == 0 || float64(a.inFlight[id]+1) <= max(most, 1) {
+		if a.loadFactor == 0 || float64(a.inFlight[id]+1) <= max(maxInFlight, 1) {
 			return zinniamast.Choice{
 				Upstream: id,
 			}, nil
--- a/experiment/outcome.go
+++ b/experiment/outcome.go
@@ -135,10 +135,10 @@
 	return total
 }
 
-func quantile(values []time.Duration, part float64) time.Duration {
+func quantile(values []time.Duration, fraction float64) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	return values[min(len(values)-1, int(part*float64(len(values))))]
+	return values[min(len(values)-1, int(fraction*float64(len(values))))]
 }
--- a/load/model.go
+++ b/load/model.go
@@ -83,7 +83,7 @@
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{
 		IncludeUsage: openai.Bool(true),
 	}
-	clock := newTokenTimer(m.first, m.between)
+	timer := newTokenTimer(m.first, m.between)
 	stream := m.client.Chat.Completions.NewStreaming(ctx, params, options...)
 	defer func() { _ = stream.Close() }()
 	result := attemptResult{}
@@ -97,7 +97,7 @@
 			continue
 		}
 		if text := chunk.Choices[0].Delta.Content; text != "" {
-			clock.recordToken()
+			timer.recordToken()
 			answer = append(answer, text...)
 		}
 		if chunk.Choices[0].FinishReason != "" {
--- a/soak/check.go
+++ b/soak/check.go
@@ -137,7 +137,8 @@
 		o.ended.Sub(w.latest.Received).Round(time.Millisecond), b.Delay, b.Pause, b.PauseAfter)
 }
 
-// checkOutcome checks the answer of one request that replicas ran so many times.
+// checkOutcome checks the answer of one request that replicas ran the given number of
+// times.
 func (s *Summary) checkOutcome(o *outcome, ran int) {
 	if o.unsafe && ran > 1 {
 		s.addViolation("%s ran %d times", o.id, ran)
--- a/soak/deployment.go
+++ b/soak/deployment.go
@@ -204,8 +204,8 @@
 	"tenants":[{"name":"acme","apiKeys":["k"],"ratePerS":100000,"burst":100000}]}`
 
 // settings is an instance's settings file in the platform's format. Instances prove
-// by the cloud's address that they belong to the same deployment. It is the store's
-// address, which is unique to this soak.
+// that they belong to the same deployment by the cloud's address, which is set to the
+// store's address, since that is unique to this soak.
 const settings = `nodeName = %q
 ip = "127.0.0.1"
 zone = %q
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -49,10 +49,10 @@
 // Run soaks a deployment and checks it. With even seeds all instances are killed at
 // once after the last fault, as in a power failure. The second summary covers the
 // time after the recovery, without faults.
-func Run(tb testing.TB, c Config) (faulty, calmed Summary) {
+func Run(tb testing.TB, c Config) (withFaults, afterRecovery Summary) {
 	tb.Helper()
 	d := newDeployment(tb, c)
-	faulty = d.soak(c.Seed, func() []string {
+	withFaults = d.soak(c.Seed, func() []string {
 		ctx, cancel := context.WithTimeout(context.Background(), c.FaultDuration)
 		defer cancel()
 		return d.injectFaults(ctx, c.Seed)
@@ -65,17 +65,17 @@
 	for _, r := range d.removed {
 		before[r] = len(r.Runs())
 	}
-	calmed = d.soak(c.Seed+1, func() []string {
+	afterRecovery = d.soak(c.Seed+1, func() []string {
 		time.Sleep(calmDuration)
 		return nil
 	})
-	calmed.Violations = append(calmed.Violations, d.checkRecovered(before)...)
-	return faulty, calmed
+	afterRecovery.Violations = append(afterRecovery.Violations, d.checkRecovered(before)...)
+	return withFaults, afterRecovery
 }
 
-// soak runs callers while do runs, and checks their outcomes. do returns the
+// soak runs callers while action runs, and checks their outcomes. action returns the
 // descriptions of the faults that it injected.
-func (d *deployment) soak(seed uint64, do func() []string) Summary {
+func (d *deployment) soak(seed uint64, action func() []string) Summary {
 	c := &callerPool{
 		deployment: d,
 	}
@@ -85,7 +85,7 @@
 		defer close(ended)
 		c.run(ctx, seed)
 	}()
-	injected := do()
+	injected := action()
 	cancel()
 	<-ended
 	s := c.check()
