--- a/soak/check.go
+++ b/soak/check.go
@@ -104,7 +104,7 @@
 
 // acceptableLossReason returns the reason that makes the loss of a request
 // acceptable. A stop, a reload, a new configuration, a store fault and a replica
-// that pauses or answers late are no acceptable reasons.
+// that pauses or answers late are not acceptable reasons.
 func (d *deployment) acceptableLossReason(o *outcome, w executions) lossReason {
 	elapsed := o.ended.Sub(o.sent)
 	switch {
@@ -137,7 +137,8 @@
 		o.ended.Sub(w.latest.Received).Round(time.Millisecond), b.Delay, b.Pause, b.PauseAfter)
 }
 
-// checkOutcome checks the answer of one request that replicas ran so many times.
+// checkOutcome checks the answer of one request that replicas ran the given number of
+// times.
 func (s *Summary) checkOutcome(o *outcome, ran int) {
 	if o.unsafe && ran > 1 {
 		s.addViolation("%s ran %d times", o.id, ran)
