--- a/tablebudget/commit.go
+++ b/tablebudget/commit.go
@@ -171,7 +171,7 @@
 		case err != nil:
 			// err is not wrapped: after a throttled read, errors.Is would report the
 			// write as refused.
-			return merry.Errorf("table: write outcome unknown: read after a lost answer: %v", err)
+			return merry.Errorf("table: write open: read after a lost answer: %v", err)
 		case item.Token == w.Item.Token:
 			// One write of the transaction took effect, so all of them did.
 			return nil
@@ -184,5 +184,5 @@
 	}
 	// The item has been changed again, so this write may have taken effect in
 	// between.
-	return merry.New("table: write outcome unknown: the item was changed again")
+	return merry.New("table: write open: the item changed again since")
 }
--- a/tablebudget/write.go
+++ b/tablebudget/write.go
@@ -102,7 +102,7 @@
 		p.metrics.countRefusal(refusedBudget)
 		return zinniamast.ErrThrottled
 	}
-	return merry.Prepend(cause, "table: write outcome unknown")
+	return merry.Prepend(cause, "table: write open")
 }
 
 // dispatch sends a batch whenever calls are queued, a slot is free and the rate
@@ -241,7 +241,7 @@
 // abortError returns the error of a call that is given up.
 func (c *writeCall) abortError() error {
 	if c.outcomeUnknown {
-		return merry.New("table: write outcome unknown: the answer was lost and the table is unavailable")
+		return merry.New("table: write open: the answer was lost and the table is out")
 	}
 	return zinniamast.ErrUnavailable
 }
